--- a/acaciaring_core/src/attempt.rs
+++ b/acaciaring_core/src/attempt.rs
@@ -19,25 +19,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptSettings {
     /// How long a refused or finished attempt is known; longer than a message can be late.
-    pub memory: Duration,
+    pub retention: Duration,
     /// How long an answer can be fetched.
-    pub answers: Duration,
+    pub answer_retention: Duration,
     /// Most bytes of answers that can be fetched.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Most attempts known; further ones are refused.
-    pub attempts: usize,
+    pub max_attempts: usize,
     /// Most attempts refused ahead of their arrival, in addition to `attempts`.
-    pub refusals: usize,
+    pub max_refusals: usize,
 }
 
 impl Default for AttemptSettings {
     fn default() -> Self {
         Self {
-            memory: Duration::from_secs(30),
-            answers: Duration::from_secs(3),
-            bytes: 16 << 20,
-            attempts: 600_000,
-            refusals: 100_000,
+            retention: Duration::from_secs(30),
+            answer_retention: Duration::from_secs(3),
+            max_bytes: 16 << 20,
+            max_attempts: 600_000,
+            max_refusals: 100_000,
         }
     }
 }
@@ -97,7 +97,7 @@
     /// Records that an attempt has arrived and returns what to do with it.
     pub fn arrive(&mut self, now: Time, attempt: AttemptId) -> Arrival {
         self.expire(now);
-        let full = self.entries.len() >= self.settings.attempts;
+        let full = self.entries.len() >= self.settings.max_attempts;
         match self.entries.entry(attempt) {
             Place::Occupied(place) if matches!(place.get(), Entry::Refused) => Arrival::Superseded,
             Place::Occupied(_) => Arrival::Repeated,
@@ -133,16 +133,16 @@
         let Some(entry @ Entry::Running) = self.entries.get_mut(&attempt) else {
             return;
         };
-        self.expiry.push_back((now + self.settings.memory, attempt));
+        self.expiry.push_back((now + self.settings.retention, attempt));
         let size = size_of_answer(&answer);
-        if size > self.settings.bytes {
+        if size > self.settings.max_bytes {
             *entry = Entry::Finished(None);
             return;
         }
         *entry = Entry::Finished(Some(Box::new(answer)));
-        self.kept.push_back((now + self.settings.answers, attempt, size));
+        self.kept.push_back((now + self.settings.answer_retention, attempt, size));
         self.bytes += size;
-        while self.bytes > self.settings.bytes {
+        while self.bytes > self.settings.max_bytes {
             self.drop_answer();
         }
     }
@@ -177,11 +177,11 @@
 
     /// Refuses an unknown attempt from now on and returns whether there was room for that.
     fn refuse(&mut self, now: Time, attempt: AttemptId) -> bool {
-        if self.entries.len() >= self.settings.attempts + self.settings.refusals {
+        if self.entries.len() >= self.settings.max_attempts + self.settings.max_refusals {
             return false;
         }
         self.entries.insert(attempt, Entry::Refused);
-        self.expiry.push_back((now + self.settings.memory, attempt));
+        self.expiry.push_back((now + self.settings.retention, attempt));
         true
     }
 
--- a/acaciaring_core/src/holds.rs
+++ b/acaciaring_core/src/holds.rs
@@ -15,7 +15,7 @@
 pub use self::epoch::Epoch;
 pub use self::rows::{Freed, Granted, Held, Wanted};
 use self::rows::{lie_in, meet, rows};
-pub use self::starts::{Report, Start, Starts};
+pub use self::starts::{Incarnation, Incarnations, ReportOutcome};
 use crate::id::{Name, Token, UnitId};
 use crate::time::Time;
 
@@ -62,7 +62,7 @@
 pub struct Holds {
     /// Longest time for which a grant is given.
     hold: Duration,
-    starts: Starts,
+    starts: Incarnations,
     epoch: Epoch,
     reported: Vec<Held>,
     given: BTreeMap<UnitId, Given>,
@@ -83,7 +83,7 @@
     pub fn new(now: Time, hold: Duration) -> Self {
         Self {
             hold,
-            starts: Starts::new(now),
+            starts: Incarnations::new(now),
             epoch: Epoch::default(),
             reported: Vec::new(),
             given: BTreeMap::new(),
@@ -96,7 +96,7 @@
 
     /// Returns the present start of the upstream.
     #[must_use]
-    pub const fn start(&self) -> Option<&Start> {
+    pub const fn incarnation(&self) -> Option<&Incarnation> {
         self.starts.present()
     }
 
@@ -104,16 +104,16 @@
     pub fn report(
         &mut self,
         now: Time,
-        start: &Start,
+        start: &Incarnation,
         sequence: u64,
         held: Vec<Held>,
         freed: Vec<Freed>,
-    ) -> Report {
+    ) -> ReportOutcome {
         let report = self.starts.report(now, start, sequence);
         match report {
-            Report::Late => return report,
-            Report::Another => self.replaced(now),
-            Report::Newest => {}
+            ReportOutcome::Stale => return report,
+            ReportOutcome::NewIncarnation => self.replaced(now),
+            ReportOutcome::Current => {}
         }
         self.reported = held;
         self.freed.extend(freed);
@@ -224,7 +224,7 @@
     /// Guards against a grant that it has not taken: each request for the unit would be sent and
     /// refused again, as often as there is time for. The unit is served again once a report
     /// says that it is held.
-    pub fn deny(&mut self, unit: UnitId) {
+    pub fn mark_refused(&mut self, unit: UnitId) {
         if let Some(given) = self.given.get_mut(&unit) {
             given.denied = true;
         }
--- a/acaciaring_core/src/holds/starts.rs
+++ b/acaciaring_core/src/holds/starts.rs
@@ -11,23 +11,23 @@
 
 /// One start of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Start {
+pub struct Incarnation {
     /// Name of the upstream, which may outlast a start.
     pub instance: Name,
     /// Number that grows with each start under one name; 0 where the upstream tells none.
-    pub born: u64,
+    pub generation: u64,
 }
 
-impl Start {
+impl Incarnation {
     /// Returns true for a later start under the same name.
     fn follows(&self, other: &Self) -> bool {
-        self.instance == other.instance && self.born > other.born
+        self.instance == other.instance && self.generation > other.generation
     }
 }
 
-impl Display for Start {
+impl Display for Incarnation {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
-        match self.born {
+        match self.generation {
             0 => out.write_str(&self.instance),
             born => write!(out, "{} ({born})", self.instance),
         }
@@ -36,29 +36,29 @@
 
 /// What became of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Report {
+pub enum ReportOutcome {
     /// It is the newest of the present upstream.
-    Newest,
+    Current,
     /// It is the first of another start of the upstream.
-    Another,
+    NewIncarnation,
     /// It was sent before one that came earlier, or by an upstream that has gone.
-    Late,
+    Stale,
 }
 
 /// Start that may have taken the place of the present one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Candidate {
-    start: Start,
+    start: Incarnation,
     sequence: u64,
     since: Time,
 }
 
 /// The present start of the upstream, and former ones.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Starts {
-    present: Option<Start>,
+pub struct Incarnations {
+    present: Option<Incarnation>,
     sequence: u64,
-    former: Vec<Start>,
+    former: Vec<Incarnation>,
     /// Another start that has reported once, its number and when.
     candidate: Option<Candidate>,
     /// When the present start last reported, and first.
@@ -66,7 +66,7 @@
     first: Time,
 }
 
-impl Starts {
+impl Incarnations {
     /// Makes a record of an upstream that has not reported.
     #[must_use]
     pub const fn new(now: Time) -> Self {
@@ -82,7 +82,7 @@
 
     /// Returns the present start.
     #[must_use]
-    pub const fn present(&self) -> Option<&Start> {
+    pub const fn present(&self) -> Option<&Incarnation> {
         self.present.as_ref()
     }
 
@@ -108,15 +108,19 @@
     /// the living one holds in the eyes of this member, which would pass it on at once. So
     /// starts that were replaced are remembered, and one under another name is believed once it
     /// has reported twice while the present one was silent. Under one name the numbers tell.
-    pub fn report(&mut self, now: Time, start: &Start, sequence: u64) -> Report {
+    pub fn report(&mut self, now: Time, start: &Incarnation, sequence: u64) -> ReportOutcome {
         let same = self.present.as_ref() == Some(start);
         if self.is_late(start) || (same && sequence <= self.sequence) {
-            return Report::Late;
+            return ReportOutcome::Stale;
         }
-        let report = if same || self.present.is_none() { Report::Newest } else { Report::Another };
-        if report == Report::Another {
+        let report = if same || self.present.is_none() {
+            ReportOutcome::Current
+        } else {
+            ReportOutcome::NewIncarnation
+        };
+        if report == ReportOutcome::NewIncarnation {
             if !self.believes(now, start, sequence) {
-                return Report::Late;
+                return ReportOutcome::Stale;
             }
             self.former.extend(self.present.take());
             let excess = self.former.len().saturating_sub(FORMER);
@@ -133,13 +137,13 @@
     }
 
     /// Returns true for a start that a later one has replaced.
-    fn is_late(&self, start: &Start) -> bool {
+    fn is_late(&self, start: &Incarnation) -> bool {
         let present = self.present.as_ref();
         self.former.contains(start) || present.is_some_and(|present| present.follows(start))
     }
 
     /// Returns true when another start has surely taken the place of the present one.
-    fn believes(&mut self, now: Time, start: &Start, sequence: u64) -> bool {
+    fn believes(&mut self, now: Time, start: &Incarnation, sequence: u64) -> bool {
         if self.present.as_ref().is_some_and(|present| start.follows(present)) {
             return true;
         }
--- a/acaciaring_core/src/lease/holder.rs
+++ b/acaciaring_core/src/lease/holder.rs
@@ -204,7 +204,7 @@
 
     /// Returns the lessors that have answered none of several renewals, or refuse.
     #[must_use]
-    pub fn silent(&self) -> Vec<MemberId> {
+    pub fn unresponsive(&self) -> Vec<MemberId> {
         let silent = |link: &Link| link.refused || (link.latest.is_none() && link.tries > SILENT);
         self.links.iter().filter(|(_, link)| silent(link)).map(|(id, _)| *id).collect()
     }
@@ -240,13 +240,13 @@
             if link.due(&settings).is_some_and(|due| now < due) {
                 continue;
             }
-            let fresh = link.tries > 0 && link.is_silent(now, &settings);
+            let reconnect = link.tries > 0 && link.is_silent(now, &settings);
             self.seq += 1;
             link.pending.retain(|_, sent| now < *sent + settings.term);
             link.pending.insert(self.seq, now);
             link.tries = link.tries.saturating_add(1);
             link.sent = Some(now);
-            renewals.push(Renewal { lessor: *lessor, seq: self.seq, version, fresh });
+            renewals.push(Renewal { lessor: *lessor, seq: self.seq, version, reconnect });
         }
         renewals
     }
@@ -263,7 +263,14 @@
     /// The lease is counted from the sending of the renewal, whenever the
     /// answer arrives. Counted from receipt, a grant that was delayed would
     /// outlast the lessor's own count and overlap with a vote.
-    pub fn granted(&mut self, now: Time, from: MemberId, seq: u64, granted: bool, version: Offset) {
+    pub fn handle_grant(
+        &mut self,
+        now: Time,
+        from: MemberId,
+        seq: u64,
+        granted: bool,
+        version: Offset,
+    ) {
         let Some(link) = self.links.get_mut(&from) else { return };
         let Some(sent) = link.pending.remove(&seq) else { return };
         if !granted {
@@ -315,7 +322,7 @@
     /// three lessors at once can neither renew nor exchange them, for the dead supersede nothing.
     /// It need not wait until it is abandoned; while its lease runs it serves on.
     #[must_use]
-    pub fn orphaned(&self, now: Time, alive: impl Fn(MemberId) -> bool) -> bool {
+    pub fn quorum_lost(&self, now: Time, alive: impl Fn(MemberId) -> bool) -> bool {
         let lacks = |set: &LessorSet| {
             let living = set.lessors.iter().filter(|id| alive(**id)).count();
             !set.lessors.is_empty() && living < set.majority()
--- a/acaciaring_core/src/lease/lessor.rs
+++ b/acaciaring_core/src/lease/lessor.rs
@@ -77,7 +77,7 @@
     /// Notes that this member is a lessor of `holder` by the set of `version`.
     ///
     /// A holder that has never asked gets a full term from here before a vote.
-    pub fn learn(&mut self, now: Time, holder: MemberId, version: Offset) {
+    pub fn join_set(&mut self, now: Time, holder: MemberId, version: Offset) {
         let ends = now + self.settings.term;
         let fresh = Record { ends, version, voted: None, member: true, dead: false };
         let record = self.records.entry(holder).or_insert(fresh);
@@ -88,7 +88,7 @@
     }
 
     /// Notes that the set of `version` does not contain this member: no vote is wanted.
-    pub fn unlearn(&mut self, holder: MemberId, version: Offset) {
+    pub fn leave_set(&mut self, holder: MemberId, version: Offset) {
         let Some(record) = self.records.get_mut(&holder) else { return };
         if version >= record.version {
             record.version = version;
@@ -97,7 +97,7 @@
     }
 
     /// Notes that `holder` is dead in the log: no grant and no vote from now on.
-    pub fn forget(&mut self, holder: MemberId) {
+    pub fn mark_dead(&mut self, holder: MemberId) {
         if let Some(record) = self.records.get_mut(&holder) {
             record.dead = true;
         }
@@ -142,7 +142,7 @@
     /// while its holders still exchange it, another crashes in that moment, and the old set makes
     /// no majority any more. The holders were without lease until they gave up their identities.
     /// A member that stays until its last grant has run out has been exchanged by then.
-    pub fn vouches(&self, now: Time, counts: impl Fn(MemberId) -> bool) -> bool {
+    pub fn has_active_grant(&self, now: Time, counts: impl Fn(MemberId) -> bool) -> bool {
         let runs = |(holder, record): (&MemberId, &Record)| {
             !record.dead && now < record.ends && counts(*holder)
         };
--- a/acaciaring_core/src/lease/mod.rs
+++ b/acaciaring_core/src/lease/mod.rs
@@ -55,7 +55,7 @@
     /// slower than the reader's by the ratio that `margin` allows for one term,
     /// which over `abandon` is more than one `margin`.
     #[must_use]
-    pub fn lapse(&self) -> Duration {
+    pub fn dead_vote_delay(&self) -> Duration {
         let ratio = self.term.as_secs_f64() / self.usable().as_secs_f64();
         (self.abandon + self.term).mul_f64(ratio)
     }
@@ -71,7 +71,7 @@
     /// Version of the lessor set in force.
     pub version: Offset,
     /// True when the last renewal was not answered: a new connection is to be used.
-    pub fresh: bool,
+    pub reconnect: bool,
 }
 
 /// Lessor's answer to a renewal.
--- a/acaciaring_core/src/lease/tally.rs
+++ b/acaciaring_core/src/lease/tally.rs
@@ -32,7 +32,7 @@
     }
 
     /// Notes that `member` was read as dead in the log at `now`.
-    pub fn died(&mut self, now: Time, member: MemberId) {
+    pub fn record_death(&mut self, now: Time, member: MemberId) {
         self.deaths.entry(member).or_insert(now);
         self.votes.remove(&member);
     }
@@ -69,6 +69,6 @@
     }
 
     fn lapsed(&self, now: Time, lessor: MemberId) -> bool {
-        self.deaths.get(&lessor).is_some_and(|read| now >= *read + self.settings.lapse())
+        self.deaths.get(&lessor).is_some_and(|read| now >= *read + self.settings.dead_vote_delay())
     }
 }
--- a/acaciaring_core/src/orders.rs
+++ b/acaciaring_core/src/orders.rs
@@ -12,10 +12,10 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-pub use self::order::{Action, Answer, Issued, Order, Settled};
+pub use self::order::{Action, Answer, Completion, Issued, Order};
 use self::piece::{Piece, Pieces};
 use self::runs::{Run, grants, releases};
-use crate::holds::{DRIFT, Epoch, LEAST, Report, Start, Starts, Wanted};
+use crate::holds::{DRIFT, Epoch, Incarnation, Incarnations, LEAST, ReportOutcome, Wanted};
 use crate::id::{Name, Token};
 use crate::time::Time;
 
@@ -23,7 +23,7 @@
 ///
 /// The upstream is on the same VM and answers within milliseconds. The time is taken off what a
 /// grant may last, for the upstream counts from the arrival.
-pub const REACH: Duration = Duration::from_millis(200);
+pub const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Grants under way at once, and releases under way at once.
 ///
@@ -55,7 +55,7 @@
 pub struct Orders {
     /// Longest time for which a grant is given.
     hold: Duration,
-    starts: Starts,
+    starts: Incarnations,
     pieces: Pieces,
     open: BTreeMap<u64, Open>,
     /// Orders given so far.
@@ -81,7 +81,7 @@
     pub fn new(now: Time, hold: Duration) -> Self {
         Self {
             hold,
-            starts: Starts::new(now),
+            starts: Incarnations::new(now),
             pieces: Pieces::default(),
             open: BTreeMap::new(),
             count: 0,
@@ -96,14 +96,14 @@
 
     /// Returns the present start of the upstream.
     #[must_use]
-    pub const fn start(&self) -> Option<&Start> {
+    pub const fn incarnation(&self) -> Option<&Incarnation> {
         self.starts.present()
     }
 
     /// Takes in a report, which says nothing of what is held.
-    pub fn report(&mut self, now: Time, start: &Start, sequence: u64) -> Report {
+    pub fn report(&mut self, now: Time, start: &Incarnation, sequence: u64) -> ReportOutcome {
         let report = self.starts.report(now, start, sequence);
-        if report == Report::Another {
+        if report == ReportOutcome::NewIncarnation {
             self.restarted(now);
         }
         report
@@ -117,12 +117,12 @@
     fn restarted(&mut self, now: Time) {
         self.epoch.raise(now);
         self.replaced += 1;
-        self.pieces.all_mut().for_each(Piece::deny);
+        self.pieces.all_mut().for_each(Piece::mark_refused);
         self.changed = true;
     }
 
     /// Takes over which units the upstream is to hold; everything else is to be released.
-    pub fn want(&mut self, wanted: &[Wanted]) {
+    pub fn set_wanted(&mut self, wanted: &[Wanted]) {
         self.pieces.all_mut().for_each(|piece| piece.wanted = false);
         for wanted in wanted {
             for keys in &wanted.keys {
@@ -149,7 +149,7 @@
         self.changed = false;
         self.pieces.settle(now);
         let mut issued = Vec::new();
-        let hold = lease.since(now + REACH).mul_f64(1.0 / (1.0 + DRIFT)).min(self.hold);
+        let hold = lease.since(now + ORDER_TIMEOUT).mul_f64(1.0 / (1.0 + DRIFT)).min(self.hold);
         if hold >= LEAST {
             let room = WINDOW.saturating_sub(self.under_way(false));
             for run in grants(now, &self.pieces, room) {
@@ -179,11 +179,16 @@
         let open =
             Open { order: order.clone(), token: run.token, since: now, starts: self.replaced };
         self.open.insert(number, open);
-        Issued { number, order, reach: now + REACH, connects: self.epoch.is_fresh(now) }
+        Issued {
+            number,
+            order,
+            deadline: now + ORDER_TIMEOUT,
+            may_connect: self.epoch.is_fresh(now),
+        }
     }
 
     /// Takes in what came of an order; `None` for a number that is not under way.
-    pub fn settle(&mut self, now: Time, number: u64, answer: &Answer) -> Option<Settled> {
+    pub fn complete(&mut self, now: Time, number: u64, answer: &Answer) -> Option<Completion> {
         let Open { order, token, since, starts } = self.open.remove(&number)?;
         // What a former start has answered says nothing of the present one.
         let answer = if starts == self.replaced { answer } else { &Answer::Unknown };
@@ -208,7 +213,7 @@
             changed |= before != piece.state(now);
         }
         self.changed = true;
-        Some(Settled { order, age: now.since(since), changed })
+        Some(Completion { order, age: now.since(since), changed })
     }
 
     /// Returns true while the upstream runs requests for keys under a token.
@@ -225,7 +230,7 @@
 
     /// Returns when something is to be done or changes by time alone.
     #[must_use]
-    pub fn next(&self) -> Time {
+    pub fn next_due(&self) -> Time {
         self.lapse.map_or(self.due, |lapse| self.due.min(lapse))
     }
 
@@ -233,10 +238,10 @@
     ///
     /// Guards against a release that is carried out late, after a newer grant, and against a start
     /// that no report has told of: the keys are granted again.
-    pub fn deny(&mut self, keys: &[RangeInclusive<u32>]) {
+    pub fn mark_refused(&mut self, keys: &[RangeInclusive<u32>]) {
         for keys in keys {
             for piece in self.pieces.meeting_mut(keys) {
-                piece.deny();
+                piece.mark_refused();
             }
         }
         self.changed = true;
--- a/acaciaring_core/src/orders/order.rs
+++ b/acaciaring_core/src/orders/order.rs
@@ -40,13 +40,13 @@
     /// The order.
     pub order: Order,
     /// Time at which it is given up: its connection is closed, so it arrives no later.
-    pub reach: Time,
+    pub deadline: Time,
     /// True when it may go over a new connection.
     ///
     /// Guards against an upstream that ends and starts again under its name between two reports:
     /// the order would reach it under a token that the former start had. Kept connections end with
     /// the start, so only a new one can lead to another.
-    pub connects: bool,
+    pub may_connect: bool,
 }
 
 /// What came of an order.
@@ -71,7 +71,7 @@
 
 /// Range of keys of an order whose answer has come, for the log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Settled {
+pub struct Completion {
     /// The order.
     pub order: Order,
     /// Time since it was decided.
--- a/acaciaring_core/src/orders/piece.rs
+++ b/acaciaring_core/src/orders/piece.rs
@@ -90,7 +90,7 @@
     }
 
     /// Notes that the upstream does not hold the piece, as far as is known.
-    pub(super) fn deny(&mut self) {
+    pub(super) fn mark_refused(&mut self) {
         self.grant = None;
     }
 
--- a/acaciaring_core/src/rights.rs
+++ b/acaciaring_core/src/rights.rs
@@ -98,12 +98,18 @@
     /// When the version changes meanwhile, for example because a former owner is
     /// evicted, the release is to be sent again under the new version.
     #[must_use]
-    pub fn gave(&self, workspace: &Name, unit: UnitId, assignment: &Assignment) -> bool {
+    pub fn has_released(&self, workspace: &Name, unit: UnitId, assignment: &Assignment) -> bool {
         self.given.get(&(unit, workspace.clone())) == Some(&Roles::of(assignment))
     }
 
     /// Notes that `from` has released a unit to this process.
-    pub fn released(&mut self, from: MemberId, workspace: &Name, unit: UnitId, version: Offset) {
+    pub fn record_release(
+        &mut self,
+        from: MemberId,
+        workspace: &Name,
+        unit: UnitId,
+        version: Offset,
+    ) {
         raise(&mut self.received, ((unit, workspace.clone()), from), version);
     }
 
@@ -115,7 +121,7 @@
     }
 
     /// Takes a renunciation back; to be called only when its record is rejected for sure.
-    pub fn restore(&mut self, workspace: &Name, unit: UnitId, version: Offset) {
+    pub fn cancel_renounce(&mut self, workspace: &Name, unit: UnitId, version: Offset) {
         let key = (unit, workspace.clone());
         if self.renounced.get(&key) == Some(&version) {
             self.renounced.remove(&key);
@@ -133,17 +139,17 @@
     }
 
     /// Takes that back; to be called only when the record is rejected for sure.
-    pub fn stay(&mut self) {
+    pub fn cancel_leave(&mut self) {
         self.leaving = false;
     }
 
     /// Notes that a split or merge within a slot is about to be appended.
-    pub fn change(&mut self, workspace: &Name, slot: Slot) {
+    pub fn begin_change(&mut self, workspace: &Name, slot: Slot) {
         self.changing.insert((workspace.clone(), slot));
     }
 
     /// Notes that the splits and merges within a slot are read back or rejected for sure.
-    pub fn settled(&mut self, workspace: &Name, slot: Slot) {
+    pub fn end_change(&mut self, workspace: &Name, slot: Slot) {
         self.changing.remove(&(workspace.clone(), slot));
     }
 
@@ -160,7 +166,7 @@
 
     /// Notes that this process's own split is read back: it serves the hot key as it served the slot.
     ///
-    /// To be called before [`Self::settled`]. Without it the key could not be
+    /// To be called before [`Self::end_change`]. Without it the key could not be
     /// served until the slot's former owner had released the key as well.
     pub fn inherit(&mut self, workspace: &Name, key: UnitId) {
         if self.serving(workspace, UnitId::slot(key.slot)) {
--- a/acaciaring_core/tests/attempt.rs
+++ b/acaciaring_core/tests/attempt.rs
@@ -47,7 +47,8 @@
 /// could arrive later and run after it was given to another member.
 #[test]
 fn probe_that_cannot_be_remembered_is_answered_as_arrived() {
-    let settings = AttemptSettings { attempts: 2, refusals: 1, ..AttemptSettings::default() };
+    let settings =
+        AttemptSettings { max_attempts: 2, max_refusals: 1, ..AttemptSettings::default() };
     let mut attempts = Attempts::new(settings);
     assert_eq!(attempts.arrive(at(0), 1), Arrival::Run);
     assert_eq!(attempts.arrive(at(0), 2), Arrival::Run);
@@ -59,7 +60,7 @@
 
 #[test]
 fn answers_give_way_to_newer_ones_but_their_attempts_stay_known() {
-    let settings = AttemptSettings { bytes: 3000, ..AttemptSettings::default() };
+    let settings = AttemptSettings { max_bytes: 3000, ..AttemptSettings::default() };
     let mut attempts = Attempts::new(settings);
     for attempt in 1..=3 {
         attempts.arrive(at(0), attempt);
@@ -125,8 +126,13 @@
 
     #[test]
     fn attempts_run_at_most_once(steps in prop::collection::vec(step(), 1..80)) {
-        let settings =
-            AttemptSettings { memory: MEMORY, attempts: 4, refusals: 1, bytes: 2000, ..AttemptSettings::default() };
+        let settings = AttemptSettings {
+            retention: MEMORY,
+            max_attempts: 4,
+            max_refusals: 1,
+            max_bytes: 2000,
+            ..AttemptSettings::default()
+        };
         let mut attempts = Attempts::new(settings);
         let mut model = Model::default();
         let mut now = Time::ZERO;
--- a/acaciaring_core/tests/holds.rs
+++ b/acaciaring_core/tests/holds.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use acaciaring_core::holds::{Epoch, Freed, Granted, Held, Holds, Report, Start, Wanted};
+use acaciaring_core::holds::{
+    Epoch, Freed, Granted, Held, Holds, Incarnation, ReportOutcome, Wanted,
+};
 use acaciaring_core::{Time, Token, UnitId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -16,11 +18,11 @@
     Time::from_millis(10_000 + millis)
 }
 
-fn start(instance: &str) -> Start {
-    Start { instance: instance.into(), born: 0 }
+fn start(instance: &str) -> Incarnation {
+    Incarnation { instance: instance.into(), generation: 0 }
 }
 
-fn first() -> Start {
+fn first() -> Incarnation {
     start("i-1")
 }
 
@@ -52,7 +54,7 @@
     wanted: &[Wanted],
 ) -> Vec<Granted> {
     let report = holds.report(now, &first(), sequence, held.to_vec(), freed.to_vec());
-    assert_eq!(report, Report::Newest);
+    assert_eq!(report, ReportOutcome::Current);
     holds.grant(now, now + HOLD * 2, wanted, ROOM).expect("granted").0
 }
 
@@ -123,9 +125,12 @@
 fn the_first_report_alone_proves_nothing() {
     let mut holds = Holds::new(at(0), HOLD);
     assert!(may_hold(&holds, at(0), 1), "nothing is known yet");
-    assert_eq!(holds.report(at(10), &first(), 2, Vec::new(), Vec::new()), Report::Newest);
+    assert_eq!(holds.report(at(10), &first(), 2, Vec::new(), Vec::new()), ReportOutcome::Current);
     assert!(may_hold(&holds, at(20), 1));
-    assert_eq!(holds.report(at(700), &first(), 90, vec![held(1, 7)], Vec::new()), Report::Newest);
+    assert_eq!(
+        holds.report(at(700), &first(), 90, vec![held(1, 7)], Vec::new()),
+        ReportOutcome::Current
+    );
     assert!(may_hold(&holds, at(710), 1), "the upstream still holds it");
     assert!(!may_hold(&holds, at(710), 2), "two reports agree");
 }
@@ -136,19 +141,28 @@
 fn a_report_of_another_instance_is_believed_when_the_present_one_is_silent() {
     let mut holds = steady();
     let other = start("i-0");
-    assert_eq!(holds.report(at(2000), &other, 50, Vec::new(), Vec::new()), Report::Late);
+    assert_eq!(holds.report(at(2000), &other, 50, Vec::new(), Vec::new()), ReportOutcome::Stale);
     assert!(may_hold(&holds, at(2000), 1));
     beat(&mut holds, at(2700), 4, &[held(1, 7)], &[], &[wanted(1, 7)]);
-    assert_eq!(holds.report(at(2800), &other, 51, Vec::new(), Vec::new()), Report::Late);
-    assert_eq!(holds.report(at(3700), &other, 52, Vec::new(), Vec::new()), Report::Another);
+    assert_eq!(holds.report(at(2800), &other, 51, Vec::new(), Vec::new()), ReportOutcome::Stale);
+    assert_eq!(
+        holds.report(at(3700), &other, 52, Vec::new(), Vec::new()),
+        ReportOutcome::NewIncarnation
+    );
     assert!(!may_hold(&holds, at(3700), 1), "the former start has ended");
-    assert_eq!(holds.report(at(3800), &first(), 99, vec![held(1, 7)], Vec::new()), Report::Late);
+    assert_eq!(
+        holds.report(at(3800), &first(), 99, vec![held(1, 7)], Vec::new()),
+        ReportOutcome::Stale
+    );
 }
 
 #[test]
 fn a_report_that_is_older_than_the_last_one_changes_nothing() {
     let mut holds = steady();
-    assert_eq!(holds.report(at(1900), &first(), 2, Vec::new(), vec![freed(1)]), Report::Late);
+    assert_eq!(
+        holds.report(at(1900), &first(), 2, Vec::new(), vec![freed(1)]),
+        ReportOutcome::Stale
+    );
     assert!(may_hold(&holds, at(1900), 1));
 }
 
--- a/acaciaring_core/tests/lease.rs
+++ b/acaciaring_core/tests/lease.rs
@@ -39,7 +39,7 @@
 fn renew(holder: &mut Holder, now: Time, from: &[MemberId], version: u64) {
     let renewals = holder.due(now);
     for id in from {
-        holder.granted(now, *id, seq_to(&renewals, *id), true, version);
+        holder.handle_grant(now, *id, seq_to(&renewals, *id), true, version);
     }
 }
 
@@ -83,7 +83,7 @@
 fn late_grant_counts_from_its_sending() {
     let mut holder = holder(&[A]);
     let seq = seq_to(&holder.due(ms(0)), A);
-    holder.granted(ms(1200), A, seq, true, 10);
+    holder.handle_grant(ms(1200), A, seq, true, 10);
     assert!(holder.holds(ms(1299)));
     assert!(!holder.holds(ms(1300)));
 }
@@ -97,8 +97,8 @@
     renew(&mut holder, ms(0), &[A, B], 10);
     let renewals = holder.due(ms(400));
     assert!(!holder.holds(ms(60_000)));
-    holder.granted(ms(60_000), A, seq_to(&renewals, A), true, 10);
-    holder.granted(ms(60_000), B, seq_to(&renewals, B), true, 10);
+    holder.handle_grant(ms(60_000), A, seq_to(&renewals, A), true, 10);
+    holder.handle_grant(ms(60_000), B, seq_to(&renewals, B), true, 10);
     assert!(!holder.holds(ms(60_000)));
 }
 
@@ -107,10 +107,10 @@
 #[test]
 fn unanswered_renewal_is_sent_again_on_a_new_connection() {
     let mut holder = holder(&[A]);
-    assert!(!holder.due(ms(0))[0].fresh);
+    assert!(!holder.due(ms(0))[0].reconnect);
     assert_eq!(holder.next_due(ms(0)), ms(150));
     assert!(holder.due(ms(149)).is_empty());
-    assert!(holder.due(ms(150))[0].fresh);
+    assert!(holder.due(ms(150))[0].reconnect);
     assert_eq!(holder.next_due(ms(150)), ms(450));
     holder.due(ms(450));
     assert_eq!(holder.next_due(ms(450)), ms(850), "not more often than the interval");
@@ -136,7 +136,7 @@
     let renewals = holder.due(ms(1300));
     assert_eq!(renewals.len(), 4);
     for id in [A, B] {
-        holder.granted(ms(1300), id, seq_to(&renewals, id), true, 20);
+        holder.handle_grant(ms(1300), id, seq_to(&renewals, id), true, 20);
     }
     assert_eq!(holder.until(), Some(ms(2100)), "the old set is dropped");
 }
@@ -177,9 +177,9 @@
 fn majority_of_refusals_ends_the_identity() {
     let mut holder = holder(&[A, B, C]);
     let renewals = holder.due(ms(0));
-    holder.granted(ms(1), A, seq_to(&renewals, A), false, 10);
+    holder.handle_grant(ms(1), A, seq_to(&renewals, A), false, 10);
     assert!(!holder.refused());
-    holder.granted(ms(1), B, seq_to(&renewals, B), false, 10);
+    holder.handle_grant(ms(1), B, seq_to(&renewals, B), false, 10);
     assert!(holder.refused());
 }
 
@@ -215,7 +215,7 @@
     let mut lessor = lessor(A);
     let seq = seq_to(&holder.due(ms(0)), A);
     let grant = lessor.renew(ms(0), H, 10, false);
-    holder.granted(ms(0), A, seq, grant.granted, grant.version);
+    holder.handle_grant(ms(0), A, seq, grant.granted, grant.version);
     let usable = u64::try_from(settings.usable().as_millis()).expect("a short time");
     let term = u64::try_from(settings.term.as_millis()).expect("a short time");
     // Where the lessor's clock shows `term * x`, the holder's shows `usable * x`.
@@ -230,7 +230,7 @@
 #[test]
 fn holder_that_never_asked_gets_a_full_term() {
     let mut lessor = lessor(A);
-    lessor.learn(ms(1000), H, 10);
+    lessor.join_set(ms(1000), H, 10);
     assert_eq!(lessor.vote(ms(2399), H, true), None);
     assert!(lessor.vote(ms(2400), H, true).is_some());
 }
@@ -240,10 +240,10 @@
 #[test]
 fn vote_is_repeated_with_a_later_version() {
     let mut lessor = lessor(A);
-    lessor.learn(ms(0), H, 10);
+    lessor.join_set(ms(0), H, 10);
     lessor.vote(ms(1400), H, true);
     assert!(lessor.expired(ms(1400)).is_empty());
-    lessor.learn(ms(1500), H, 20);
+    lessor.join_set(ms(1500), H, 20);
     assert_eq!(lessor.expired(ms(1500)), [H]);
     assert_eq!(lessor.vote(ms(1500), H, true), Some(Vote { member: H, version: 20 }));
 }
@@ -263,16 +263,16 @@
 #[test]
 fn a_leaving_lessor_stays_while_its_grants_run() {
     let mut lessor = lessor(B);
-    assert!(!lessor.vouches(ms(0), |_| true), "it has granted nothing");
+    assert!(!lessor.has_active_grant(ms(0), |_| true), "it has granted nothing");
     lessor.renew(ms(0), A, 5, false);
     lessor.renew(ms(200), C, 6, false);
     let term = settings().term;
-    assert!(lessor.vouches(ms(0) + term, |_| true));
-    assert!(!lessor.vouches(ms(0) + term, |id| id == A), "the grant to A has run out");
-    assert!(!lessor.vouches(ms(0), |id| id != A && id != C), "neither holder stays");
-    lessor.forget(C);
-    assert!(lessor.vouches(ms(200), |_| true), "the grant to A runs");
-    assert!(!lessor.vouches(ms(0) + term, |_| true), "C is dead");
+    assert!(lessor.has_active_grant(ms(0) + term, |_| true));
+    assert!(!lessor.has_active_grant(ms(0) + term, |id| id == A), "the grant to A has run out");
+    assert!(!lessor.has_active_grant(ms(0), |id| id != A && id != C), "neither holder stays");
+    lessor.mark_dead(C);
+    assert!(lessor.has_active_grant(ms(200), |_| true), "the grant to A runs");
+    assert!(!lessor.has_active_grant(ms(0) + term, |_| true), "C is dead");
 }
 
 // An evicted holder lags behind the log and asks on. A lessor that has folded
@@ -280,9 +280,9 @@
 #[test]
 fn dead_holder_is_refused() {
     let mut lessor = lessor(A);
-    lessor.learn(ms(0), H, 10);
+    lessor.join_set(ms(0), H, 10);
     lessor.vote(ms(1400), H, true);
-    lessor.forget(H);
+    lessor.mark_dead(H);
     assert!(!lessor.renew(ms(1500), H, 10, false).granted);
     assert_eq!(lessor.votes().count(), 0);
 }
@@ -307,13 +307,13 @@
     let settings = settings();
     let mut tally = Tally::new(settings);
     tally.vote(A, H, 10);
-    tally.died(ms(500), B);
+    tally.record_death(ms(500), B);
     let read = ms(500);
     let subject = member(10, &[A, B, C]);
-    assert!(settings.lapse() > settings.abandon + settings.term + settings.margin);
-    let early = read + settings.lapse() - Duration::from_millis(1);
+    assert!(settings.dead_vote_delay() > settings.abandon + settings.term + settings.margin);
+    let early = read + settings.dead_vote_delay() - Duration::from_millis(1);
     assert!(!tally.expired(early, &subject));
-    let proof = tally.proof(read + settings.lapse(), &subject).expect("the wait is over");
+    let proof = tally.proof(read + settings.dead_vote_delay(), &subject).expect("the wait is over");
     assert_eq!((proof.votes, proof.lapsed), (vec![A], vec![B]));
 }
 
@@ -348,13 +348,13 @@
     let mut holder = holder(&[A, B, C]);
     renew(&mut holder, ms(100), &[A, B, C], 10);
     let after = ms(100) + settings().term;
-    assert!(!holder.orphaned(ms(200), |id| id == C), "the lease runs");
-    assert!(!holder.orphaned(after, |id| id != A), "a majority lives");
-    assert!(holder.orphaned(after, |id| id == C));
+    assert!(!holder.quorum_lost(ms(200), |id| id == C), "the lease runs");
+    assert!(!holder.quorum_lost(after, |id| id != A), "a majority lives");
+    assert!(holder.quorum_lost(after, |id| id == C));
     // A later set helps nothing: the old one cannot be superseded.
     holder.install(20, &[B, C, D], |id| id == C);
-    assert!(holder.orphaned(after, |id| id == C || id == D));
-    assert!(!Holder::new(H, ms(0), settings()).orphaned(after, |_| false));
+    assert!(holder.quorum_lost(after, |id| id == C || id == D));
+    assert!(!Holder::new(H, ms(0), settings()).quorum_lost(after, |_| false));
 }
 
 // An upstream was told to hold a unit until the lease ends, three of its lessors' grants long. New
@@ -368,12 +368,12 @@
     assert!(holder.ready(ms(110), &[C, D]), "as long as the present ones");
     let renewals = holder.due(ms(500));
     for lessor in [A, B] {
-        holder.granted(ms(510), lessor, seq_to(&renewals, lessor), true, 10);
+        holder.handle_grant(ms(510), lessor, seq_to(&renewals, lessor), true, 10);
     }
     let until = holder.until().expect("a lease");
     assert!(!holder.ready(ms(520), &[C, D]), "their grants end before {until:?}");
     for lessor in [C, D] {
-        holder.granted(ms(530), lessor, seq_to(&renewals, lessor), true, 10);
+        holder.handle_grant(ms(530), lessor, seq_to(&renewals, lessor), true, 10);
     }
     assert!(holder.ready(ms(540), &[C, D]));
     holder.propose(&[C, D]);
@@ -388,7 +388,7 @@
     for round in 0..5 {
         renew(&mut holder, ms(100 + round * 1000), &[C], 10);
     }
-    assert_eq!(holder.silent(), [A, B]);
+    assert_eq!(holder.unresponsive(), [A, B]);
 }
 
 /// Time for which a lessor without processor keeps its answers, twice the pause before a renewal is repeated.
@@ -423,13 +423,13 @@
         for renewal in holder.due(ms(now)) {
             asked += 1;
             answers.push((now + SLOW, renewal.seq));
-            if renewal.fresh {
+            if renewal.reconnect {
                 fresh.push(now);
             }
         }
         answers.retain(|(at, seq)| {
             if *at == now {
-                holder.granted(ms(now), A, *seq, true, 10);
+                holder.handle_grant(ms(now), A, *seq, true, 10);
             }
             *at > now
         });
@@ -445,9 +445,9 @@
 fn a_slow_lessor_that_falls_silent_is_asked_on_a_new_connection_in_time() {
     let mut holder = patient_holder();
     let asked = holder.due(ms(0));
-    holder.granted(ms(SLOW), A, seq_to(&asked, A), true, 10);
+    holder.handle_grant(ms(SLOW), A, seq_to(&asked, A), true, 10);
     let until = holder.until().expect("a lease");
     let mut times = (SLOW..).map(ms).take_while(|now| *now < until);
-    let fresh = times.find(|now| holder.due(*now).iter().any(|renewal| renewal.fresh));
+    let fresh = times.find(|now| holder.due(*now).iter().any(|renewal| renewal.reconnect));
     assert!(fresh.is_some(), "none before {until:?}");
 }
--- a/acaciaring_core/tests/lease_promise.rs
+++ b/acaciaring_core/tests/lease_promise.rs
@@ -54,7 +54,7 @@
                     for renewal in holder.due(now) {
                         let at = usize::try_from(renewal.lessor.0 - 1).expect("a small number");
                         if grants[at] {
-                            holder.granted(now, renewal.lessor, renewal.seq, true, version);
+                            holder.handle_grant(now, renewal.lessor, renewal.seq, true, version);
                         }
                     }
                 }
--- a/acaciaring_core/tests/lease_schedule.rs
+++ b/acaciaring_core/tests/lease_schedule.rs
@@ -96,7 +96,7 @@
         let mut lessors: Vec<Lessor> =
             (0..LESSORS).map(|index| Lessor::new(id(index), settings)).collect();
         for lessor in lessors.iter_mut().take(3) {
-            lessor.learn(Time::ZERO, HOLDER, FIRST);
+            lessor.join_set(Time::ZERO, HOLDER, FIRST);
         }
         Self {
             real: 0,
@@ -131,7 +131,7 @@
             Event::Answer { pick } => {
                 let Some(index) = pick.checked_rem(self.answers.len()) else { return };
                 let (lessor, seq, granted, version) = self.answers.swap_remove(index);
-                self.holder.granted(now, id(lessor), seq, granted, version);
+                self.holder.handle_grant(now, id(lessor), seq, granted, version);
             }
             Event::Vote { lessor } => {
                 let at = self.clock(*lessor);
@@ -142,8 +142,8 @@
             Event::Fold { lessor } if self.stage >= 2 => {
                 let at = self.clock(*lessor);
                 match lessor {
-                    0 | 1 => self.lessors[*lessor].unlearn(HOLDER, SECOND),
-                    _ => self.lessors[*lessor].learn(at, HOLDER, SECOND),
+                    0 | 1 => self.lessors[*lessor].leave_set(HOLDER, SECOND),
+                    _ => self.lessors[*lessor].join_set(at, HOLDER, SECOND),
                 }
             }
             Event::Fold { .. } => {}
--- a/acaciaring_core/tests/orders.rs
+++ b/acaciaring_core/tests/orders.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use acaciaring_core::holds::{Report, Start, Wanted};
-use acaciaring_core::orders::{Action, Answer, Issued, Orders, REACH};
+use acaciaring_core::holds::{Incarnation, ReportOutcome, Wanted};
+use acaciaring_core::orders::{Action, Answer, Issued, ORDER_TIMEOUT, Orders};
 use acaciaring_core::{Name, Time, Token, UnitId};
 
 const HOLD: Duration = Duration::from_secs(3);
@@ -15,8 +15,8 @@
     Time::from_millis(10_000 + millis)
 }
 
-fn start(born: u64) -> Start {
-    Start { instance: "i-1".into(), born }
+fn start(born: u64) -> Incarnation {
+    Incarnation { instance: "i-1".into(), generation: born }
 }
 
 fn wanted(slot: u32, token: u64) -> Wanted {
@@ -40,7 +40,7 @@
 /// Answers each order after a millisecond.
 fn answer(orders: &mut Orders, now: Time, issued: &[Issued], answer: &Answer) {
     for issued in issued {
-        orders.settle(now + Duration::from_millis(1), issued.number, answer).expect("under way");
+        orders.complete(now + Duration::from_millis(1), issued.number, answer).expect("under way");
     }
 }
 
@@ -48,7 +48,7 @@
 fn steady() -> Orders {
     let mut orders = Orders::new(at(0), HOLD);
     orders.report(at(0), &start(1), 1);
-    orders.want(&[wanted(1, 7), wanted(2, 7)]);
+    orders.set_wanted(&[wanted(1, 7), wanted(2, 7)]);
     connect(&mut orders, at(4000));
     orders
 }
@@ -58,7 +58,7 @@
     let issued = decide(orders, now);
     answer(orders, now, &issued, &Answer::Unconnected);
     let issued = decide(orders, now);
-    assert!(issued.iter().all(|issued| issued.connects));
+    assert!(issued.iter().all(|issued| issued.may_connect));
     answer(orders, now, &issued, &done());
 }
 
@@ -77,7 +77,7 @@
 #[test]
 fn a_unit_is_served_once_its_grant_is_answered() {
     let mut orders = Orders::new(at(0), HOLD);
-    orders.want(&[wanted(1, 7)]);
+    orders.set_wanted(&[wanted(1, 7)]);
     let issued = decide(&mut orders, at(0));
     assert_eq!(ranges(&issued), [(16, 31)]);
     assert!(!serves(&orders, at(1), 1, 7), "the order is on its way");
@@ -93,7 +93,7 @@
 fn neighbours_under_one_token_are_one_order() {
     let mut orders = Orders::new(at(0), HOLD);
     let units: Vec<Wanted> = (0..50).map(|slot| wanted(slot, 7)).collect();
-    orders.want(&[units, vec![wanted(50, 9), wanted(60, 7)]].concat());
+    orders.set_wanted(&[units, vec![wanted(50, 9), wanted(60, 7)]].concat());
     let issued = decide(&mut orders, at(0));
     assert_eq!(ranges(&issued), [(0, 799), (800, 815), (960, 975)]);
 }
@@ -103,13 +103,13 @@
 #[test]
 fn a_grant_ends_with_the_lease_wherever_it_was_held_up() {
     let mut orders = Orders::new(at(0), HOLD);
-    orders.want(&[wanted(1, 7)]);
+    orders.set_wanted(&[wanted(1, 7)]);
     let lease = at(2000);
     let issued = orders.decide(at(0), lease, |_, _| true);
     let Action::Grant { hold, .. } = issued[0].order.action else { panic!("a grant") };
-    assert!(issued[0].reach <= at(0) + REACH);
-    assert!(issued[0].reach + hold.mul_f64(1.02) <= lease);
-    orders.settle(at(5), issued[0].number, &Answer::Unsent);
+    assert!(issued[0].deadline <= at(0) + ORDER_TIMEOUT);
+    assert!(issued[0].deadline + hold.mul_f64(1.02) <= lease);
+    orders.complete(at(5), issued[0].number, &Answer::Unsent);
     assert!(orders.decide(at(1990), lease, |_, _| true).is_empty(), "too little is left");
 }
 
@@ -124,8 +124,8 @@
     for _ in 0..2 {
         let issued = decide(&mut orders, now);
         assert_eq!(ranges(&issued), [(16, 47)]);
-        now = now + REACH;
-        orders.settle(now, issued[0].number, &Answer::Unknown).expect("under way");
+        now = now + ORDER_TIMEOUT;
+        orders.complete(now, issued[0].number, &Answer::Unknown).expect("under way");
         assert!(serves(&orders, now, 1, 7));
     }
     let issued = decide(&mut orders, now);
@@ -141,9 +141,9 @@
     let mut orders = steady();
     let renewal = at(4000) + HOLD / 2;
     let issued = decide(&mut orders, renewal);
-    let lost = renewal + REACH;
-    orders.settle(lost, issued[0].number, &Answer::Unknown);
-    orders.want(&[]);
+    let lost = renewal + ORDER_TIMEOUT;
+    orders.complete(lost, issued[0].number, &Answer::Unknown);
+    orders.set_wanted(&[]);
     let issued = decide(&mut orders, lost);
     assert_eq!(issued[0].order.action, Action::Release);
     answer(&mut orders, lost, &issued, &done());
@@ -155,7 +155,7 @@
 #[test]
 fn a_release_that_is_answered_ends_a_hold_and_brings_the_handover() {
     let mut orders = steady();
-    orders.want(&[wanted(2, 7)]);
+    orders.set_wanted(&[wanted(2, 7)]);
     let issued = decide(&mut orders, at(4100));
     assert_eq!(ranges(&issued), [(16, 31)]);
     assert!(may_hold(&orders, at(4101), 1), "until it is answered");
@@ -171,7 +171,7 @@
 #[test]
 fn a_long_request_holds_up_its_own_unit_only() {
     let mut orders = steady();
-    orders.want(&[]);
+    orders.set_wanted(&[]);
     let busy = |first: u32, _: u32| first != WIDTH;
     let issued = orders.decide(at(4100), at(9000), busy);
     assert_eq!(ranges(&issued), [(32, 47)]);
@@ -183,7 +183,7 @@
 #[test]
 fn the_first_grant_to_a_new_holder_bears_the_handover() {
     let mut orders = Orders::new(at(0), HOLD);
-    orders.want(&[with_handover(1, 7, "h"), wanted(2, 7)]);
+    orders.set_wanted(&[with_handover(1, 7, "h"), wanted(2, 7)]);
     let issued = decide(&mut orders, at(0));
     let handovers: Vec<Name> = issued
         .iter()
@@ -203,14 +203,14 @@
 #[test]
 fn a_key_with_a_higher_token_is_not_ordered_again() {
     let mut orders = Orders::new(at(0), HOLD);
-    orders.want(&[wanted(1, 7), wanted(2, 7)]);
+    orders.set_wanted(&[wanted(1, 7), wanted(2, 7)]);
     let issued = decide(&mut orders, at(0));
     assert_eq!(ranges(&issued), [(16, 47)]);
     answer(&mut orders, at(0), &issued, &Answer::Superseded);
     let issued = decide(&mut orders, at(2));
     assert_eq!(ranges(&issued), [(16, 31), (32, 47)], "each by itself");
-    orders.settle(at(3), issued[0].number, &Answer::Superseded);
-    orders.settle(at(3), issued[1].number, &done());
+    orders.complete(at(3), issued[0].number, &Answer::Superseded);
+    orders.complete(at(3), issued[1].number, &done());
     assert!(serves(&orders, at(4), 2, 7));
     assert!(orders.superseded(&wanted(1, 0).keys) && !orders.superseded(&wanted(2, 0).keys));
     for millis in (10..9_000).step_by(50) {
@@ -218,7 +218,7 @@
         assert!(issued.iter().all(|issued| issued.order.first != 16), "at {millis} ms");
         answer(&mut orders, at(millis), &issued, &done());
     }
-    orders.want(&[wanted(1, 9), wanted(2, 7)]);
+    orders.set_wanted(&[wanted(1, 9), wanted(2, 7)]);
     assert_eq!(ranges(&decide(&mut orders, at(9_000))), [(16, 31)], "under the next token");
 }
 
@@ -226,7 +226,7 @@
 #[test]
 fn an_order_that_is_rejected_rests() {
     let mut orders = Orders::new(at(0), HOLD);
-    orders.want(&[wanted(1, 7)]);
+    orders.set_wanted(&[wanted(1, 7)]);
     let issued = decide(&mut orders, at(0));
     answer(&mut orders, at(0), &issued, &Answer::Rejected);
     assert!(decide(&mut orders, at(500)).is_empty());
@@ -239,12 +239,12 @@
 fn another_start_under_the_same_name_gets_its_keys_under_higher_tokens() {
     let mut orders = steady();
     let under_way = decide(&mut orders, at(4000) + HOLD / 2).remove(0);
-    assert_eq!(orders.report(at(6000), &start(2), 1), Report::Another);
+    assert_eq!(orders.report(at(6000), &start(2), 1), ReportOutcome::NewIncarnation);
     assert!(!serves(&orders, at(6000), 1, 7));
-    assert_eq!(orders.report(at(6010), &start(1), 99), Report::Late);
-    assert_eq!(orders.start(), Some(&start(2)));
+    assert_eq!(orders.report(at(6010), &start(1), 99), ReportOutcome::Stale);
+    assert_eq!(orders.incarnation(), Some(&start(2)));
     // An order was under way. What the life before has answered says nothing of this one.
-    orders.settle(at(6100), under_way.number, &done());
+    orders.complete(at(6100), under_way.number, &done());
     assert!(!serves(&orders, at(6101), 1, 7));
     let issued = decide(&mut orders, at(6200));
     assert_eq!(ranges(&issued), [(16, 47)]);
@@ -258,10 +258,10 @@
     let mut orders = steady();
     let now = at(4000) + HOLD / 2;
     let issued = decide(&mut orders, now);
-    assert!(!issued[0].connects, "a kept connection leads to the same start");
+    assert!(!issued[0].may_connect, "a kept connection leads to the same start");
     answer(&mut orders, now, &issued, &Answer::Unconnected);
     let again = decide(&mut orders, now);
-    assert!(again[0].connects);
+    assert!(again[0].may_connect);
     assert!(again[0].order.token > issued[0].order.token);
     let next = Token(9);
     assert!(again[0].order.token.0 < next.0 << 20, "below the next assignment's");
@@ -272,7 +272,7 @@
 #[test]
 fn a_unit_that_the_upstream_denies_is_granted_again() {
     let mut orders = steady();
-    orders.deny(&wanted(1, 0).keys);
+    orders.mark_refused(&wanted(1, 0).keys);
     assert!(!serves(&orders, at(4200), 1, 7));
     assert!(serves(&orders, at(4200), 2, 7));
     let issued = decide(&mut orders, at(4200));
@@ -296,13 +296,13 @@
 fn a_key_that_is_split_out_is_released_by_itself() {
     let mut orders = steady();
     let rest = Wanted { keys: vec![16..=19, 21..=31], ..wanted(1, 7) };
-    orders.want(&[rest.clone(), wanted(2, 7)]);
+    orders.set_wanted(&[rest.clone(), wanted(2, 7)]);
     assert!(orders.serves(at(4100), &rest.keys, Token(7)));
     let issued = decide(&mut orders, at(4100));
     assert_eq!(ranges(&issued), [(20, 20)]);
     assert_eq!(issued[0].order.action, Action::Release);
     answer(&mut orders, at(4100), &issued, &done());
-    orders.want(&[wanted(1, 7), wanted(2, 7)]);
+    orders.set_wanted(&[wanted(1, 7), wanted(2, 7)]);
     assert!(!serves(&orders, at(4200), 1, 7), "until the key is granted again");
     let issued = decide(&mut orders, at(4200));
     answer(&mut orders, at(4200), &issued, &done());
@@ -314,7 +314,7 @@
 fn grants_without_answer_do_not_hold_up_releases() {
     let mut orders = Orders::new(at(0), HOLD);
     let apart: Vec<Wanted> = (0..40).map(|n| wanted(n * 2, 7)).collect();
-    orders.want(&apart);
+    orders.set_wanted(&apart);
     let mut granted = 0;
     while granted < 40 {
         let issued = decide(&mut orders, at(10));
@@ -323,7 +323,7 @@
     }
     let hanging = decide(&mut orders, at(10) + HOLD / 2);
     assert!(hanging.len() < apart.len(), "only so many at once");
-    orders.want(&apart[..20]);
+    orders.set_wanted(&apart[..20]);
     let issued = decide(&mut orders, at(20) + HOLD / 2);
     assert!(issued.iter().any(|issued| issued.order.action == Action::Release));
 }
@@ -336,8 +336,8 @@
     let now = at(4000) + HOLD / 2;
     connect(&mut orders, now);
     let reported = now + Duration::from_millis(50);
-    assert_eq!(orders.report(reported, &start(2), 1), Report::Another);
-    orders.want(&[]);
+    assert_eq!(orders.report(reported, &start(2), 1), ReportOutcome::NewIncarnation);
+    orders.set_wanted(&[]);
     assert!(may_hold(&orders, reported, 1));
     let issued = decide(&mut orders, reported);
     assert_eq!(issued[0].order.action, Action::Release);
--- a/acaciaring_core/tests/orders_schedule.rs
+++ b/acaciaring_core/tests/orders_schedule.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use acaciaring_core::holds::{Start, Wanted};
-use acaciaring_core::orders::{Action, Answer, Issued, Orders, REACH};
+use acaciaring_core::holds::{Incarnation, Wanted};
+use acaciaring_core::orders::{Action, Answer, Issued, ORDER_TIMEOUT, Orders};
 use acaciaring_core::{Name, Time, Token, UnitId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -130,31 +130,31 @@
                 next += 2;
                 let units = (0..).zip(&tokens).filter(|(_, token)| **token > 0);
                 let wanted: Vec<Wanted> = units.map(|(slot, token)| wanted(slot, *token)).collect();
-                orders.want(&wanted);
+                orders.set_wanted(&wanted);
             }
             Event::Orders(fates) => {
                 let issued = orders.decide(now, now + HOLD, |_, _| true);
                 for (issued, fate) in issued.into_iter().zip(fates.iter().cycle()) {
-                    if !connected && !issued.connects {
-                        orders.settle(now, issued.number, &Answer::Unconnected);
+                    if !connected && !issued.may_connect {
+                        orders.complete(now, issued.number, &Answer::Unconnected);
                         continue;
                     }
                     connected = true;
                     match fate {
                         Fate::Answered => {
                             let answer = upstream.carry(now, &issued, now);
-                            orders.settle(now, issued.number, &answer);
+                            orders.complete(now, issued.number, &answer);
                         }
                         Fate::Muted => {
                             upstream.carry(now, &issued, now);
-                            silent.push((issued.reach, issued));
+                            silent.push((issued.deadline, issued));
                         }
                         Fate::Late(millis) => {
                             let when = now + Duration::from_millis(*millis);
                             late.push((when, issued.clone(), now));
-                            silent.push((issued.reach, issued));
+                            silent.push((issued.deadline, issued));
                         }
-                        Fate::Lost => silent.push((issued.reach, issued)),
+                        Fate::Lost => silent.push((issued.deadline, issued)),
                     }
                 }
             }
@@ -175,7 +175,7 @@
             }
         }
         for (_, issued) in silent.extract_if(.., |(reach, _)| *reach <= now) {
-            orders.settle(now, issued.number, &Answer::Unknown);
+            orders.complete(now, issued.number, &Answer::Unknown);
         }
         for (_, issued, arrived) in late.extract_if(.., |(when, ..)| *when <= now) {
             upstream.carry(now, &issued, arrived);
@@ -188,8 +188,8 @@
     }
 }
 
-fn start(born: u64) -> Start {
-    Start { instance: "i-1".into(), born }
+fn start(born: u64) -> Incarnation {
+    Incarnation { instance: "i-1".into(), generation: born }
 }
 
 fn wanted(slot: u32, token: u64) -> Wanted {
@@ -209,7 +209,7 @@
     /// come and go. What a member believes to be free is free, and each life gets higher tokens.
     #[test]
     fn nothing_is_held_that_is_believed_free(events in prop::collection::vec(event(), 1..120)) {
-        assert!(REACH < HOLD);
+        assert!(ORDER_TIMEOUT < HOLD);
         play(events);
     }
 }
--- a/acaciaring_core/tests/ownership_schedule.rs
+++ b/acaciaring_core/tests/ownership_schedule.rs
@@ -107,7 +107,7 @@
     let mut holder = Holder::new(me, Time::ZERO, LeaseSettings::default());
     holder.install(me.0, &[MemberId(1)], |_| true);
     for renewal in holder.due(Time::ZERO) {
-        holder.granted(Time::ZERO, renewal.lessor, renewal.seq, true, renewal.version);
+        holder.handle_grant(Time::ZERO, renewal.lessor, renewal.seq, true, renewal.version);
     }
     holder
 }
@@ -291,10 +291,10 @@
         if let Some(identity) = &mut process.identity {
             if !applied && matches!(purpose, Some(Purpose::Handoff | Purpose::Leave)) {
                 for (unit, version) in identity.renounced.drain(..) {
-                    identity.rights.restore(&workspace, unit, version);
+                    identity.rights.cancel_renounce(&workspace, unit, version);
                 }
                 if purpose == Some(Purpose::Leave) {
-                    identity.rights.stay();
+                    identity.rights.cancel_leave();
                 }
             }
             identity.rights.prune(identity.me, state);
@@ -474,7 +474,7 @@
         for vm in &mut self.vms {
             let identity = vm.process.as_mut().and_then(|process| process.identity.as_mut());
             if let Some(identity) = identity.filter(|identity| identity.me == to) {
-                identity.rights.released(from, &BOOKS.into(), unit, version);
+                identity.rights.record_release(from, &BOOKS.into(), unit, version);
             }
         }
     }
--- a/acaciaring_core/tests/rights.rs
+++ b/acaciaring_core/tests/rights.rs
@@ -22,7 +22,7 @@
         let mut holder = Holder::new(me, Time::ZERO, LeaseSettings::default());
         holder.install(me.0, &[MemberId(9)], |_| true);
         let seq = holder.due(Time::ZERO)[0].seq;
-        holder.granted(Time::ZERO, MemberId(9), seq, true, me.0);
+        holder.handle_grant(Time::ZERO, MemberId(9), seq, true, me.0);
         Self { holder, rights: Rights::new(), workspace: "contracts".into() }
     }
 
@@ -40,7 +40,7 @@
     }
 
     fn receive(&mut self, from: MemberId, version: u64) {
-        self.rights.released(from, &self.workspace, UNIT, version);
+        self.rights.record_release(from, &self.workspace, UNIT, version);
     }
 }
 
@@ -110,7 +110,7 @@
     let later = assignment(P, S, None, 10, 15);
     standby.receive(P, 15);
     assert!(!standby.serves(&later, &[]));
-    standby.rights.stay();
+    standby.rights.cancel_leave();
     assert!(standby.serves(&later, &[]), "the record was rejected and it stays");
 }
 
@@ -147,7 +147,7 @@
     let first = assignment(P, S, None, 10, 10);
     standby.rights.renounce(&standby.workspace.clone(), UNIT, 10);
     assert!(!standby.serves(&first, &[P]));
-    standby.rights.restore(&standby.workspace.clone(), UNIT, 10);
+    standby.rights.cancel_renounce(&standby.workspace.clone(), UNIT, 10);
     assert!(standby.serves(&first, &[P]));
 }
 
@@ -158,10 +158,10 @@
     let mut owner = Process::new(P);
     let first = assignment(P, S, None, 10, 10);
     assert!(owner.serves(&first, &[]));
-    owner.rights.change(&owner.workspace.clone(), UNIT.slot);
+    owner.rights.begin_change(&owner.workspace.clone(), UNIT.slot);
     assert!(!owner.release(&first));
     assert!(owner.serves(&first, &[]));
-    owner.rights.settled(&owner.workspace.clone(), UNIT.slot);
+    owner.rights.end_change(&owner.workspace.clone(), UNIT.slot);
     assert!(owner.release(&first));
 }
 
--- a/acaciaring_model/src/lease/mod.rs
+++ b/acaciaring_model/src/lease/mod.rs
@@ -115,11 +115,11 @@
         }
         let mut now = state.now;
         if self.mutated(Mutation::DeathCountsAtOnce) {
-            now = now + settings().lapse();
+            now = now + settings().dead_vote_delay();
         }
         for entry in log {
             if let Entry::Death(read) = entry {
-                tally.died(*read, id(0));
+                tally.record_death(*read, id(0));
             }
         }
         tally.proof(now, &member(me, version, ids(lessors))).is_some()
@@ -179,7 +179,7 @@
         let mut lessors: Vec<Lessor> =
             (0..count).map(|lessor| Lessor::new(id(lessor), settings())).collect();
         for lessor in &self.first {
-            lessors[*lessor].learn(Time::ZERO, HOLDERS[0], FIRST);
+            lessors[*lessor].join_set(Time::ZERO, HOLDERS[0], FIRST);
         }
         LeaseState {
             now: Time::ZERO,
@@ -268,9 +268,9 @@
                 let in_set = self.second.contains(&lessor);
                 self.lessors.change(&mut state.lessors[lessor], |lessor| {
                     if in_set {
-                        lessor.learn(now, HOLDERS[0], SECOND);
+                        lessor.join_set(now, HOLDERS[0], SECOND);
                     } else {
-                        lessor.unlearn(HOLDERS[0], SECOND);
+                        lessor.leave_set(HOLDERS[0], SECOND);
                     }
                 });
             }
--- a/acaciaring_model/src/lease/step.rs
+++ b/acaciaring_model/src/lease/step.rs
@@ -45,7 +45,7 @@
                 let renewal = renewals.iter().find(|renewal| renewal.lessor == id(lessor));
                 seq = renewal.map_or(seq, |renewal| renewal.seq);
             }
-            me.granted(now, id(lessor), seq, granted, version);
+            me.handle_grant(now, id(lessor), seq, granted, version);
         });
     }
 
--- a/acaciaring_model/src/orders.rs
+++ b/acaciaring_model/src/orders.rs
@@ -6,8 +6,8 @@
 use std::iter;
 use std::time::Duration;
 
-use acaciaring_core::holds::{Start, Wanted};
-use acaciaring_core::orders::{Action as Deed, Answer, Issued, Orders, REACH};
+use acaciaring_core::holds::{Incarnation, Wanted};
+use acaciaring_core::orders::{Action as Deed, Answer, Issued, ORDER_TIMEOUT, Orders};
 use acaciaring_core::{Name, Time, Token, UnitId};
 
 use crate::mutation::Mutation;
@@ -29,7 +29,7 @@
 /// Bounds of the search.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Ticks of [`REACH`].
+    /// Ticks of [`ORDER_TIMEOUT`].
     pub ticks: u32,
     /// Orders that are carried out late, or whose answers are lost.
     pub lost: u32,
@@ -147,7 +147,7 @@
     }
 
     fn lease(&self, state: &OrdersState) -> Time {
-        let end = self.bounds.lease.map(|ticks| origin() + REACH * ticks);
+        let end = self.bounds.lease.map(|ticks| origin() + ORDER_TIMEOUT * ticks);
         match end.filter(|_| state.owner == 0 && !self.mutated(Mutation::GrantPastLease)) {
             Some(end) => end,
             None => state.now + HOLD * 4,
@@ -165,9 +165,9 @@
         let decided = self.change(state, upstream, |orders| orders.decide(now, lease, |_, _| true));
         for issued in decided {
             let connected = state.servers[upstream].connected;
-            if !connected && !issued.connects && !self.mutated(Mutation::OldTokenReconnects) {
+            if !connected && !issued.may_connect && !self.mutated(Mutation::OldTokenReconnects) {
                 let answer = Answer::Unconnected;
-                self.change(state, upstream, |orders| orders.settle(now, issued.number, &answer));
+                self.change(state, upstream, |orders| orders.complete(now, issued.number, &answer));
                 continue;
             }
             state.servers[upstream].connected = true;
@@ -203,10 +203,10 @@
             Answer::Unknown if self.mutated(Mutation::SilenceIsRefusal) => &Answer::Unsent,
             answer => answer,
         };
-        let sent = issued.reach - REACH;
+        let sent = issued.deadline - ORDER_TIMEOUT;
         let early = self.mutated(Mutation::HoldFromDecision);
         let now = if early { sent } else { state.now };
-        self.change(state, *upstream, |orders| orders.settle(now, issued.number, answer));
+        self.change(state, *upstream, |orders| orders.complete(now, issued.number, answer));
     }
 
     fn start_upstream(state: &mut OrdersState, upstream: usize) {
@@ -230,7 +230,7 @@
         if state.owner == upstream {
             state.token += STEP;
             let wanted = if state.target.is_none() { wanted(state.token) } else { Vec::new() };
-            self.change(state, upstream, |orders| orders.want(&wanted));
+            self.change(state, upstream, |orders| orders.set_wanted(&wanted));
         }
         state.used.1 += 1;
     }
@@ -240,7 +240,7 @@
         state.owner = upstream;
         state.target = None;
         let wanted = wanted(state.token);
-        self.change(state, upstream, |orders| orders.want(&wanted));
+        self.change(state, upstream, |orders| orders.set_wanted(&wanted));
     }
 }
 
@@ -280,15 +280,16 @@
             broken: None,
             used: (0, 0, 0),
         };
-        self.change(&mut state, 0, |orders| orders.want(&wanted(STEP)));
+        self.change(&mut state, 0, |orders| orders.set_wanted(&wanted(STEP)));
         state
     }
 
     fn actions(&self, state: &OrdersState) -> Vec<Action> {
         let Bounds { ticks, lost, starts, moves, lease } = self.bounds;
         let mut actions = Vec::new();
-        let end = origin() + REACH * ticks;
-        if state.now < end && state.flights.iter().all(|flight| state.now < flight.issued.reach) {
+        let end = origin() + ORDER_TIMEOUT * ticks;
+        if state.now < end && state.flights.iter().all(|flight| state.now < flight.issued.deadline)
+        {
             actions.push(Action::Tick);
         }
         let due = |upstream: &usize| self.decides(state, *upstream);
@@ -300,7 +301,7 @@
             if flight.travels && state.used.0 < lost {
                 actions.extend([Action::Mute(number), Action::Defer(number)]);
             }
-            if !flight.travels || state.now >= flight.issued.reach {
+            if !flight.travels || state.now >= flight.issued.deadline {
                 actions.push(Action::GiveUp(number));
             }
         }
@@ -309,7 +310,11 @@
             if state.used.1 < starts && upstream == state.owner {
                 actions.extend([Action::Start(upstream), Action::Process(upstream)]);
             }
-            let known = self.records.get(state.records[upstream]).start().map(|start| start.born);
+            let known = self
+                .records
+                .get(state.records[upstream])
+                .incarnation()
+                .map(|start| start.generation);
             if known != Some(state.servers[upstream].life) {
                 actions.push(Action::Report(upstream));
             }
@@ -322,7 +327,9 @@
         if state.target.is_some() && !held {
             actions.push(Action::Pass);
         }
-        if state.owner == 0 && lease.is_some_and(|ticks| state.now >= origin() + REACH * ticks) {
+        if state.owner == 0
+            && lease.is_some_and(|ticks| state.now >= origin() + ORDER_TIMEOUT * ticks)
+        {
             actions.push(Action::Takeover);
         }
         actions
@@ -331,7 +338,7 @@
     fn next(&self, state: &OrdersState, action: &Action) -> OrdersState {
         let mut next = state.clone();
         match *action {
-            Action::Tick => next.now = next.now + REACH,
+            Action::Tick => next.now = next.now + ORDER_TIMEOUT,
             Action::Decide(upstream) => self.decide(&mut next, upstream),
             Action::Carry(number) => {
                 let flight = next.flights.remove(number);
@@ -370,14 +377,14 @@
                 next.target = Some(upstream);
                 next.used.2 += 1;
                 let owner = next.owner;
-                self.change(&mut next, owner, |orders| orders.want(&[]));
+                self.change(&mut next, owner, |orders| orders.set_wanted(&[]));
             }
             Action::Pass => {
                 let target = next.target.unwrap_or(next.owner);
                 self.own(&mut next, target);
             }
             Action::Takeover => {
-                self.change(&mut next, 0, |orders| orders.want(&[]));
+                self.change(&mut next, 0, |orders| orders.set_wanted(&[]));
                 self.own(&mut next, 1);
             }
         }
@@ -396,8 +403,8 @@
     Time::from_millis(10_000)
 }
 
-fn start(born: u64) -> Start {
-    Start { instance: "i-1".into(), born }
+fn start(born: u64) -> Incarnation {
+    Incarnation { instance: "i-1".into(), generation: born }
 }
 
 fn wanted(token: u64) -> Vec<Wanted> {
--- a/acaciaring_model/src/takeover/mod.rs
+++ b/acaciaring_model/src/takeover/mod.rs
@@ -182,7 +182,7 @@
     let mut holder = Holder::new(me, Time::ZERO, LeaseSettings::default());
     holder.install(me.0, &[MemberId(1)], |_| true);
     for renewal in holder.due(Time::ZERO) {
-        holder.granted(Time::ZERO, renewal.lessor, renewal.seq, true, renewal.version);
+        holder.handle_grant(Time::ZERO, renewal.lessor, renewal.seq, true, renewal.version);
     }
     holder
 }
--- a/acaciaring_model/src/takeover/step.rs
+++ b/acaciaring_model/src/takeover/step.rs
@@ -70,7 +70,7 @@
                     }
                 }
                 Kind::Split if !self.mutated(Mutation::ReleaseBeforeSettled) => {
-                    rights.change(&self.workspace, 0);
+                    rights.begin_change(&self.workspace, 0);
                 }
                 _ => {}
             }
@@ -87,15 +87,15 @@
         if proposal.by == number {
             self.rights.change(&mut state.processes[number].rights, |rights| match proposal.kind {
                 Kind::Handoff | Kind::Leave if !fold.applied => {
-                    rights.restore(&self.workspace, UnitId::slot(0), proposal.version);
-                    rights.stay();
+                    rights.cancel_renounce(&self.workspace, UnitId::slot(0), proposal.version);
+                    rights.cancel_leave();
                 }
                 Kind::Split => {
                     if fold.applied {
                         let key = UnitId { slot: 0, key: Some(KeyHash(HOT)) };
                         rights.inherit(&self.workspace, key);
                     }
-                    rights.settled(&self.workspace, 0);
+                    rights.end_change(&self.workspace, 0);
                 }
                 _ => {}
             });
@@ -120,7 +120,7 @@
         let Some((_, assignment)) = found else { return Vec::new() };
         let rights = self.rights.get(state.processes[number].rights);
         let served = rights.serving(&self.workspace, unit)
-            || rights.gave(&self.workspace, unit, &assignment);
+            || rights.has_released(&self.workspace, unit, &assignment);
         let to = match assignment.owner {
             owner if owner == me && served => [assignment.standby, None],
             owner if owner != me && assignment.prior == me => [owner, assignment.standby],
@@ -148,7 +148,7 @@
     pub(super) fn receive(&self, state: &mut TakeoverState, release: Release) {
         let Release { from, to, unit, version } = release;
         self.rights.change(&mut state.processes[to].rights, |rights| {
-            rights.released(MEMBERS[from], &self.workspace, unit, version);
+            rights.record_release(MEMBERS[from], &self.workspace, unit, version);
         });
         self.refresh(state, to);
     }
--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -368,7 +368,7 @@
         let Some(identity) = &mut self.identity else { return };
         let mut changed = Vec::new();
         for unit in &messages {
-            identity.rights.change(workspace, unit.slot);
+            identity.rights.begin_change(workspace, unit.slot);
             changed.push((Arc::clone(workspace), wire::unit_id(unit)));
         }
         info!(%workspace, keys = messages.len(), ?purpose, "proposing a change of hot keys");
--- a/acaciaringd/src/control/handover.rs
+++ b/acaciaringd/src/control/handover.rs
@@ -206,7 +206,7 @@
         let workspace = Name::from(release.workspace.as_str());
         info!(%from, %workspace, units = release.units.len(), "units were released to this member");
         for unit in &release.units {
-            identity.rights.released(from, &workspace, wire::unit_id(unit), unit.version);
+            identity.rights.record_release(from, &workspace, wire::unit_id(unit), unit.version);
         }
         self.inherit(from, &workspace, release);
         let handovers = release.units.iter().zip(&release.handovers);
--- a/acaciaringd/src/control/holding.rs
+++ b/acaciaringd/src/control/holding.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use acaciaring_core::holds::{Granted, Report, Wanted};
+use acaciaring_core::holds::{Granted, ReportOutcome, Wanted};
 use acaciaring_core::rights::Right;
 use acaciaring_core::state::{Attachment, Member, Service, State};
 use acaciaring_core::{Name, Time, UnitId};
@@ -78,7 +78,7 @@
         let waiting = self.waiting.as_ref().map(|waiting| waiting.until);
         let effect = match &self.way {
             Way::Reported(holds) => holds.next_effect(now),
-            Way::Called(orders) => Some(orders.next()),
+            Way::Called(orders) => Some(orders.next_due()),
         };
         [effect, self.closing(now), waiting].into_iter().flatten().min()
     }
@@ -113,14 +113,14 @@
         let report = self.holding.way.report(now, &heartbeat);
         let Heartbeat { announcement, sequence, room, .. } = heartbeat;
         let (instance, born) = (Name::from(announcement.instance.as_str()), announcement.born);
-        if report == Report::Late {
+        if report == ReportOutcome::Stale {
             info!(%instance, born, sequence, "late report of the upstream");
             // The sender may have gone away.
             let _ = reply.send(HeartbeatReply::default());
             return;
         }
         self.holding.reports = true;
-        if report == Report::Another {
+        if report == ReportOutcome::NewIncarnation {
             info!(%instance, born, "the upstream has started anew");
             self.holding.leaving = None;
         }
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -62,7 +62,7 @@
             declared: self.parts.declarations.version(),
         };
         let datagram = Datagram { body: Some(datagram::Body::Renew(renew)) };
-        self.parts.transport.send(to, &datagram, renewal.fresh);
+        self.parts.transport.send(to, &datagram, renewal.reconnect);
     }
 
     fn publish_lease(&mut self, now: Time) {
@@ -115,7 +115,7 @@
         // One that only prepares to make this member its lessor is not voted on.
         let known = self.state.member(holder).filter(|member| member.version == renew.version);
         if known.is_some_and(|member| !member.lessors.contains(&identity.me)) {
-            identity.lessor.unlearn(holder, renew.version);
+            identity.lessor.leave_set(holder, renew.version);
         }
         let grant = Grant {
             lessor: identity.me.0,
@@ -136,7 +136,7 @@
             return;
         }
         let lessor = MemberId(grant.lessor);
-        identity.holder.granted(now, lessor, grant.seq, grant.granted, grant.version);
+        identity.holder.handle_grant(now, lessor, grant.seq, grant.granted, grant.version);
         if !grant.granted {
             // The log may have ended this identity.
             self.parts.wanted.need(grant.applied);
@@ -157,11 +157,11 @@
         let me = identity.me;
         for member in state.members() {
             if member.phase == Phase::Dead {
-                identity.lessor.forget(member.id);
+                identity.lessor.mark_dead(member.id);
                 // The death of a member that never had lessors stands in for no vote:
                 // it gives up its identity only when it reads of it.
                 if !member.lessors.is_empty() {
-                    identity.tally.died(now, member.id);
+                    identity.tally.record_death(now, member.id);
                 }
                 self.grounds.forget(member.id);
                 continue;
@@ -173,9 +173,9 @@
                     identity.holder.install(member.version, &member.lessors, |id| state.lives(id));
                 }
             } else if member.lessors.contains(&me) {
-                identity.lessor.learn(now, member.id, member.version);
+                identity.lessor.join_set(now, member.id, member.version);
             } else {
-                identity.lessor.unlearn(member.id, member.version);
+                identity.lessor.leave_set(member.id, member.version);
             }
         }
         identity.rights.prune(me, &state);
--- a/acaciaringd/src/control/ordering.rs
+++ b/acaciaringd/src/control/ordering.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use acaciaring_core::holds::Wanted;
-use acaciaring_core::orders::{Action, Answer, Issued, Order, Settled};
+use acaciaring_core::orders::{Action, Answer, Completion, Issued, Order};
 use acaciaring_core::{Name, Time, UnitId};
 use tracing::{debug, info, warn};
 
@@ -21,7 +21,7 @@
         }
         let wanted = self.wanted_by(permits);
         if let Way::Called(orders) = &mut self.holding.way {
-            orders.want(&wanted);
+            orders.set_wanted(&wanted);
         }
     }
 
@@ -57,7 +57,7 @@
         let busy = LazyCell::new(|| inflight.keys(&link.workspace));
         let idle = |first, last| busy.range(u64::from(first)..=u64::from(last)).next().is_none();
         let issued = orders.decide(now, lease, idle);
-        for Issued { number, order, reach, connects } in issued {
+        for Issued { number, order, deadline: reach, may_connect: connects } in issued {
             let call = OrderCall {
                 address: link.address,
                 order,
@@ -78,7 +78,7 @@
     /// Takes in what came of an order.
     pub(super) fn on_ordered(&mut self, now: Time, number: u64, answer: &Answer) {
         let Way::Called(orders) = &mut self.holding.way else { return };
-        let Some(settled) = orders.settle(now, number, answer) else { return };
+        let Some(settled) = orders.complete(now, number, answer) else { return };
         log(&settled, answer);
         self.dirty |= settled.changed;
         // An upstream that carries out orders lives, also when its reports do not get here.
@@ -98,7 +98,7 @@
 }
 
 /// Writes a line for each order that changes what this process believes.
-fn log(settled: &Settled, answer: &Answer) {
+fn log(settled: &Completion, answer: &Answer) {
     let Order { first, last, token, action } = &settled.order;
     let what = match action {
         Action::Grant { .. } => "grant",
--- a/acaciaringd/src/control/placement.rs
+++ b/acaciaringd/src/control/placement.rs
@@ -107,7 +107,7 @@
         }
         let holds = identity.holder.holds(now);
         let choosy = !holds && idle(&self.state, identity.me);
-        let silent = if choosy { identity.holder.silent() } else { Vec::new() };
+        let silent = if choosy { identity.holder.unresponsive() } else { Vec::new() };
         let Some(lessors) = self.state.better_lessors_but(member, &silent) else {
             return identity.holder.prepare(&[]);
         };
@@ -184,7 +184,7 @@
         let Some(identity) = &mut self.identity else { return };
         restore(&mut identity.rights, &purpose, &renounced);
         for (workspace, unit) in &changed {
-            identity.rights.settled(workspace, unit.slot);
+            identity.rights.end_change(workspace, unit.slot);
         }
     }
 
@@ -206,7 +206,7 @@
                 if applied && matches!(proposal.purpose, Purpose::Split(_)) {
                     identity.rights.inherit(workspace, *unit);
                 }
-                identity.rights.settled(workspace, unit.slot);
+                identity.rights.end_change(workspace, unit.slot);
             }
             if !applied {
                 restore(&mut identity.rights, &proposal.purpose, &proposal.renounced);
@@ -220,10 +220,10 @@
 /// Takes back what was given up for a record that is not and will not be applied.
 fn restore(rights: &mut Rights, purpose: &Purpose, renounced: &[(Name, UnitId, Offset)]) {
     for (workspace, unit, version) in renounced {
-        rights.restore(workspace, *unit, *version);
+        rights.cancel_renounce(workspace, *unit, *version);
     }
     if *purpose == Purpose::Leave {
-        rights.stay();
+        rights.cancel_leave();
     }
 }
 
--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -83,7 +83,7 @@
         let dead = !self.state.lives(identity.me);
         let alive = |id| self.state.lives(id);
         let holder = &identity.holder;
-        let lost = holder.refused() || holder.abandoned(now) || holder.orphaned(now, alive);
+        let lost = holder.refused() || holder.abandoned(now) || holder.quorum_lost(now, alive);
         if identity.retiring.is_none() && (dead || lost) {
             warn!(member = %identity.me, dead, "identity is lost, joining anew");
             identity.retire(now, Retiring::Lease);
@@ -146,7 +146,7 @@
     fn vouching(&self, now: Time) -> bool {
         let Some(identity) = &self.identity else { return false };
         let stays = |id| self.state.member(id).is_some_and(Member::alive);
-        identity.retiring == Some(Retiring::Stop) && identity.lessor.vouches(now, stays)
+        identity.retiring == Some(Retiring::Stop) && identity.lessor.has_active_grant(now, stays)
     }
 
     /// Returns true while this member owns a unit that a former owner has not released to it.
--- a/acaciaringd/src/control/way.rs
+++ b/acaciaringd/src/control/way.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use acaciaring_core::holds::{Holds, Report, Start};
+use acaciaring_core::holds::{Holds, Incarnation, ReportOutcome};
 use acaciaring_core::orders::Orders;
 use acaciaring_core::{Name, Time, Token, UnitId};
 use acaciaring_schema::settings::UpstreamGrants;
@@ -28,17 +28,17 @@
     }
 
     /// Returns the present start of the upstream.
-    pub(super) const fn start(&self) -> Option<&Start> {
+    pub(super) const fn start(&self) -> Option<&Incarnation> {
         match self {
-            Self::Reported(holds) => holds.start(),
-            Self::Called(orders) => orders.start(),
+            Self::Reported(holds) => holds.incarnation(),
+            Self::Called(orders) => orders.incarnation(),
         }
     }
 
-    pub(super) fn report(&mut self, now: Time, heartbeat: &Heartbeat) -> Report {
+    pub(super) fn report(&mut self, now: Time, heartbeat: &Heartbeat) -> ReportOutcome {
         let announcement = &heartbeat.announcement;
         let instance = Name::from(announcement.instance.as_str());
-        let start = Start { instance, born: announcement.born };
+        let start = Incarnation { instance, generation: announcement.born };
         let sequence = heartbeat.sequence;
         match self {
             Self::Reported(holds) => {
@@ -82,8 +82,8 @@
     /// Notes that the upstream has refused a request for a unit that it should hold.
     pub(super) fn deny(&mut self, unit: UnitId, keys: &[RangeInclusive<u32>]) {
         match self {
-            Self::Reported(holds) => holds.deny(unit),
-            Self::Called(orders) => orders.deny(keys),
+            Self::Reported(holds) => holds.mark_refused(unit),
+            Self::Called(orders) => orders.mark_refused(keys),
         }
     }
 
--- a/acaciaringd/src/peer/search.rs
+++ b/acaciaringd/src/peer/search.rs
@@ -149,7 +149,7 @@
         if self.arrived {
             return None;
         }
-        if self.subject.start.elapsed() >= AttemptSettings::default().memory / 2 {
+        if self.subject.start.elapsed() >= AttemptSettings::default().retention / 2 {
             return Some(RequestOutcome::Lost);
         }
         self.shared.metrics.count(Counter::PeerProbesNotRun, 1);
