--- a/acaciaring_core/tests/orders.rs
+++ b/acaciaring_core/tests/orders.rs
@@ -15,8 +15,8 @@
     Time::from_millis(10_000 + millis)
 }
 
-fn start(born: u64) -> Incarnation {
-    Incarnation { instance: "i-1".into(), generation: born }
+fn start(generation: u64) -> Incarnation {
+    Incarnation { instance: "i-1".into(), generation }
 }
 
 fn wanted(slot: u32, token: u64) -> Wanted {
--- a/acaciaring_core/tests/orders_schedule.rs
+++ b/acaciaring_core/tests/orders_schedule.rs
@@ -188,8 +188,8 @@
     }
 }
 
-fn start(born: u64) -> Incarnation {
-    Incarnation { instance: "i-1".into(), generation: born }
+fn start(generation: u64) -> Incarnation {
+    Incarnation { instance: "i-1".into(), generation }
 }
 
 fn wanted(slot: u32, token: u64) -> Wanted {
--- a/acaciaring_model/src/orders.rs
+++ b/acaciaring_model/src/orders.rs
@@ -403,8 +403,8 @@
     Time::from_millis(10_000)
 }
 
-fn start(born: u64) -> Incarnation {
-    Incarnation { instance: "i-1".into(), generation: born }
+fn start(generation: u64) -> Incarnation {
+    Incarnation { instance: "i-1".into(), generation }
 }
 
 fn wanted(token: u64) -> Vec<Wanted> {
