--- a/acaciaring_core/src/lease/holder.rs
+++ b/acaciaring_core/src/lease/holder.rs
@@ -14,7 +14,7 @@
 /// Renewals that a lessor may leave without answer before it counts as silent.
 ///
 /// With the pauses between them that is about a second, enough for a connection to be made.
-const SILENT: u32 = 3;
+const MAX_UNANSWERED: u32 = 3;
 
 /// Lessor set whose majority the holder needs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -38,38 +38,40 @@
 
 /// What the holder knows of one lessor.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-struct Link {
+struct LessorState {
     /// Last renewal sent.
     sent: Option<Time>,
     /// Renewals sent since the last grant.
-    tries: u32,
+    unanswered: u32,
     /// Renewals that may still be answered, with the times of sending.
     pending: BTreeMap<u64, Time>,
     /// Time that the lessor takes for an answer; long ones are forgotten by half with each shorter one.
-    lag: Duration,
+    latency: Duration,
     /// Sending time of the latest renewal that was granted.
-    latest: Option<Time>,
+    last_granted: Option<Time>,
     /// Highest version that the lessor has stated with a grant.
     version: Offset,
     refused: bool,
 }
 
-impl Link {
+impl LessorState {
     fn due(&self, settings: &LeaseSettings) -> Option<Time> {
         let sent = self.sent?;
-        Some(sent + self.pause(settings))
+        Some(sent + self.renewal_delay(settings))
     }
 
     /// Returns the time between the last renewal and the next one.
     ///
     /// A lessor that stays silent is asked soon at first, then at the usual interval. One that is slow
     /// to answer is waited for.
-    fn pause(&self, settings: &LeaseSettings) -> Duration {
-        let doublings = match self.tries {
+    fn renewal_delay(&self, settings: &LeaseSettings) -> Duration {
+        let doublings = match self.unanswered {
             0 => return settings.interval,
-            tries => (tries - 1).min(MAX_DOUBLINGS),
+            unanswered => (unanswered - 1).min(MAX_DOUBLINGS),
         };
-        settings.interval.min(self.patience(settings).max(settings.resend * 2_u32.pow(doublings)))
+        settings
+            .interval
+            .min(self.loss_timeout(settings).max(settings.resend * 2_u32.pow(doublings)))
     }
 
     /// Returns the time after which a renewal counts as lost.
@@ -77,14 +79,14 @@
     /// Guards against new connections to a lessor that lacks processor: with a fixed time each late
     /// answer costs both ends a handshake and the connection that works, and the next one is later.
     /// A third of the term at most, so that there is time for the new connection.
-    fn patience(&self, settings: &LeaseSettings) -> Duration {
-        settings.resend.max((self.lag * 2).min(settings.term / 3))
+    fn loss_timeout(&self, settings: &LeaseSettings) -> Duration {
+        settings.resend.max((self.latency * 2).min(settings.term / 3))
     }
 
     /// Returns true when the oldest renewal without answer counts as lost.
-    fn is_silent(&self, now: Time, settings: &LeaseSettings) -> bool {
+    fn is_timed_out(&self, now: Time, settings: &LeaseSettings) -> bool {
         let oldest = self.pending.values().next();
-        oldest.is_some_and(|sent| now.since(*sent) >= self.patience(settings))
+        oldest.is_some_and(|sent| now.since(*sent) >= self.loss_timeout(settings))
     }
 }
 
@@ -97,10 +99,10 @@
     sets: Vec<LessorSet>,
     /// Lessors that are asked before they are proposed.
     prepared: Vec<MemberId>,
-    links: BTreeMap<MemberId, Link>,
+    lessors: BTreeMap<MemberId, LessorState>,
     seq: u64,
     /// Latest lease end so far, or the start of this identity.
-    lapse: Time,
+    last_expiry: Time,
 }
 
 impl Holder {
@@ -112,7 +114,7 @@
     #[must_use]
     pub fn new(me: MemberId, start: Time, settings: LeaseSettings) -> Self {
         let (sets, prepared) = (Vec::new(), Vec::new());
-        Self { me, settings, sets, prepared, links: BTreeMap::new(), seq: 0, lapse: start }
+        Self { me, settings, sets, prepared, lessors: BTreeMap::new(), seq: 0, last_expiry: start }
     }
 
     /// Returns the identity that holds the lease.
@@ -150,7 +152,7 @@
             set.dead.extend(set.lessors.iter().filter(|id| !alive(**id)));
         }
         self.sets.push(LessorSet::new(Some(version), lessors));
-        self.settle();
+        self.recompute();
     }
 
     /// Takes over a lessor set read back from the log and forgets all older ones.
@@ -167,7 +169,7 @@
             return;
         }
         self.sets = vec![LessorSet::new(Some(version), lessors)];
-        self.settle();
+        self.recompute();
     }
 
     /// Asks lessors that are to be proposed once they grant; nothing else changes.
@@ -178,7 +180,7 @@
     pub fn prepare(&mut self, lessors: &[MemberId]) {
         if self.prepared != lessors {
             self.prepared = lessors.to_vec();
-            self.settle();
+            self.recompute();
         }
     }
 
@@ -190,7 +192,7 @@
     /// upstream still holds the unit by the older word.
     #[must_use]
     pub fn ready(&self, now: Time, lessors: &[MemberId]) -> bool {
-        let latest = self.latest(&LessorSet::new(None, lessors));
+        let latest = self.majority_time(&LessorSet::new(None, lessors));
         let Some(end) = latest.map(|latest| latest + self.settings.usable()) else { return false };
         let shorter = self.until().is_some_and(|until| end < until);
         !shorter && now + self.settings.interval < end
@@ -205,8 +207,10 @@
     /// Returns the lessors that have answered none of several renewals, or refuse.
     #[must_use]
     pub fn unresponsive(&self) -> Vec<MemberId> {
-        let silent = |link: &Link| link.refused || (link.latest.is_none() && link.tries > SILENT);
-        self.links.iter().filter(|(_, link)| silent(link)).map(|(id, _)| *id).collect()
+        let unresponsive = |state: &LessorState| {
+            state.refused || (state.last_granted.is_none() && state.unanswered > MAX_UNANSWERED)
+        };
+        self.lessors.iter().filter(|(_, state)| unresponsive(state)).map(|(id, _)| *id).collect()
     }
 
     /// Needs the majority of a further set from now on; to be called before its record is appended.
@@ -216,13 +220,13 @@
         if !self.sets.contains(&set) {
             self.sets.push(set);
         }
-        self.settle();
+        self.recompute();
     }
 
     /// Forgets proposed sets; to be called only when their records are rejected for sure.
     pub fn withdraw(&mut self) {
         self.sets.retain(|set| set.version.is_some());
-        self.settle();
+        self.recompute();
     }
 
     /// Returns true while a proposed set has been neither read back nor withdrawn.
@@ -236,16 +240,16 @@
         let version = self.version();
         let settings = self.settings;
         let mut renewals = Vec::new();
-        for (lessor, link) in &mut self.links {
-            if link.due(&settings).is_some_and(|due| now < due) {
+        for (lessor, state) in &mut self.lessors {
+            if state.due(&settings).is_some_and(|due| now < due) {
                 continue;
             }
-            let reconnect = link.tries > 0 && link.is_silent(now, &settings);
+            let reconnect = state.unanswered > 0 && state.is_timed_out(now, &settings);
             self.seq += 1;
-            link.pending.retain(|_, sent| now < *sent + settings.term);
-            link.pending.insert(self.seq, now);
-            link.tries = link.tries.saturating_add(1);
-            link.sent = Some(now);
+            state.pending.retain(|_, sent| now < *sent + settings.term);
+            state.pending.insert(self.seq, now);
+            state.unanswered = state.unanswered.saturating_add(1);
+            state.sent = Some(now);
             renewals.push(Renewal { lessor: *lessor, seq: self.seq, version, reconnect });
         }
         renewals
@@ -254,7 +258,7 @@
     /// Returns the time of the next renewal, not before `now`.
     #[must_use]
     pub fn next_due(&self, now: Time) -> Time {
-        let due = self.links.values().map(|link| link.due(&self.settings).unwrap_or(now));
+        let due = self.lessors.values().map(|state| state.due(&self.settings).unwrap_or(now));
         due.min().unwrap_or(now + self.settings.interval).max(now)
     }
 
@@ -271,27 +275,27 @@
         granted: bool,
         version: Offset,
     ) {
-        let Some(link) = self.links.get_mut(&from) else { return };
-        let Some(sent) = link.pending.remove(&seq) else { return };
+        let Some(state) = self.lessors.get_mut(&from) else { return };
+        let Some(sent) = state.pending.remove(&seq) else { return };
         if !granted {
-            link.refused = true;
+            state.refused = true;
             return;
         }
-        let lag = now.since(sent);
-        link.lag = lag.max(link.lag / 2);
-        if lag < self.settings.term {
-            link.tries = 0;
+        let latency = now.since(sent);
+        state.latency = latency.max(state.latency / 2);
+        if latency < self.settings.term {
+            state.unanswered = 0;
         }
-        link.pending = link.pending.split_off(&seq);
-        link.latest = link.latest.max(Some(sent));
-        link.version = link.version.max(version);
-        self.settle();
+        state.pending = state.pending.split_off(&seq);
+        state.last_granted = state.last_granted.max(Some(sent));
+        state.version = state.version.max(version);
+        self.recompute();
     }
 
     /// Returns the end of the lease, none when some set has never granted by majority.
     #[must_use]
     pub fn until(&self) -> Option<Time> {
-        let latest = self.sets.iter().map(|set| self.latest(set)).min().flatten()?;
+        let latest = self.sets.iter().map(|set| self.majority_time(set)).min().flatten()?;
         Some(latest + self.settings.usable())
     }
 
@@ -304,14 +308,14 @@
     /// Returns since when there has been no lease, none while it holds.
     #[must_use]
     pub fn lost_since(&self, now: Time) -> Option<Time> {
-        (!self.holds(now)).then(|| self.lapse.min(now))
+        (!self.holds(now)).then(|| self.last_expiry.min(now))
     }
 
     /// Returns true when so many lessors refuse for good that this identity never gets a lease again.
     #[must_use]
     pub fn refused(&self) -> bool {
         self.sets.iter().filter(|set| set.version.is_some()).any(|set| {
-            let refused = set.lessors.iter().filter(|id| self.links[*id].refused).count();
+            let refused = set.lessors.iter().filter(|id| self.lessors[*id].refused).count();
             set.lessors.len() - refused < set.majority() && refused > 0
         })
     }
@@ -336,33 +340,34 @@
     /// A member that never had lessors cannot be evicted, so it may stay.
     #[must_use]
     pub fn abandoned(&self, now: Time) -> bool {
-        let asked = !self.links.is_empty();
+        let asked = !self.lessors.is_empty();
         asked && self.lost_since(now).is_some_and(|since| now >= since + self.settings.abandon)
     }
 
     /// Returns the sending time that a majority of a set has reached.
-    fn latest(&self, set: &LessorSet) -> Option<Time> {
+    fn majority_time(&self, set: &LessorSet) -> Option<Time> {
         let mut times: Vec<Time> =
-            set.lessors.iter().filter_map(|id| self.links.get(id)?.latest).collect();
+            set.lessors.iter().filter_map(|id| self.lessors.get(id)?.last_granted).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         times.get(set.majority() - 1).copied()
     }
 
-    /// Drops superseded sets, matches links with the lessors left and notes the lease end.
-    fn settle(&mut self) {
+    /// Drops superseded sets, matches lessors with the lessors left and notes the lease end.
+    fn recompute(&mut self) {
         let newest = self.version();
-        let links = &self.links;
+        let lessors = &self.lessors;
         self.sets.retain(|set| match set.version {
-            Some(version) if version < newest => !superseded(set, version, links),
+            Some(version) if version < newest => !superseded(set, version, lessors),
             _ => true,
         });
         let needed = self.sets.iter().flat_map(|set| &set.lessors);
         let wanted: BTreeSet<MemberId> = needed.chain(&self.prepared).copied().collect();
-        self.links.retain(|id, _| wanted.contains(id));
+        self.lessors.retain(|id, _| wanted.contains(id));
         for id in wanted {
-            self.links.entry(id).or_default();
+            self.lessors.entry(id).or_default();
         }
-        self.lapse = self.until().map_or(self.lapse, |until| until.max(self.lapse));
+        self.last_expiry =
+            self.until().map_or(self.last_expiry, |until| until.max(self.last_expiry));
     }
 }
 
@@ -371,9 +376,9 @@
 /// A lessor that granted with a higher version on record votes with that or a
 /// higher one from then on; one that has voted does not grant. An empty set
 /// never gives a lease and never proves one over.
-fn superseded(set: &LessorSet, version: Offset, links: &BTreeMap<MemberId, Link>) -> bool {
+fn superseded(set: &LessorSet, version: Offset, lessors: &BTreeMap<MemberId, LessorState>) -> bool {
     let counts = |id: &&MemberId| {
-        !set.dead.contains(*id) && links.get(*id).is_some_and(|link| link.version > version)
+        !set.dead.contains(*id) && lessors.get(*id).is_some_and(|state| state.version > version)
     };
     set.lessors.is_empty() || set.lessors.iter().filter(counts).count() >= set.majority()
 }
--- a/acaciaring_core/src/lease/lessor.rs
+++ b/acaciaring_core/src/lease/lessor.rs
@@ -8,7 +8,7 @@
 
 /// What a lessor remembers of one holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Record {
+struct HolderState {
     /// End of the grant, or of the wait for the first renewal.
     ends: Time,
     /// Highest version of the holder's lessor set that was seen.
@@ -16,7 +16,7 @@
     /// Version of the last vote.
     voted: Option<Offset>,
     /// True when the newest set seen contains this lessor.
-    member: bool,
+    in_set: bool,
     /// True when the holder is dead in the log.
     dead: bool,
 }
@@ -32,7 +32,7 @@
 pub struct Lessor {
     me: MemberId,
     settings: LeaseSettings,
-    records: BTreeMap<MemberId, Record>,
+    holders: BTreeMap<MemberId, HolderState>,
     stopped: bool,
 }
 
@@ -40,7 +40,7 @@
     /// Makes a lessor that has granted nothing.
     #[must_use]
     pub fn new(me: MemberId, settings: LeaseSettings) -> Self {
-        Self { me, settings, records: BTreeMap::new(), stopped: false }
+        Self { me, settings, holders: BTreeMap::new(), stopped: false }
     }
 
     /// Returns the identity that grants.
@@ -64,14 +64,14 @@
     ) -> Grant {
         self.stopped |= abandoned;
         let ends = now + self.settings.term;
-        let fresh = Record { ends, version, voted: None, member: true, dead: false };
-        let record = self.records.entry(holder).or_insert(fresh);
-        if self.stopped || record.dead || record.voted.is_some() {
-            return Grant { granted: false, version: record.version };
+        let initial = HolderState { ends, version, voted: None, in_set: true, dead: false };
+        let state = self.holders.entry(holder).or_insert(initial);
+        if self.stopped || state.dead || state.voted.is_some() {
+            return Grant { granted: false, version: state.version };
         }
-        record.ends = ends;
-        record.version = record.version.max(version);
-        Grant { granted: true, version: record.version }
+        state.ends = ends;
+        state.version = state.version.max(version);
+        Grant { granted: true, version: state.version }
     }
 
     /// Notes that this member is a lessor of `holder` by the set of `version`.
@@ -79,42 +79,42 @@
     /// A holder that has never asked gets a full term from here before a vote.
     pub fn join_set(&mut self, now: Time, holder: MemberId, version: Offset) {
         let ends = now + self.settings.term;
-        let fresh = Record { ends, version, voted: None, member: true, dead: false };
-        let record = self.records.entry(holder).or_insert(fresh);
-        if version >= record.version {
-            record.version = version;
-            record.member = true;
+        let initial = HolderState { ends, version, voted: None, in_set: true, dead: false };
+        let state = self.holders.entry(holder).or_insert(initial);
+        if version >= state.version {
+            state.version = version;
+            state.in_set = true;
         }
     }
 
     /// Notes that the set of `version` does not contain this member: no vote is wanted.
     pub fn leave_set(&mut self, holder: MemberId, version: Offset) {
-        let Some(record) = self.records.get_mut(&holder) else { return };
-        if version >= record.version {
-            record.version = version;
-            record.member = false;
+        let Some(state) = self.holders.get_mut(&holder) else { return };
+        if version >= state.version {
+            state.version = version;
+            state.in_set = false;
         }
     }
 
     /// Notes that `holder` is dead in the log: no grant and no vote from now on.
     pub fn mark_dead(&mut self, holder: MemberId) {
-        if let Some(record) = self.records.get_mut(&holder) {
-            record.dead = true;
+        if let Some(state) = self.holders.get_mut(&holder) {
+            state.dead = true;
         }
     }
 
     /// Returns the holders whose grant has run out and that are still to be voted on.
     #[must_use]
     pub fn expired(&self, now: Time) -> Vec<MemberId> {
-        let due = |record: &Record| record.voted != Some(record.version) && ripe(record, now);
-        self.records.iter().filter(|(_, record)| due(record)).map(|(id, _)| *id).collect()
+        let due = |state: &HolderState| state.voted != Some(state.version) && may_vote(state, now);
+        self.holders.iter().filter(|(_, state)| due(state)).map(|(id, _)| *id).collect()
     }
 
     /// Returns the time at which the next grant runs out.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Time> {
-        let open = |record: &&Record| record.member && !record.dead && record.voted.is_none();
-        self.records.values().filter(open).map(|record| record.ends).min()
+        let open = |state: &&HolderState| state.in_set && !state.dead && state.voted.is_none();
+        self.holders.values().filter(open).map(|state| state.ends).min()
     }
 
     /// Votes on a holder, none while its grant runs.
@@ -122,18 +122,18 @@
     /// A member without a lease of its own does not vote: it is more likely cut
     /// off itself. From the vote on it never grants to this holder again.
     pub fn vote(&mut self, now: Time, holder: MemberId, leased: bool) -> Option<Vote> {
-        let record = self.records.get_mut(&holder)?;
-        if !leased || !ripe(record, now) {
+        let state = self.holders.get_mut(&holder)?;
+        if !leased || !may_vote(state, now) {
             return None;
         }
-        record.voted = Some(record.version);
-        Some(Vote { member: holder, version: record.version })
+        state.voted = Some(state.version);
+        Some(Vote { member: holder, version: state.version })
     }
 
     /// Returns the votes on holders that are not dead in the log, to be sent again.
     pub fn votes(&self) -> impl Iterator<Item = Vote> {
-        let live = self.records.iter().filter(|(_, record)| !record.dead);
-        live.filter_map(|(id, record)| Some(Vote { member: *id, version: record.voted? }))
+        let live = self.holders.iter().filter(|(_, state)| !state.dead);
+        live.filter_map(|(id, state)| Some(Vote { member: *id, version: state.voted? }))
     }
 
     /// Returns true while a grant to a holder that `counts` runs.
@@ -143,10 +143,10 @@
     /// no majority any more. The holders were without lease until they gave up their identities.
     /// A member that stays until its last grant has run out has been exchanged by then.
     pub fn has_active_grant(&self, now: Time, counts: impl Fn(MemberId) -> bool) -> bool {
-        let runs = |(holder, record): (&MemberId, &Record)| {
-            !record.dead && now < record.ends && counts(*holder)
+        let runs = |(holder, state): (&MemberId, &HolderState)| {
+            !state.dead && now < state.ends && counts(*holder)
         };
-        self.records.iter().any(runs)
+        self.holders.iter().any(runs)
     }
 
     /// Grants nothing any more: this identity is given up.
@@ -156,6 +156,6 @@
 }
 
 /// Returns true when a vote is legal and wanted.
-fn ripe(record: &Record, now: Time) -> bool {
-    record.member && !record.dead && now >= record.ends
+fn may_vote(state: &HolderState, now: Time) -> bool {
+    state.in_set && !state.dead && now >= state.ends
 }
