--- a/acaciaring_core/src/lease/holder.rs
+++ b/acaciaring_core/src/lease/holder.rs
@@ -1,4 +1,4 @@
-//! Holder's side of a lease.
+//! Holder side of the lease protocol: renews this member's own lease with its lessors.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,21 +8,21 @@
 use crate::state::majority;
 use crate::time::Time;
 
-/// Most doublings of the time after which a renewal is sent again.
+/// Maximum doublings of the resend delay.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Renewals that a lessor may leave without answer before it counts as silent.
+/// Unanswered renewals after which a lessor that never granted counts as unresponsive.
 ///
-/// With the pauses between them that is about a second, enough for a connection to be made.
+/// The resend delays between them leave time to establish a connection.
 const MAX_UNANSWERED: u32 = 3;
 
-/// Lessor set whose majority the holder needs.
+/// Lessor set of which the holder needs grants by a majority.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct LessorSet {
-    /// Version of the set, none while it is only proposed.
+    /// Version of the set, `None` while it is proposed.
     version: Option<Offset>,
     lessors: Vec<MemberId>,
-    /// Lessors that were dead in the log when a later set was installed.
+    /// Lessors that the log recorded as dead when a later set was installed.
     dead: BTreeSet<MemberId>,
 }
 
@@ -36,20 +36,20 @@
     }
 }
 
-/// What the holder knows of one lessor.
+/// State that the holder keeps for one lessor.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct LessorState {
-    /// Last renewal sent.
+    /// When the last renewal was sent.
     sent: Option<Time>,
     /// Renewals sent since the last grant.
     unanswered: u32,
-    /// Renewals that may still be answered, with the times of sending.
+    /// Send times of renewals that may still be answered, by sequence number.
     pending: BTreeMap<u64, Time>,
-    /// Time that the lessor takes for an answer; long ones are forgotten by half with each shorter one.
+    /// Decaying maximum of the response time: a shorter one lowers it to half at most.
     latency: Duration,
-    /// Sending time of the latest renewal that was granted.
+    /// Send time of the latest renewal that was granted.
     last_granted: Option<Time>,
-    /// Highest version that the lessor has stated with a grant.
+    /// Highest lessor set version stated in a grant.
     version: Offset,
     refused: bool,
 }
@@ -60,10 +60,9 @@
         Some(sent + self.renewal_delay(settings))
     }
 
-    /// Returns the time between the last renewal and the next one.
+    /// Returns the delay between the last renewal and the next one.
     ///
-    /// A lessor that stays silent is asked soon at first, then at the usual interval. One that is slow
-    /// to answer is waited for.
+    /// Without an answer, renewals are resent with exponential backoff up to the usual interval.
     fn renewal_delay(&self, settings: &LeaseSettings) -> Duration {
         let doublings = match self.unanswered {
             0 => return settings.interval,
@@ -76,67 +75,64 @@
 
     /// Returns the time after which a renewal counts as lost.
     ///
-    /// Guards against new connections to a lessor that lacks processor: with a fixed time each late
-    /// answer costs both ends a handshake and the connection that works, and the next one is later.
-    /// A third of the term at most, so that there is time for the new connection.
+    /// Adapts to the response time: with a fixed timeout, each late answer of an overloaded lessor
+    /// would drop a working connection and cost a handshake, which slows it further. At most a
+    /// third of the term, which leaves time for a new connection.
     fn loss_timeout(&self, settings: &LeaseSettings) -> Duration {
         settings.resend.max((self.latency * 2).min(settings.term / 3))
     }
 
-    /// Returns true when the oldest renewal without answer counts as lost.
+    /// Returns true when the oldest unanswered renewal counts as lost.
     fn is_timed_out(&self, now: Time, settings: &LeaseSettings) -> bool {
         let oldest = self.pending.values().next();
         oldest.is_some_and(|sent| now.since(*sent) >= self.loss_timeout(settings))
     }
 }
 
-/// Lease of one member identity, as the member itself sees it.
+/// Lease of one member identity, as seen by that member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Holder {
     me: MemberId,
     settings: LeaseSettings,
-    /// Sets whose majorities are all needed; proposed ones last.
+    /// Lessor sets, each of which must grant by majority; proposed ones last.
     sets: Vec<LessorSet>,
-    /// Lessors that are asked before they are proposed.
+    /// Lessors that already receive renewals before they are proposed.
     prepared: Vec<MemberId>,
     lessors: BTreeMap<MemberId, LessorState>,
     seq: u64,
-    /// Latest lease end so far, or the start of this identity.
+    /// Latest lease expiry so far, or the start of this identity.
     last_expiry: Time,
 }
 
 impl Holder {
-    /// Makes the holder of a member identity that has no lessors yet.
+    /// Creates the holder of a member identity without lessors.
     ///
-    /// `start` is a time before the append of the `Join` record was sent. A
-    /// later one would let a member that is evicted before it reads its own
-    /// `Join` grant for longer than others wait.
+    /// `start` must precede the append of the `Join` record. With a later time, a member that is
+    /// evicted before it reads its own `Join` would grant for longer than others wait.
     #[must_use]
     pub fn new(me: MemberId, start: Time, settings: LeaseSettings) -> Self {
         let (sets, prepared) = (Vec::new(), Vec::new());
         Self { me, settings, sets, prepared, lessors: BTreeMap::new(), seq: 0, last_expiry: start }
     }
 
-    /// Returns the identity that holds the lease.
+    /// Returns the identity of this holder.
     #[must_use]
     pub fn id(&self) -> MemberId {
         self.me
     }
 
-    /// Returns the version of the newest lessor set read back from the log, zero when there is none.
+    /// Returns the version of the newest lessor set read from the log, zero when there is none.
     #[must_use]
     pub fn version(&self) -> Offset {
         self.sets.iter().filter_map(|set| set.version).max().unwrap_or(0)
     }
 
-    /// Takes over a lessor set read back from the log; older sets stay needed until superseded.
+    /// Installs a lessor set read from the log; older sets stay required until superseded.
     ///
-    /// `alive` tells whether a member is not dead in the folded state that
-    /// includes `version`. Failure: the recorded death of a lessor of the old
-    /// set counts as its vote with those who have not folded the new set. If
-    /// its grant also superseded the old set, the holder would go on under the
-    /// new set while a standby counts the old one as expired. So dead lessors
-    /// supersede nothing.
+    /// `alive` returns false for members that are dead in the folded state that includes `version`.
+    /// Grants of dead lessors do not supersede older sets: members that have not folded the new set
+    /// count such a death as a vote, so a standby could take the lease for expired by the old set
+    /// while the holder goes on under the new one.
     pub fn install(
         &mut self,
         version: Offset,
@@ -146,7 +142,7 @@
         if version <= self.version() {
             return;
         }
-        // Proposals were based on an older version, so this one was in first and rejects the rest.
+        // Pending proposals build on an older version, so the log rejects them.
         self.sets.retain(|set| set.version.is_some());
         for set in &mut self.sets {
             set.dead.extend(set.lessors.iter().filter(|id| !alive(**id)));
@@ -155,15 +151,13 @@
         self.recompute();
     }
 
-    /// Takes over a lessor set read back from the log and forgets all older ones.
+    /// Installs a lessor set read from the log and drops all older ones.
     ///
-    /// To be called in place of [`Self::install`] only when the folded state that
-    /// includes `version` names this member as owner, standby or prior of nothing.
-    /// A member that lags behind `version` can then count votes by an older set,
-    /// but for units that this member has given up by its own word; whatever it
-    /// gets later stands behind `version` in the log. Without this a process that
-    /// starts while its first lessors are gone could get no lease, for the dead
-    /// supersede nothing, until it abandons its identity.
+    /// May replace [`Self::install`] only when the folded state that includes `version` names this
+    /// member as owner, standby or prior of no unit. A member that lags behind `version` can then
+    /// count votes by an older set only for units that this member has given up; units assigned
+    /// later follow `version` in the log. Without it, a process whose first lessors are dead would
+    /// get no lease until it abandons its identity, as dead lessors supersede nothing.
     pub fn reset(&mut self, version: Offset, lessors: &[MemberId]) {
         if version <= self.version() {
             return;
@@ -172,11 +166,10 @@
         self.recompute();
     }
 
-    /// Asks lessors that are to be proposed once they grant; nothing else changes.
+    /// Starts renewals with lessors that are to be proposed later; nothing else changes.
     ///
-    /// Guards against a lease that is lost for each exchange of lessors: a set counts from its
-    /// proposal on, and until a majority of it has granted for the first time there would be no
-    /// lease. Callers saw their requests refused for as long as a connection to a new lessor takes.
+    /// A set is required from its proposal on. Without grants in advance, each change of lessors
+    /// would interrupt the lease until connections to the new lessors are established.
     pub fn prepare(&mut self, lessors: &[MemberId]) {
         if self.prepared != lessors {
             self.prepared = lessors.to_vec();
@@ -184,12 +177,11 @@
         }
     }
 
-    /// Returns true when a set that is proposed now leaves the lease as long as it is.
+    /// Returns true when proposing a set now would not shorten the lease.
     ///
-    /// Guards against two servers of a unit: the upstream was told to hold it until the end of the
-    /// lease, and that cannot be taken back. If the lease ended earlier by the new set, whose
-    /// lessors were asked before the old ones, their votes could prove it over while the
-    /// upstream still holds the unit by the older word.
+    /// Guards against two servers of one unit. The upstream may already hold a unit until the
+    /// current lease expires, and that cannot be revoked. If the new set granted for a shorter
+    /// time, its votes could prove the lease expired while the upstream still holds the unit.
     #[must_use]
     pub fn ready(&self, now: Time, lessors: &[MemberId]) -> bool {
         let latest = self.majority_time(&LessorSet::new(None, lessors));
@@ -198,13 +190,13 @@
         !shorter && now + self.settings.interval < end
     }
 
-    /// Returns true while lessors are asked that are to be proposed.
+    /// Returns true while renewals are sent to lessors that are not proposed yet.
     #[must_use]
     pub fn preparing(&self) -> bool {
         !self.prepared.is_empty()
     }
 
-    /// Returns the lessors that have answered none of several renewals, or refuse.
+    /// Returns the lessors that refuse or have never granted despite repeated renewals.
     #[must_use]
     pub fn unresponsive(&self) -> Vec<MemberId> {
         let unresponsive = |state: &LessorState| {
@@ -213,7 +205,7 @@
         self.lessors.iter().filter(|(_, state)| unresponsive(state)).map(|(id, _)| *id).collect()
     }
 
-    /// Needs the majority of a further set from now on; to be called before its record is appended.
+    /// Requires a majority of a further set too; must be called before its record is appended.
     pub fn propose(&mut self, lessors: &[MemberId]) {
         self.prepared.clear();
         let set = LessorSet::new(None, lessors);
@@ -223,19 +215,19 @@
         self.recompute();
     }
 
-    /// Forgets proposed sets; to be called only when their records are rejected for sure.
+    /// Drops proposed sets; may be called only when their records are known to be rejected.
     pub fn withdraw(&mut self) {
         self.sets.retain(|set| set.version.is_some());
         self.recompute();
     }
 
-    /// Returns true while a proposed set has been neither read back nor withdrawn.
+    /// Returns true while a proposed set has been neither installed nor withdrawn.
     #[must_use]
     pub fn proposing(&self) -> bool {
         self.sets.iter().any(|set| set.version.is_none())
     }
 
-    /// Returns the renewals that are to be sent at `now`.
+    /// Returns the renewals to send at `now` and records them as sent.
     pub fn due(&mut self, now: Time) -> Vec<Renewal> {
         let version = self.version();
         let settings = self.settings;
@@ -262,11 +254,11 @@
         due.min().unwrap_or(now + self.settings.interval).max(now)
     }
 
-    /// Takes in an answer to a renewal.
+    /// Handles the answer to a renewal.
     ///
-    /// The lease is counted from the sending of the renewal, whenever the
-    /// answer arrives. Counted from receipt, a grant that was delayed would
-    /// outlast the lessor's own count and overlap with a vote.
+    /// The lease counts from when the renewal was sent. Counted from receipt of the answer, a
+    /// delayed grant would outlast the lessor's own count, and the lessor could vote while the
+    /// lease is in use.
     pub fn handle_grant(
         &mut self,
         now: Time,
@@ -292,26 +284,26 @@
         self.recompute();
     }
 
-    /// Returns the end of the lease, none when some set has never granted by majority.
+    /// Returns the expiry of the lease, `None` when some set has never granted by majority.
     #[must_use]
     pub fn until(&self) -> Option<Time> {
         let latest = self.sets.iter().map(|set| self.majority_time(set)).min().flatten()?;
         Some(latest + self.settings.usable())
     }
 
-    /// Returns true while the lease holds.
+    /// Returns true while the lease is valid.
     #[must_use]
     pub fn holds(&self, now: Time) -> bool {
         self.until().is_some_and(|until| now < until)
     }
 
-    /// Returns since when there has been no lease, none while it holds.
+    /// Returns the time since which there has been no lease, `None` while it is valid.
     #[must_use]
     pub fn lost_since(&self, now: Time) -> Option<Time> {
         (!self.holds(now)).then(|| self.last_expiry.min(now))
     }
 
-    /// Returns true when so many lessors refuse for good that this identity never gets a lease again.
+    /// Returns true when too many lessors refuse for this identity ever to get a lease again.
     #[must_use]
     pub fn refused(&self) -> bool {
         self.sets.iter().filter(|set| set.version.is_some()).any(|set| {
@@ -320,11 +312,11 @@
         })
     }
 
-    /// Returns true when so many lessors are dead in the log that this identity never gets a lease again.
+    /// Returns true when the lease has expired and too many lessors are dead for it to be renewed.
     ///
-    /// Guards against units without a server for many times the term: a member that has lost two of
-    /// three lessors at once can neither renew nor exchange them, for the dead supersede nothing.
-    /// It need not wait until it is abandoned; while its lease runs it serves on.
+    /// Such a member can neither renew its lease nor replace its lessors, as dead lessors supersede
+    /// nothing. Giving up the identity at once leaves its units unserved for a shorter time than
+    /// waiting until [`Self::abandoned`].
     #[must_use]
     pub fn quorum_lost(&self, now: Time, alive: impl Fn(MemberId) -> bool) -> bool {
         let lacks = |set: &LessorSet| {
@@ -335,16 +327,16 @@
         !self.holds(now) && recorded.into_iter().any(lacks)
     }
 
-    /// Returns true when this identity must be given up and must grant nothing more.
+    /// Returns true when this identity must be given up and must stop granting.
     ///
-    /// A member that never had lessors cannot be evicted, so it may stay.
+    /// A member that never had lessors cannot be evicted and so keeps its identity.
     #[must_use]
     pub fn abandoned(&self, now: Time) -> bool {
         let asked = !self.lessors.is_empty();
         asked && self.lost_since(now).is_some_and(|since| now >= since + self.settings.abandon)
     }
 
-    /// Returns the sending time that a majority of a set has reached.
+    /// Returns the latest time since which a majority of a set has granted renewals.
     fn majority_time(&self, set: &LessorSet) -> Option<Time> {
         let mut times: Vec<Time> =
             set.lessors.iter().filter_map(|id| self.lessors.get(id)?.last_granted).collect();
@@ -352,7 +344,7 @@
         times.get(set.majority() - 1).copied()
     }
 
-    /// Drops superseded sets, matches lessors with the lessors left and notes the lease end.
+    /// Drops superseded sets, updates the lessors to match the remaining sets and the lease expiry.
     fn recompute(&mut self) {
         let newest = self.version();
         let lessors = &self.lessors;
@@ -371,11 +363,10 @@
     }
 }
 
-/// Returns true when no votes that carry the version of `set` can make a majority any more.
+/// Returns true when votes with the version of `set` can no longer form a majority.
 ///
-/// A lessor that granted with a higher version on record votes with that or a
-/// higher one from then on; one that has voted does not grant. An empty set
-/// never gives a lease and never proves one over.
+/// A lessor that granted with a higher version only votes with that version or a higher one, and a
+/// lessor that has voted does not grant. An empty set neither grants a lease nor proves its expiry.
 fn superseded(set: &LessorSet, version: Offset, lessors: &BTreeMap<MemberId, LessorState>) -> bool {
     let counts = |id: &&MemberId| {
         !set.dead.contains(*id) && lessors.get(*id).is_some_and(|state| state.version > version)
--- a/acaciaring_core/src/lease/lessor.rs
+++ b/acaciaring_core/src/lease/lessor.rs
@@ -1,4 +1,4 @@
-//! Lessor's side of a lease.
+//! Lessor side of the lease protocol: grants leases to other members and votes on their expiry.
 
 use std::collections::BTreeMap;
 
@@ -6,28 +6,27 @@
 use crate::lease::{Grant, LeaseSettings, Vote};
 use crate::time::Time;
 
-/// What a lessor remembers of one holder.
+/// State that a lessor keeps for one holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct HolderState {
-    /// End of the grant, or of the wait for the first renewal.
+    /// End of the grant, or of the waiting time for the first renewal.
     ends: Time,
-    /// Highest version of the holder's lessor set that was seen.
+    /// Highest version of the holder's lessor set seen.
     version: Offset,
-    /// Version of the last vote.
+    /// Lessor set version of the last vote.
     voted: Option<Offset>,
-    /// True when the newest set seen contains this lessor.
+    /// True when the newest lessor set seen contains this lessor.
     in_set: bool,
-    /// True when the holder is dead in the log.
+    /// True when the log records the holder as dead.
     dead: bool,
 }
 
-/// Grants that one member identity gives to others.
+/// Grants and votes of one member identity for other members.
 ///
-/// Nothing is forgotten while the holder may live: a lessor that forgot its
-/// vote would grant again, one that forgot a version would vote by a set that
-/// the holder has dropped. A process that restarts is another member and in no
-/// set. Of a dead holder one entry stays so that a holder that lags behind the
-/// log is refused.
+/// Entries are never removed. A lessor that lost its vote would grant again, one that lost a
+/// version would vote by a set that the holder has dropped, and without the entry of a dead holder
+/// it would grant to one that lags behind the log. A restarted process has a new identity, which is
+/// in no lessor set.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lessor {
     me: MemberId,
@@ -37,13 +36,13 @@
 }
 
 impl Lessor {
-    /// Makes a lessor that has granted nothing.
+    /// Creates a lessor without grants.
     #[must_use]
     pub fn new(me: MemberId, settings: LeaseSettings) -> Self {
         Self { me, settings, holders: BTreeMap::new(), stopped: false }
     }
 
-    /// Returns the identity that grants.
+    /// Returns the identity of this lessor.
     #[must_use]
     pub fn id(&self) -> MemberId {
         self.me
@@ -51,10 +50,10 @@
 
     /// Answers a renewal.
     ///
-    /// `abandoned` is [`Holder::abandoned`](crate::lease::Holder::abandoned) of
-    /// this member's own lease at `now`. Failure: a lessor wakes from a long
-    /// pause and answers renewals that have waited in its socket, while its
-    /// recorded death already counts as its vote. Asked at `now`, it refuses.
+    /// `abandoned` is [`Holder::abandoned`](crate::lease::Holder::abandoned) of this member's own
+    /// lease at `now`. It must be evaluated for each renewal: after a long pause, a lessor whose
+    /// recorded death already counts as its vote would otherwise grant renewals that waited in its
+    /// socket.
     pub fn renew(
         &mut self,
         now: Time,
@@ -74,9 +73,9 @@
         Grant { granted: true, version: state.version }
     }
 
-    /// Notes that this member is a lessor of `holder` by the set of `version`.
+    /// Records that the lessor set of `holder` at `version` contains this member.
     ///
-    /// A holder that has never asked gets a full term from here before a vote.
+    /// A holder that has not renewed yet gets a full term before this member votes.
     pub fn join_set(&mut self, now: Time, holder: MemberId, version: Offset) {
         let ends = now + self.settings.term;
         let initial = HolderState { ends, version, voted: None, in_set: true, dead: false };
@@ -87,7 +86,7 @@
         }
     }
 
-    /// Notes that the set of `version` does not contain this member: no vote is wanted.
+    /// Records that the lessor set of `holder` at `version` lacks this member, which need not vote.
     pub fn leave_set(&mut self, holder: MemberId, version: Offset) {
         let Some(state) = self.holders.get_mut(&holder) else { return };
         if version >= state.version {
@@ -96,31 +95,31 @@
         }
     }
 
-    /// Notes that `holder` is dead in the log: no grant and no vote from now on.
+    /// Records that the log states the death of `holder`: it gets no more grants and no more votes.
     pub fn mark_dead(&mut self, holder: MemberId) {
         if let Some(state) = self.holders.get_mut(&holder) {
             state.dead = true;
         }
     }
 
-    /// Returns the holders whose grant has run out and that are still to be voted on.
+    /// Returns the holders whose grant has expired and on which this lessor has not voted yet.
     #[must_use]
     pub fn expired(&self, now: Time) -> Vec<MemberId> {
         let due = |state: &HolderState| state.voted != Some(state.version) && may_vote(state, now);
         self.holders.iter().filter(|(_, state)| due(state)).map(|(id, _)| *id).collect()
     }
 
-    /// Returns the time at which the next grant runs out.
+    /// Returns the time at which the next grant expires.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Time> {
         let open = |state: &&HolderState| state.in_set && !state.dead && state.voted.is_none();
         self.holders.values().filter(open).map(|state| state.ends).min()
     }
 
-    /// Votes on a holder, none while its grant runs.
+    /// Votes that the grant to a holder has expired; returns `None` while the grant is valid.
     ///
-    /// A member without a lease of its own does not vote: it is more likely cut
-    /// off itself. From the vote on it never grants to this holder again.
+    /// A member that is not `leased` itself does not vote, since it is more likely to be
+    /// partitioned than the holder. After the vote it never grants to this holder again.
     pub fn vote(&mut self, now: Time, holder: MemberId, leased: bool) -> Option<Vote> {
         let state = self.holders.get_mut(&holder)?;
         if !leased || !may_vote(state, now) {
@@ -130,18 +129,17 @@
         Some(Vote { member: holder, version: state.version })
     }
 
-    /// Returns the votes on holders that are not dead in the log, to be sent again.
+    /// Returns the votes on holders that are not recorded as dead, for retransmission.
     pub fn votes(&self) -> impl Iterator<Item = Vote> {
         let live = self.holders.iter().filter(|(_, state)| !state.dead);
         live.filter_map(|(id, state)| Some(Vote { member: *id, version: state.voted? }))
     }
 
-    /// Returns true while a grant to a holder that `counts` runs.
+    /// Returns true while a grant to a holder for which `counts` is true has not expired.
     ///
-    /// Guards against a lease that is lost because two lessors end together: one leaves by plan
-    /// while its holders still exchange it, another crashes in that moment, and the old set makes
-    /// no majority any more. The holders were without lease until they gave up their identities.
-    /// A member that stays until its last grant has run out has been exchanged by then.
+    /// A leaving member stays until then, so that its holders have replaced it. Otherwise a crash
+    /// of a second lessor during the replacement would cost a holder its majority, and so its
+    /// lease.
     pub fn has_active_grant(&self, now: Time, counts: impl Fn(MemberId) -> bool) -> bool {
         let runs = |(holder, state): (&MemberId, &HolderState)| {
             !state.dead && now < state.ends && counts(*holder)
@@ -149,13 +147,13 @@
         self.holders.iter().any(runs)
     }
 
-    /// Grants nothing any more: this identity is given up.
+    /// Stops granting for good, as this identity is abandoned.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
 }
 
-/// Returns true when a vote is legal and wanted.
+/// Returns true when the grant has expired and the newest lessor set needs this lessor's vote.
 fn may_vote(state: &HolderState, now: Time) -> bool {
     state.in_set && !state.dead && now >= state.ends
 }
--- a/acaciaring_core/src/lease/mod.rs
+++ b/acaciaring_core/src/lease/mod.rs
@@ -1,7 +1,7 @@
-//! Leases: a member serves only while a majority of its lessors vouch for it.
+//! Majority leases: a member serves requests only while a majority of its lessors grant it a lease.
 //!
-//! [`Holder`] asks for grants, [`Lessor`] gives them and votes once they have
-//! run out, [`Tally`] counts the votes about others.
+//! [`Holder`] renews the lease, [`Lessor`] grants it to others and votes once a grant has expired,
+//! [`Tally`] counts those votes to prove that another member's lease has expired.
 
 mod holder;
 mod lessor;
@@ -14,16 +14,16 @@
 pub use self::tally::Tally;
 use crate::id::{MemberId, Offset};
 
-/// Times that govern leases.
+/// Durations of the lease protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseSettings {
-    /// Time between two renewals.
+    /// Interval between renewals.
     pub interval: Duration,
-    /// Time without an answer after which a renewal is sent again.
+    /// Time without an answer after which a renewal is resent.
     pub resend: Duration,
-    /// Time for which a lessor grants, counted from receipt of the renewal.
+    /// Duration of a grant, which the lessor counts from receipt of the renewal.
     pub term: Duration,
-    /// Part of the term that the holder does not use, against drift of clock rates.
+    /// Part of the term that the holder leaves unused, to allow for clock drift.
     pub margin: Duration,
     /// Time without a lease after which a member gives up its identity.
     pub abandon: Duration,
@@ -42,18 +42,18 @@
 }
 
 impl LeaseSettings {
-    /// Returns the time for which the holder counts on a grant, from the sending of the renewal.
+    /// Returns how long the holder relies on a grant, counted from sending the renewal.
     #[must_use]
     pub fn usable(&self) -> Duration {
         self.term.saturating_sub(self.margin)
     }
 
-    /// Returns the time after which the recorded death of a lessor stands in for its vote.
+    /// Returns the time after which a lessor's recorded death counts as its vote.
     ///
-    /// A dead lessor that is only cut off grants until it abandons its
-    /// identity, and its last grant lasts one more term. Its clock may be
-    /// slower than the reader's by the ratio that `margin` allows for one term,
-    /// which over `abandon` is more than one `margin`.
+    /// A lessor that is recorded as dead but only partitioned still grants until it abandons its
+    /// identity, and its last grant runs for one more term. The sum is scaled by the clock drift
+    /// that
+    /// `margin` allows for.
     #[must_use]
     pub fn dead_vote_delay(&self) -> Duration {
         let ratio = self.term.as_secs_f64() / self.usable().as_secs_f64();
@@ -61,44 +61,44 @@
     }
 }
 
-/// Renewal that is to be sent to a lessor now.
+/// Renewal request to be sent to a lessor now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Renewal {
     /// Lessor to ask.
     pub lessor: MemberId,
-    /// Number that the grant repeats.
+    /// Sequence number, echoed by the grant.
     pub seq: u64,
-    /// Version of the lessor set in force.
+    /// Version of the newest lessor set that the holder has read from the log.
     pub version: Offset,
-    /// True when the last renewal was not answered: a new connection is to be used.
+    /// True when the previous renewal was lost and a new connection must be used.
     pub reconnect: bool,
 }
 
-/// Lessor's answer to a renewal.
+/// Answer of a lessor to a renewal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// False when the lessor will never grant to this holder again.
+    /// False when the lessor refuses and will never grant to this holder again.
     pub granted: bool,
     /// Highest version of the holder's lessor set that the lessor has recorded.
     pub version: Offset,
 }
 
-/// Lessor's statement that its grant has run out and that it grants nothing more.
+/// Vote of a lessor that its grant to a member has expired and that it will not grant again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Vote {
-    /// Member that the vote is about.
+    /// Member whose grant has expired.
     pub member: MemberId,
     /// Highest version of the member's lessor set that the lessor has recorded.
     pub version: Offset,
 }
 
-/// Proof that a member's lease is over for good.
+/// Proof that a member's lease has expired and cannot be renewed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Proof {
-    /// Version of the lessor set by which the votes are counted.
+    /// Version of the lessor set that the votes are counted against.
     pub version: Offset,
-    /// Lessors that have voted, each with `version`.
+    /// Lessors that voted with this version.
     pub votes: Vec<MemberId>,
-    /// Lessors whose recorded death stands in for a vote.
+    /// Lessors whose recorded death counts as a vote.
     pub lapsed: Vec<MemberId>,
 }
--- a/acaciaring_core/src/lease/tally.rs
+++ b/acaciaring_core/src/lease/tally.rs
@@ -1,4 +1,4 @@
-//! Votes about other members.
+//! Counting of votes that other members' leases have expired.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,48 +7,48 @@
 use crate::state::{Member, Phase, majority};
 use crate::time::Time;
 
-/// Votes collected by one process.
+/// Votes and lessor deaths that this process has seen.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Tally {
     settings: LeaseSettings,
-    /// Lessors that voted on each member, with the versions of their votes.
+    /// Lessors that voted on each member, with the lessor set versions of their votes.
     votes: BTreeMap<MemberId, BTreeSet<(MemberId, Offset)>>,
-    /// When each dead member was read as dead.
+    /// When this process read each member's death from the log.
     deaths: BTreeMap<MemberId, Time>,
 }
 
 impl Tally {
-    /// Makes a tally without votes.
+    /// Creates an empty tally.
     #[must_use]
     pub fn new(settings: LeaseSettings) -> Self {
         Self { settings, votes: BTreeMap::new(), deaths: BTreeMap::new() }
     }
 
-    /// Takes in a vote.
+    /// Records a lessor's vote on a member.
     pub fn vote(&mut self, lessor: MemberId, member: MemberId, version: Offset) {
         if !self.deaths.contains_key(&member) {
             self.votes.entry(member).or_default().insert((lessor, version));
         }
     }
 
-    /// Notes that `member` was read as dead in the log at `now`.
+    /// Records that the death of `member` was read from the log at `now`.
     pub fn record_death(&mut self, now: Time, member: MemberId) {
         self.deaths.entry(member).or_insert(now);
         self.votes.remove(&member);
     }
 
-    /// Forgets dead members for which `wanted` is false, for example those in no lessor set.
+    /// Removes dead members for which `wanted` is false, for example those in no lessor set.
     ///
-    /// Forgetting is safe at any time: a death that is noted again waits anew.
+    /// Safe at any time: a death that is recorded again restarts its waiting time.
     pub fn retain(&mut self, wanted: impl Fn(MemberId) -> bool) {
         self.deaths.retain(|id, _| wanted(*id));
     }
 
-    /// Returns the proof that the lease of `member` is over for good, none while there is no majority.
+    /// Returns proof that the lease of `member` has expired for good, `None` without a majority.
     ///
-    /// Only votes with the very version of the set count. Failure: old lessors
-    /// that the holder no longer asks vote, and a member that lags behind the
-    /// log counts them; a holder drops a set only when that can make no majority.
+    /// Only votes with exactly the version of the set count. Otherwise a member that lags behind
+    /// the log would count votes of lessors that the holder no longer renews with. The holder drops
+    /// a set only once votes with its version can no longer form a majority.
     #[must_use]
     pub fn proof(&self, now: Time, member: &Member) -> Option<Proof> {
         let (votes, rest): (Vec<MemberId>, Vec<MemberId>) =
@@ -58,7 +58,7 @@
         enough.then_some(Proof { version: member.version, votes, lapsed })
     }
 
-    /// Returns true when the lease of `member` is over for good.
+    /// Returns true when the lease of `member` has expired for good.
     #[must_use]
     pub fn expired(&self, now: Time, member: &Member) -> bool {
         member.phase == Phase::Dead || self.proof(now, member).is_some()
