--- a/acaciaring_core/src/rights.rs
+++ b/acaciaring_core/src/rights.rs
@@ -56,9 +56,9 @@
     /// Units that this process serves since its first right, until it releases them.
     served: BTreeSet<Key>,
     /// Roles under which this process, as the owner, has released a unit to the standby.
-    given: BTreeMap<Key, Roles>,
+    released: BTreeMap<Key, Roles>,
     /// Who has released a unit to this process, and under which version.
-    received: BTreeMap<(Key, MemberId), Offset>,
+    received_releases: BTreeMap<(Key, MemberId), Offset>,
     /// Version under which this process has given its standby role away.
     renounced: BTreeMap<Key, Offset>,
     /// True from the proposal of a record by which this process leaves until that is rejected.
@@ -89,7 +89,7 @@
         }
         let key = (unit, workspace.clone());
         self.served.remove(&key);
-        self.given.insert(key, Roles::of(assignment));
+        self.released.insert(key, Roles::of(assignment));
         true
     }
 
@@ -99,7 +99,7 @@
     /// evicted, the release is to be sent again under the new version.
     #[must_use]
     pub fn has_released(&self, workspace: &Name, unit: UnitId, assignment: &Assignment) -> bool {
-        self.given.get(&(unit, workspace.clone())) == Some(&Roles::of(assignment))
+        self.released.get(&(unit, workspace.clone())) == Some(&Roles::of(assignment))
     }
 
     /// Notes that `from` has released a unit to this process.
@@ -110,14 +110,14 @@
         unit: UnitId,
         version: Offset,
     ) {
-        raise(&mut self.received, ((unit, workspace.clone()), from), version);
+        record_max(&mut self.received_releases, ((unit, workspace.clone()), from), version);
     }
 
     /// Notes that this process is about to append a record that gives its standby role away.
     pub fn renounce(&mut self, workspace: &Name, unit: UnitId, version: Offset) {
         let key = (unit, workspace.clone());
         self.served.remove(&key);
-        raise(&mut self.renounced, key, version);
+        record_max(&mut self.renounced, key, version);
     }
 
     /// Takes a renunciation back; to be called only when its record is rejected for sure.
@@ -183,15 +183,16 @@
         let find = |(unit, workspace): &Key| state.service(workspace)?.assignment(*unit);
         let mine = |a: &Assignment| a.owner == Some(me) || a.standby == Some(me);
         self.served.retain(|key| retired(key) || find(key).is_some_and(mine));
-        self.given
+        self.released
             .retain(|key, roles| retired(key) || find(key).is_some_and(|a| *roles == Roles::of(a)));
         self.renounced.retain(|key, version| {
             retired(key) || find(key).is_some_and(|a| *version >= a.version)
         });
-        self.received.retain(|(key, from), version| {
+        self.received_releases.retain(|(key, from), version| {
             // A unit that is not known yet may come with a record that is not folded.
             let unknown = *version >= state.next();
-            retired(key) || find(key).map_or(unknown, |a| *version >= *counted(a, *from).start())
+            retired(key)
+                || find(key).map_or(unknown, |a| *version >= *valid_versions(a, *from).start())
         });
     }
 
@@ -230,8 +231,8 @@
         // A release holds as long as the standby and the owner are the same, not
         // only under one version. Failure: a third member's eviction changes the
         // version, and the owner serves again beside the standby that lags behind.
-        let given = self.given.get(&key) == Some(&Roles::of(assignment));
-        let (ready, token) = if owner == Some(me) && !given {
+        let released = self.released.get(&key) == Some(&Roles::of(assignment));
+        let (ready, token) = if owner == Some(me) && !released {
             (self.owner_ready(&key, me, assignment, &expired), Token::owner(token))
         } else if standby == Some(me) && self.standby_ready(&key, me, assignment, expired) {
             (true, Token::standby(version))
@@ -254,8 +255,9 @@
         assignment: &Assignment,
         expired: impl Fn(MemberId) -> bool,
     ) -> bool {
-        let free = |other| self.free_of(key, me, assignment, other, &expired);
-        self.served.contains(key) || (free(assignment.prior) && free(assignment.rival))
+        let relinquished = |other| self.has_relinquished(key, me, assignment, other, &expired);
+        self.served.contains(key)
+            || (relinquished(assignment.prior) && relinquished(assignment.rival))
     }
 
     fn standby_ready(
@@ -272,15 +274,15 @@
         // After a switchover back the standby itself is `prior` and must stop, and it is
         // `rival` once the owner's next process is in the owner's place.
         let stops = [assignment.prior, assignment.rival].contains(&Some(me));
-        let goes_on = self.served.contains(key) && !stops;
-        let free = |other| self.free_of(key, me, assignment, other, &expired);
-        let former = free(assignment.prior) && free(assignment.rival);
-        let taken = free(assignment.owner) && former;
-        !renounced && assignment.owner.is_some() && (goes_on || taken)
+        let continues = self.served.contains(key) && !stops;
+        let relinquished = |other| self.has_relinquished(key, me, assignment, other, &expired);
+        let former = relinquished(assignment.prior) && relinquished(assignment.rival);
+        let taken = relinquished(assignment.owner) && former;
+        !renounced && assignment.owner.is_some() && (continues || taken)
     }
 
     /// Returns true when `other` does not serve the unit and will not.
-    fn free_of(
+    fn has_relinquished(
         &self,
         key: &Key,
         me: MemberId,
@@ -290,8 +292,8 @@
     ) -> bool {
         let Some(other) = other else { return true };
         let released = || {
-            let version = self.received.get(&(key.clone(), other));
-            version.is_some_and(|version| counted(assignment, other).contains(version))
+            let version = self.received_releases.get(&(key.clone(), other));
+            version.is_some_and(|version| valid_versions(assignment, other).contains(version))
         };
         other == me || released() || expired(other)
     }
@@ -303,13 +305,13 @@
 /// its release counts under the present version only. A former owner cannot
 /// serve as such since the owner changed. A release under a version that is not
 /// folded here may leave out keys that have been split from the unit.
-fn counted(assignment: &Assignment, from: MemberId) -> RangeInclusive<Offset> {
+fn valid_versions(assignment: &Assignment, from: MemberId) -> RangeInclusive<Offset> {
     let Assignment { owner, version, token, .. } = *assignment;
     let first = if owner == Some(from) { version } else { token };
     first..=version
 }
 
-fn raise<K: Ord>(versions: &mut BTreeMap<K, Offset>, key: K, version: Offset) {
+fn record_max<K: Ord>(versions: &mut BTreeMap<K, Offset>, key: K, version: Offset) {
     let entry = versions.entry(key).or_insert(version);
     *entry = version.max(*entry);
 }
