--- a/acaciaring_core/src/rights.rs
+++ b/acaciaring_core/src/rights.rs
@@ -1,4 +1,7 @@
-//! Who may serve a unit now.
+//! Decides whether this process may serve a unit, by assignments, leases and releases.
+//!
+//! A new owner serves once every former one has released the unit or its lease has expired; a
+//! standby takes over once the same is true of the owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
@@ -8,27 +11,24 @@
 use crate::state::{Assignment, State};
 use crate::time::Time;
 
-/// Unit of a workspace.
-///
-/// The unit stands first, so that a look-up compares numbers and at most one name: with thousands
-/// of units a member computes its rights several times a second.
+/// Unit of a workspace; the unit comes first, so that a look-up compares few strings.
 type Key = (UnitId, Name);
 
-/// Whether this process may serve a unit.
+/// Permission of this process to serve a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Right {
-    /// Requests may run.
+    /// This process may run requests.
     Serve {
         /// Fencing token.
         token: Token,
-        /// End of the lease.
+        /// Expiry of this process's lease.
         until: Time,
         /// Version of the assignment.
         version: Offset,
     },
-    /// This process is the owner, or the standby of a lost one, and may serve soon.
+    /// This process is to serve, but has no lease or waits until others have given up the unit.
     Wait,
-    /// Another process is to serve.
+    /// Another process is to serve, if any.
     Elsewhere {
         /// Owner by the folded state.
         owner: Option<MemberId>,
@@ -37,7 +37,7 @@
     },
 }
 
-/// Owner and standby between whom a release is valid.
+/// Owner and standby for which a release is valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Roles {
     token: Offset,
@@ -50,39 +50,36 @@
     }
 }
 
-/// Releases given and received, and roles given away, by one process.
+/// Units served, releases sent and received, and roles renounced by one process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct Rights {
-    /// Units that this process serves since its first right, until it releases them.
+    /// Units that this process has begun to serve and has not released.
     served: BTreeSet<Key>,
-    /// Roles under which this process, as the owner, has released a unit to the standby.
+    /// Roles under which this process, as owner, has released each unit to the standby.
     released: BTreeMap<Key, Roles>,
-    /// Who has released a unit to this process, and under which version.
+    /// Releases received, by unit and sender, with the highest version released.
     received_releases: BTreeMap<(Key, MemberId), Offset>,
-    /// Version under which this process has given its standby role away.
+    /// Version under which this process has renounced its standby role for each unit.
     renounced: BTreeMap<Key, Offset>,
-    /// True from the proposal of a record by which this process leaves until that is rejected.
+    /// True once a record by which this process leaves is about to be appended, unless rejected.
     leaving: bool,
-    /// Slots for which a split or merge has been appended and is not settled.
+    /// Slots with a split or merge that has been appended and whose outcome is unknown.
     changing: BTreeSet<(Name, Slot)>,
 }
 
 impl Rights {
-    /// Makes the rights of a process that has served nothing.
+    /// Creates the rights of a process that has served no unit.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that this process has released a unit for good; false when it must not yet.
-    ///
-    /// The former owner releases to the owner and the standby, the owner to the
-    /// standby. The release states the version of `assignment`.
+    /// Records that this process releases a unit for good; returns false while it must not.
     ///
-    /// Failure: the owner has appended a split or merge, the answer is lost,
-    /// and it releases the unit. The record then gives the owner a unit that it
-    /// has not released, while the standby serves the same keys under the
-    /// release. So no release while such a record is not settled.
+    /// A former owner releases to the owner and the standby, the owner to the standby, each with
+    /// the version of `assignment`. Nothing is released while a split or merge within the slot is
+    /// pending: its record could give the owner a unit that it has not released, while the standby
+    /// serves the same keys by the release.
     pub fn release(&mut self, workspace: &Name, unit: UnitId, assignment: &Assignment) -> bool {
         if self.changing.contains(&(workspace.clone(), unit.slot)) {
             return false;
@@ -93,16 +90,16 @@
         true
     }
 
-    /// Returns true when this process, the owner, has released the unit to the present standby.
+    /// Returns true when this process, as owner, has released the unit to the current standby.
     ///
-    /// When the version changes meanwhile, for example because a former owner is
-    /// evicted, the release is to be sent again under the new version.
+    /// When the version changes, for example because a former owner is evicted, the release must be
+    /// resent under the new version.
     #[must_use]
     pub fn has_released(&self, workspace: &Name, unit: UnitId, assignment: &Assignment) -> bool {
         self.released.get(&(unit, workspace.clone())) == Some(&Roles::of(assignment))
     }
 
-    /// Notes that `from` has released a unit to this process.
+    /// Records a release of a unit by `from` to this process.
     pub fn record_release(
         &mut self,
         from: MemberId,
@@ -113,14 +110,14 @@
         record_max(&mut self.received_releases, ((unit, workspace.clone()), from), version);
     }
 
-    /// Notes that this process is about to append a record that gives its standby role away.
+    /// Renounces the standby role; must be called before the record that gives it away is appended.
     pub fn renounce(&mut self, workspace: &Name, unit: UnitId, version: Offset) {
         let key = (unit, workspace.clone());
         self.served.remove(&key);
         record_max(&mut self.renounced, key, version);
     }
 
-    /// Takes a renunciation back; to be called only when its record is rejected for sure.
+    /// Reverts [`Self::renounce`]; may be called only when its record is known to be rejected.
     pub fn cancel_renounce(&mut self, workspace: &Name, unit: UnitId, version: Offset) {
         let key = (unit, workspace.clone());
         if self.renounced.get(&key) == Some(&version) {
@@ -128,56 +125,55 @@
         }
     }
 
-    /// Notes that this process is about to append a record by which it leaves.
+    /// Stops takeovers as a standby; must be called before the leave record is appended.
     ///
-    /// From then on it takes over nothing as a standby, whatever the version. Failure: it renounces its
-    /// roles under the versions that it knows, the eviction of an owner raises one of these, and it
-    /// takes over from an owner that has released to it; the record then gives its role away, and
-    /// that owner serves again, having nobody to whom it has released.
+    /// [`Self::renounce`] alone only covers known versions. If an eviction raised a version, this
+    /// process could take over from an owner that has released to it. The leave record then removes
+    /// the standby, the release lapses with that role, and the owner serves again beside this
+    /// process.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Takes that back; to be called only when the record is rejected for sure.
+    /// Reverts [`Self::leave`]; may be called only when the record is known to be rejected.
     pub fn cancel_leave(&mut self) {
         self.leaving = false;
     }
 
-    /// Notes that a split or merge within a slot is about to be appended.
+    /// Marks a slot before a split or merge within it is appended.
     pub fn begin_change(&mut self, workspace: &Name, slot: Slot) {
         self.changing.insert((workspace.clone(), slot));
     }
 
-    /// Notes that the splits and merges within a slot are read back or rejected for sure.
+    /// Unmarks a slot once its splits and merges are read from the log or known to be rejected.
     pub fn end_change(&mut self, workspace: &Name, slot: Slot) {
         self.changing.remove(&(workspace.clone(), slot));
     }
 
     /// Returns true when this process serves the unit and has not released it.
     ///
-    /// A switchover, leave, split or merge may be proposed only for such units.
-    /// Failure: a new owner that still waits for `prior` passes the unit on;
-    /// the record then names the new owner as `prior`, and nobody waits for the
-    /// old one, which may still serve.
+    /// A switchover, leave, split or merge may be proposed only for such units. If a new owner that
+    /// still waits for `prior` passed the unit on, it would become `prior` itself, and no one would
+    /// wait for the former owner, which may still serve.
     #[must_use]
     pub fn serving(&self, workspace: &Name, unit: UnitId) -> bool {
         self.served.contains(&(unit, workspace.clone()))
     }
 
-    /// Notes that this process's own split is read back: it serves the hot key as it served the slot.
+    /// Marks a hot key as served after this process's own split, if it serves the slot.
     ///
-    /// To be called before [`Self::end_change`]. Without it the key could not be
-    /// served until the slot's former owner had released the key as well.
+    /// Must be called when the split is read from the log, before [`Self::end_change`]. Otherwise
+    /// the key could not be served until the slot's former owner had released it too.
     pub fn inherit(&mut self, workspace: &Name, key: UnitId) {
         if self.serving(workspace, UnitId::slot(key.slot)) {
             self.served.insert((key, workspace.clone()));
         }
     }
 
-    /// Forgets what concerns outdated versions and units that are not this process's.
+    /// Removes entries of outdated versions and of units not assigned to this process.
     ///
-    /// Of a workspace whose route is retired all is kept: its units keep their
-    /// owners, and nobody releases anew when it is published again.
+    /// Keeps all entries of a workspace whose route is retired: its units keep their owners, and no
+    /// one releases them again when the route is published again.
     pub fn prune(&mut self, me: MemberId, state: &State) {
         let retired = |key: &Key| state.service(&key.1).is_none();
         let find = |(unit, workspace): &Key| state.service(workspace)?.assignment(*unit);
@@ -189,14 +185,14 @@
             retired(key) || find(key).is_some_and(|a| *version >= a.version)
         });
         self.received_releases.retain(|(key, from), version| {
-            // A unit that is not known yet may come with a record that is not folded.
+            // An unknown unit may be defined by a record that is not folded yet.
             let unknown = *version >= state.next();
             retired(key)
                 || find(key).map_or(unknown, |a| *version >= *valid_versions(a, *from).start())
         });
     }
 
-    /// Decides whether this process may serve a unit at `now`.
+    /// Decides whether this process may serve a unit at `now`, by the folded state.
     pub fn right(
         &mut self,
         now: Time,
@@ -210,12 +206,12 @@
         let Some(assignment) = service.and_then(|service| service.assignment(unit)) else {
             return Right::Elsewhere { owner: None, standby: None };
         };
-        // A member that the state does not remember has been dead for long.
+        // The state drops members only long after their death.
         let expired = |id| state.member(id).is_none_or(|member| tally.expired(now, member));
         self.decide(now, holder, workspace, unit, assignment, expired)
     }
 
-    /// Decides on one assignment; `expired` tells whose lease is over for good.
+    /// Decides by one assignment; `expired` is true of members whose lease has expired for good.
     pub fn decide(
         &mut self,
         now: Time,
@@ -228,9 +224,9 @@
         let Assignment { owner, standby, version, token, .. } = *assignment;
         let key = (unit, workspace.clone());
         let me = holder.id();
-        // A release holds as long as the standby and the owner are the same, not
-        // only under one version. Failure: a third member's eviction changes the
-        // version, and the owner serves again beside the standby that lags behind.
+        // A release stays valid across versions while owner and standby are the same. Otherwise the
+        // eviction of a third member, which changes the version, would let the owner serve beside a
+        // standby that lags behind.
         let released = self.released.get(&key) == Some(&Roles::of(assignment));
         let (ready, token) = if owner == Some(me) && !released {
             (self.owner_ready(&key, me, assignment, &expired), Token::owner(token))
@@ -269,10 +265,9 @@
     ) -> bool {
         let version = assignment.version;
         let renounced = self.leaving || self.renounced.get(key).is_some_and(|v| *v >= version);
-        // Once it has taken over, a standby goes on over changes of version: the
-        // owner is lost or bound by its release while the standby is the same.
-        // After a switchover back the standby itself is `prior` and must stop, and it is
-        // `rival` once the owner's next process is in the owner's place.
+        // After a takeover, a standby continues across versions: the owner is lost or bound by its
+        // release while the standby is the same. It must stop once it is `prior`, after a
+        // switchover back, or `rival`, after the owner's next process has replaced the owner.
         let stops = [assignment.prior, assignment.rival].contains(&Some(me));
         let continues = self.served.contains(key) && !stops;
         let relinquished = |other| self.has_relinquished(key, me, assignment, other, &expired);
@@ -281,7 +276,7 @@
         !renounced && assignment.owner.is_some() && (continues || taken)
     }
 
-    /// Returns true when `other` does not serve the unit and will not.
+    /// Returns true when `other` no longer serves the unit and cannot serve it again.
     fn has_relinquished(
         &self,
         key: &Key,
@@ -299,12 +294,12 @@
     }
 }
 
-/// Returns the versions under which a release by `from` counts.
+/// Returns the versions for which a release by `from` is valid.
 ///
-/// An owner may serve again under a later version than the one it released, so
-/// its release counts under the present version only. A former owner cannot
-/// serve as such since the owner changed. A release under a version that is not
-/// folded here may leave out keys that have been split from the unit.
+/// An owner may serve again under a later version than the one that it released, so its release is
+/// valid for the current version only. A former owner's is valid since the last change of owner,
+/// after which it cannot serve. Later versions than the folded one are excluded, as such a release
+/// may leave out keys that were split from the unit.
 fn valid_versions(assignment: &Assignment, from: MemberId) -> RangeInclusive<Offset> {
     let Assignment { owner, version, token, .. } = *assignment;
     let first = if owner == Some(from) { version } else { token };
