--- a/acaciaring_core/src/holds.rs
+++ b/acaciaring_core/src/holds.rs
@@ -4,8 +4,8 @@
 //! long. A unit may pass to another member only once its upstream surely holds it no more.
 
 mod epoch;
-mod rows;
-mod starts;
+mod incarnation;
+mod ranges;
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 pub use self::epoch::Epoch;
-pub use self::rows::{Freed, Granted, Held, Wanted};
-use self::rows::{lie_in, meet, rows};
-pub use self::starts::{Incarnation, Incarnations, ReportOutcome};
+pub use self::incarnation::{Incarnation, Incarnations, ReportOutcome};
+pub use self::ranges::{Freed, Granted, Held, Wanted};
+use self::ranges::{lie_in, meet, rows};
 use crate::id::{Name, Token, UnitId};
 use crate::time::Time;
 
--- a/acaciaring_core/src/orders.rs
+++ b/acaciaring_core/src/orders.rs
@@ -5,16 +5,16 @@
 //! release ends, and by what it has not answered, which nothing ends but time.
 
 mod order;
-mod piece;
 mod runs;
+mod segment;
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
 pub use self::order::{Action, Answer, Completion, Issued, Order};
-use self::piece::{Piece, Pieces};
 use self::runs::{Run, grants, releases};
+use self::segment::{Piece, Pieces};
 use crate::holds::{DRIFT, Epoch, Incarnation, Incarnations, LEAST, ReportOutcome, Wanted};
 use crate::id::{Name, Token};
 use crate::time::Time;
--- a/acaciaring_core/src/orders/runs.rs
+++ b/acaciaring_core/src/orders/runs.rs
@@ -1,6 +1,6 @@
 //! Neighbouring pieces that one order can bear.
 
-use super::piece::{Piece, Pieces};
+use super::segment::{Piece, Pieces};
 use crate::id::{Name, Token};
 use crate::time::Time;
 
