--- a/acaciaring_core/src/orders.rs
+++ b/acaciaring_core/src/orders.rs
@@ -224,7 +224,7 @@
 
     /// Returns true when a grant has lapsed since the last decision.
     #[must_use]
-    pub fn lapsed(&self, now: Time) -> bool {
+    pub fn has_expired(&self, now: Time) -> bool {
         self.lapse.is_some_and(|lapse| now >= lapse)
     }
 
--- a/acaciaringd/src/control/holding.rs
+++ b/acaciaringd/src/control/holding.rs
@@ -91,7 +91,7 @@
     /// Returns true once something has changed by time alone since it was last looked at.
     pub(super) fn is_stale(&mut self, now: Time) -> bool {
         let next = match &self.way {
-            Way::Called(orders) if orders.lapsed(now) => return true,
+            Way::Called(orders) if orders.has_expired(now) => return true,
             // What an order brings is told when its answer comes.
             Way::Called(_) => self.closing(now),
             Way::Reported(_) => self.next(now),
