--- a/acaciaring_core/src/orders/runs.rs
+++ b/acaciaring_core/src/orders/runs.rs
@@ -1,6 +1,6 @@
 //! Neighbouring pieces that one order can bear.
 
-use super::segment::{Piece, Pieces};
+use super::segment::{Segment, Segments};
 use crate::id::{Name, Token};
 use crate::time::Time;
 
@@ -11,7 +11,7 @@
     pub(super) last: u32,
     pub(super) token: Token,
     pub(super) handover: Name,
-    single: bool,
+    isolated: bool,
     /// When the first of its pieces is due.
     due: Time,
 }
@@ -22,8 +22,8 @@
         let fits = self.last + 1 == next.first
             && self.token == next.token
             && self.handover == next.handover
-            && !self.single
-            && !next.single;
+            && !self.isolated
+            && !next.isolated;
         if fits {
             self.last = next.last;
             self.due = self.due.min(next.due);
@@ -33,12 +33,13 @@
 }
 
 /// Returns the grants that are due, the most urgent first, at most `room`.
-pub(super) fn grants(now: Time, pieces: &Pieces, room: usize) -> Vec<Run> {
-    let fits = pieces.ordered().filter(|(_, piece)| piece.is_grantable(now));
-    let mut runs = join(fits.map(|(first, piece)| {
+pub(super) fn grants(now: Time, segments: &Segments, room: usize) -> Vec<Run> {
+    let fits = segments.ordered().filter(|(_, segment)| segment.is_grantable(now));
+    let mut runs = join(fits.map(|(first, segment)| {
         // What is held already has no longer to be told what the last holder gave out.
-        let handover = if piece.is_new() { Name::clone(&piece.handover) } else { Name::from("") };
-        run(first, piece, handover, piece.renewal())
+        let handover =
+            if segment.is_new() { Name::clone(&segment.handover) } else { Name::from("") };
+        run(first, segment, handover, segment.renewal())
     }));
     runs.retain(|run| run.due <= now);
     runs.sort_by_key(|run| run.due);
@@ -49,28 +50,28 @@
 /// Returns the releases that are due, at most `room`.
 pub(super) fn releases(
     now: Time,
-    pieces: &Pieces,
+    segments: &Segments,
     idle: impl Fn(u32, u32) -> bool,
     room: usize,
 ) -> Vec<Run> {
     if room == 0 {
         return Vec::new();
     }
-    let fits = pieces.ordered().filter(|(_, piece)| piece.is_to_release(now));
-    let fits = fits.filter(|(first, piece)| idle(*first, piece.last));
-    let mut runs = join(fits.map(|(first, piece)| run(first, piece, Name::from(""), now)));
+    let fits = segments.ordered().filter(|(_, segment)| segment.is_releasable(now));
+    let fits = fits.filter(|(first, segment)| idle(*first, segment.last));
+    let mut runs = join(fits.map(|(first, segment)| run(first, segment, Name::from(""), now)));
     runs.truncate(room);
     runs
 }
 
-fn run(first: u32, piece: &Piece, handover: Name, due: Time) -> Run {
-    let Piece { last, token, single, .. } = *piece;
-    Run { first, last, token, handover, single, due }
+fn run(first: u32, segment: &Segment, handover: Name, due: Time) -> Run {
+    let Segment { last, token, isolated, .. } = *segment;
+    Run { first, last, token, handover, isolated, due }
 }
 
-fn join(pieces: impl Iterator<Item = Run>) -> Vec<Run> {
+fn join(segments: impl Iterator<Item = Run>) -> Vec<Run> {
     let mut runs: Vec<Run> = Vec::new();
-    for next in pieces {
+    for next in segments {
         if !runs.last_mut().is_some_and(|last| last.extend(&next)) {
             runs.push(next);
         }
--- a/acaciaring_core/src/orders/segment.rs
+++ b/acaciaring_core/src/orders/segment.rs
@@ -4,7 +4,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use super::{AGAIN, REJECTED};
+use super::{REJECTED_DELAY, RETRY_DELAY};
 use crate::holds::DRIFT;
 use crate::id::{Name, Token};
 use crate::orders::Answer;
@@ -13,7 +13,7 @@
 /// Part of a grant's time that is left when it is renewed, as a divisor.
 ///
 /// One order without answer, and one that is sent again after it, then cost no hold.
-const RENEW_PART: u32 = 2;
+const RENEWAL_DIVISOR: u32 = 2;
 
 /// Grant that the upstream has confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -22,12 +22,12 @@
     /// When it is to be renewed.
     renewal: Time,
     /// When the upstream may have let go.
-    lapse: Time,
+    expiry: Time,
 }
 
 /// Piece of the keys.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct Piece {
+pub(super) struct Segment {
     pub(super) last: u32,
     /// True while the upstream is to hold it.
     pub(super) wanted: bool,
@@ -36,53 +36,53 @@
     /// What the last holder gave out, for the first grant under the token.
     pub(super) handover: Name,
     /// Number of the order under way.
-    pub(super) open: Option<u64>,
+    pub(super) in_flight: Option<u64>,
     /// What the upstream gave out when it released the piece.
     pub(super) freed: Name,
     grant: Option<Grant>,
     /// Until when the upstream may hold it by what it has answered.
-    held: Time,
+    held_until: Time,
     /// Until when it may hold it by what it has not answered.
-    unsure: Time,
+    unconfirmed_until: Time,
     /// Time before which no order is given.
-    pause: Time,
+    paused_until: Time,
     /// Token for which the upstream has seen a higher one.
     superseded: Option<Token>,
     /// True when the piece must be ordered by itself.
-    pub(super) single: bool,
+    pub(super) isolated: bool,
 }
 
 /// What others have to know of a piece.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct PieceState {
+pub(super) struct SegmentState {
     serves: Option<Token>,
     held: bool,
     superseded: bool,
 }
 
-impl Piece {
+impl Segment {
     fn new(last: u32, token: Token, handover: Name) -> Self {
         Self {
             last,
             wanted: true,
             token,
             handover,
-            open: None,
+            in_flight: None,
             freed: Name::from(""),
             grant: None,
-            held: Time::ZERO,
-            unsure: Time::ZERO,
-            pause: Time::ZERO,
+            held_until: Time::ZERO,
+            unconfirmed_until: Time::ZERO,
+            paused_until: Time::ZERO,
             superseded: None,
-            single: false,
+            isolated: false,
         }
     }
 
-    fn want(&mut self, token: Token, handover: &Name) {
+    fn set_wanted(&mut self, token: Token, handover: &Name) {
         if self.token != token {
-            self.single = false;
+            self.isolated = false;
             self.superseded = None;
-            self.pause = Time::ZERO;
+            self.paused_until = Time::ZERO;
         }
         self.wanted = true;
         self.token = token;
@@ -95,7 +95,7 @@
     }
 
     /// Takes in the answer to a grant that was decided at `since`; `alone` when it bore this piece only.
-    pub(super) fn granted(
+    pub(super) fn handle_grant(
         &mut self,
         now: Time,
         since: Time,
@@ -107,51 +107,51 @@
         let longest = now + hold.mul_f64(1.0 + DRIFT);
         match answer {
             Answer::Done { .. } => {
-                let renewal = since + hold / RENEW_PART;
-                self.grant = Some(Grant { token, renewal, lapse: since + hold });
-                self.held = self.held.max(longest);
+                let renewal = since + hold / RENEWAL_DIVISOR;
+                self.grant = Some(Grant { token, renewal, expiry: since + hold });
+                self.held_until = self.held_until.max(longest);
                 self.freed = Name::from("");
-                self.single = false;
+                self.isolated = false;
             }
             // Its connection is closed by now, so it has arrived or never will.
-            Answer::Unknown => self.unsure = self.unsure.max(longest),
+            Answer::Unknown => self.unconfirmed_until = self.unconfirmed_until.max(longest),
             Answer::Superseded if alone => self.superseded = Some(token),
-            Answer::Superseded => self.single = true,
-            Answer::Rejected => self.pause = now + REJECTED,
-            Answer::Unsent => self.pause = now + AGAIN,
+            Answer::Superseded => self.isolated = true,
+            Answer::Rejected => self.paused_until = now + REJECTED_DELAY,
+            Answer::Unsent => self.paused_until = now + RETRY_DELAY,
             Answer::Unconnected => {}
         }
     }
 
     /// Takes in the answer to a release.
-    pub(super) fn released(&mut self, now: Time, answer: &Answer) {
+    pub(super) fn handle_release(&mut self, now: Time, answer: &Answer) {
         match answer {
             Answer::Done { handover } => {
                 self.grant = None;
-                self.held = now;
+                self.held_until = now;
                 self.freed = Name::clone(handover);
             }
             Answer::Unknown | Answer::Unconnected => {}
-            Answer::Unsent => self.pause = now + AGAIN,
-            Answer::Superseded | Answer::Rejected => self.pause = now + REJECTED,
+            Answer::Unsent => self.paused_until = now + RETRY_DELAY,
+            Answer::Superseded | Answer::Rejected => self.paused_until = now + REJECTED_DELAY,
         }
     }
 
     pub(super) fn serves(&self, now: Time, token: Token) -> bool {
-        let acts = |grant: &Grant| grant.token == token && now < grant.lapse;
-        self.wanted && self.grant.as_ref().is_some_and(acts)
+        let valid = |grant: &Grant| grant.token == token && now < grant.expiry;
+        self.wanted && self.grant.as_ref().is_some_and(valid)
     }
 
     /// Returns true while the upstream may hold the piece, or an order that could change it is under way.
     pub(super) fn may_be_held(&self, now: Time) -> bool {
-        self.open.is_some() || now < self.held || now < self.unsure
+        self.in_flight.is_some() || now < self.held_until || now < self.unconfirmed_until
     }
 
     /// Returns true when the upstream may hold the piece by what it has answered.
     ///
     /// What it has not answered cannot be released: it may be carried out after the release.
-    pub(super) fn is_to_release(&self, now: Time) -> bool {
-        !self.wanted && self.is_free(now) && now < self.held
+    pub(super) fn is_releasable(&self, now: Time) -> bool {
+        !self.wanted && self.is_orderable(now) && now < self.held_until
     }
 
     pub(super) fn is_superseded(&self) -> bool {
@@ -159,13 +159,13 @@
     }
 
     /// Returns true while the piece may be ordered.
-    pub(super) fn is_free(&self, now: Time) -> bool {
-        self.open.is_none() && now >= self.pause
+    pub(super) fn is_orderable(&self, now: Time) -> bool {
+        self.in_flight.is_none() && now >= self.paused_until
     }
 
     /// Returns true while the piece may be granted.
     pub(super) fn is_grantable(&self, now: Time) -> bool {
-        self.wanted && self.is_free(now) && !self.is_superseded()
+        self.wanted && self.is_orderable(now) && !self.is_superseded()
     }
 
     /// Returns true while the upstream does not hold the piece under its token.
@@ -180,26 +180,26 @@
     }
 
     /// Returns when the grant lapses under which the piece is served.
-    pub(super) fn lapse(&self, now: Time) -> Option<Time> {
+    pub(super) fn expiry(&self, now: Time) -> Option<Time> {
         let grant = self.grant.filter(|_| self.wanted)?;
-        (now < grant.lapse).then_some(grant.lapse)
+        (now < grant.expiry).then_some(grant.expiry)
     }
 
     /// Returns when an order for the piece is due by time alone.
     pub(super) fn due(&self, now: Time) -> Option<Time> {
-        if self.open.is_some() {
+        if self.in_flight.is_some() {
             return None;
         }
         if self.wanted && !self.is_superseded() {
-            return Some(self.renewal().max(self.pause));
+            return Some(self.renewal().max(self.paused_until));
         }
         // Requests in flight may keep it from being released until they end.
-        (!self.wanted && now < self.held).then_some(self.pause)
+        (!self.wanted && now < self.held_until).then_some(self.paused_until)
     }
 
-    pub(super) fn state(&self, now: Time) -> PieceState {
-        let grant = self.grant.filter(|grant| self.wanted && now < grant.lapse);
-        PieceState {
+    pub(super) fn state(&self, now: Time) -> SegmentState {
+        let grant = self.grant.filter(|grant| self.wanted && now < grant.expiry);
+        SegmentState {
             serves: grant.map(|grant| grant.token),
             held: self.may_be_held(now),
             superseded: self.is_superseded(),
@@ -209,96 +209,105 @@
 
 /// Pieces by their first keys; they do not overlap.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub(super) struct Pieces(BTreeMap<u32, Piece>);
+pub(super) struct Segments(BTreeMap<u32, Segment>);
 
-impl Pieces {
-    pub(super) fn all(&self) -> impl Iterator<Item = &Piece> {
+impl Segments {
+    pub(super) fn all(&self) -> impl Iterator<Item = &Segment> {
         self.0.values()
     }
 
-    pub(super) fn all_mut(&mut self) -> impl Iterator<Item = &mut Piece> {
+    pub(super) fn all_mut(&mut self) -> impl Iterator<Item = &mut Segment> {
         self.0.values_mut()
     }
 
     /// Returns the pieces with their first keys, in order.
-    pub(super) fn ordered(&self) -> impl Iterator<Item = (u32, &Piece)> {
-        self.0.iter().map(|(first, piece)| (*first, piece))
+    pub(super) fn ordered(&self) -> impl Iterator<Item = (u32, &Segment)> {
+        self.0.iter().map(|(first, segment)| (*first, segment))
     }
 
     /// Returns the pieces that begin in a range.
-    pub(super) fn within_mut(&mut self, first: u32, last: u32) -> impl Iterator<Item = &mut Piece> {
-        self.0.range_mut(first..=last).map(|(_, piece)| piece)
+    pub(super) fn starting_in_mut(
+        &mut self,
+        first: u32,
+        last: u32,
+    ) -> impl Iterator<Item = &mut Segment> {
+        self.0.range_mut(first..=last).map(|(_, segment)| segment)
     }
 
     /// Returns the pieces that have keys in a range.
-    pub(super) fn meeting(&self, keys: &RangeInclusive<u32>) -> impl Iterator<Item = &Piece> {
+    pub(super) fn overlapping(&self, keys: &RangeInclusive<u32>) -> impl Iterator<Item = &Segment> {
         let first = *keys.start();
-        let before = self.0.range(..first).next_back().map(|(_, piece)| piece);
-        let before = before.filter(move |piece| first <= piece.last);
-        before.into_iter().chain(self.0.range(keys.clone()).map(|(_, piece)| piece))
+        let before = self.0.range(..first).next_back().map(|(_, segment)| segment);
+        let before = before.filter(move |segment| first <= segment.last);
+        before.into_iter().chain(self.0.range(keys.clone()).map(|(_, segment)| segment))
     }
 
-    pub(super) fn meeting_mut(
+    pub(super) fn overlapping_mut(
         &mut self,
         keys: &RangeInclusive<u32>,
-    ) -> impl Iterator<Item = &mut Piece> {
+    ) -> impl Iterator<Item = &mut Segment> {
         let first = *keys.start();
-        let begin = self.0.range(..first).next_back().filter(|(_, piece)| first <= piece.last);
+        let begin = self.0.range(..first).next_back().filter(|(_, segment)| first <= segment.last);
         let begin = begin.map_or(first, |(begin, _)| *begin);
-        self.0.range_mut(begin..=*keys.end()).map(|(_, piece)| piece)
+        self.0.range_mut(begin..=*keys.end()).map(|(_, segment)| segment)
     }
 
     /// Returns true when pieces that all fit cover a range.
-    pub(super) fn cover(&self, keys: &RangeInclusive<u32>, fits: impl Fn(&Piece) -> bool) -> bool {
+    pub(super) fn is_covered(
+        &self,
+        keys: &RangeInclusive<u32>,
+        fits: impl Fn(&Segment) -> bool,
+    ) -> bool {
         let mut next = *keys.start();
         while next <= *keys.end() {
-            let Some((first, piece)) = self.0.range(..=next).next_back() else { return false };
-            if *first > next || piece.last < next || !fits(piece) {
+            let Some((first, segment)) = self.0.range(..=next).next_back() else { return false };
+            if *first > next || segment.last < next || !fits(segment) {
                 return false;
             }
-            next = piece.last + 1;
+            next = segment.last + 1;
         }
         true
     }
 
     /// Makes the pieces of a range wanted; what lies between them becomes new pieces.
-    pub(super) fn want(&mut self, keys: &RangeInclusive<u32>, token: Token, handover: &Name) {
+    pub(super) fn set_wanted(&mut self, keys: &RangeInclusive<u32>, token: Token, handover: &Name) {
         let (first, last) = (*keys.start(), *keys.end());
-        self.cut(first);
-        self.cut(last + 1);
+        self.split_at(first);
+        self.split_at(last + 1);
         let mut gaps = Vec::new();
         let mut next = first;
-        for (begin, piece) in self.0.range_mut(first..=last) {
+        for (begin, segment) in self.0.range_mut(first..=last) {
             if next < *begin {
                 gaps.push((next, *begin - 1));
             }
-            next = piece.last + 1;
-            piece.want(token, handover);
+            next = segment.last + 1;
+            segment.set_wanted(token, handover);
         }
         if next <= last {
             gaps.push((next, last));
         }
         for (first, last) in gaps {
-            let piece = Piece::new(last, token, Name::clone(handover));
-            self.0.insert(first, piece);
+            let segment = Segment::new(last, token, Name::clone(handover));
+            self.0.insert(first, segment);
         }
     }
 
     /// Makes a piece begin at a key, if one covers it.
-    fn cut(&mut self, at: u32) {
-        let Some((_, piece)) = self.0.range_mut(..at).next_back() else { return };
-        if piece.last < at {
+    fn split_at(&mut self, at: u32) {
+        let Some((_, segment)) = self.0.range_mut(..at).next_back() else { return };
+        if segment.last < at {
             return;
         }
-        let upper = piece.clone();
-        piece.last = at - 1;
+        let upper = segment.clone();
+        segment.last = at - 1;
         self.0.insert(at, upper);
     }
 
     /// Forgets pieces that are neither wanted nor held, but for what they gave out.
-    pub(super) fn settle(&mut self, now: Time) {
-        let kept =
-            |piece: &Piece| piece.wanted || piece.may_be_held(now) || !piece.freed.is_empty();
-        self.0.retain(|_, piece| kept(piece));
+    pub(super) fn prune(&mut self, now: Time) {
+        let kept = |segment: &Segment| {
+            segment.wanted || segment.may_be_held(now) || !segment.freed.is_empty()
+        };
+        self.0.retain(|_, segment| kept(segment));
     }
 }
