--- a/acaciaring_core/src/orders.rs
+++ b/acaciaring_core/src/orders.rs
@@ -1,8 +1,8 @@
-//! What an upstream holds by order: each grant and each release is a call to it.
+//! Keys that an upstream holds where each grant and each release of a key range is a call to it.
 //!
-//! An order may stay without answer and be carried out seconds later, after newer ones. So each
-//! range has two bounds: until when the upstream may hold it by what it has answered, which a
-//! release ends, and by what it has not answered, which nothing ends but time.
+//! An order without an answer may be carried out seconds later, after newer ones. So each key range
+//! has two bounds on how long the upstream may hold it: one from confirmed grants, which a release
+//! ends, and one from unanswered grants, which ends only with time.
 
 mod order;
 mod runs;
@@ -19,64 +19,63 @@
 use crate::id::{Name, Token};
 use crate::time::Time;
 
-/// Time from the decision on an order until it is given up without answer.
+/// Timeout of an order, from its decision.
 ///
-/// The upstream is on the same VM and answers within milliseconds. The time is taken off what a
-/// grant may last, for the upstream counts from the arrival.
+/// It is subtracted from the duration of a grant, which the upstream counts from arrival.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Grants under way at once, and releases under way at once.
+/// Maximum number of grants in flight, and of releases.
 ///
-/// Each takes a connection; those that wait without answer must not hold up the others.
+/// Each takes a connection; those that get no answer must not block the others.
 const MAX_IN_FLIGHT: usize = 8;
 
-/// Time until an order that was not taken is given again.
+/// Delay before retrying an order that did not arrive or was not accepted for now.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time until an order that was rejected is given again.
+/// Delay before retrying an order that was rejected.
 const REJECTED_DELAY: Duration = Duration::from_secs(1);
 
-/// Time between two looks at what waits for a place or for requests in flight.
+/// Interval at which orders that wait for a free slot or for requests in flight are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Order under way.
+/// Order in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct InFlight {
     order: Order,
-    /// Token of the assignment, without the epoch.
+    /// Token of the assignment, without epoch.
     token: Token,
     since: Time,
-    /// Starts of the upstream that were known when it was given.
+    /// Value of `Orders::replacements` when it was issued.
     replacements: u64,
 }
 
-/// What the upstream beside this member holds by order.
+/// Orders to the upstream of this member and the keys that it holds by them.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Orders {
-    /// Longest time for which a grant is given.
+    /// Maximum duration of a grant.
     hold: Duration,
     incarnations: Incarnations,
     segments: Segments,
     in_flight: BTreeMap<u64, InFlight>,
-    /// Orders given so far.
+    /// Orders issued so far.
     count: u64,
-    /// Starts of the upstream that took the place of an earlier one.
+    /// Incarnations of the upstream that replaced an earlier one.
     replacements: u64,
     epoch: Epoch,
-    /// Time until which the upstream may hold anything by a former process.
+    /// Time until which the upstream may hold any keys by grants of an earlier process.
     unknown_until: Time,
-    /// True when something but time has changed since orders were last decided.
+    /// True when anything but the time has changed since the last decision.
     changed: bool,
-    /// When the next order is due by time alone.
+    /// When the next order becomes due if nothing but the time changes.
     due: Time,
-    /// When the first of the grants that are served lapses.
+    /// When the first grant of a wanted segment expires.
     next_expiry: Option<Time>,
 }
 
 impl Orders {
-    /// Makes a record of an upstream of which nothing is known.
+    /// Creates the state for an upstream of which nothing is known.
     ///
-    /// It may hold what a former process has granted, for as long as any grant lasts.
+    /// It may hold any keys by grants of an earlier process, for the maximum duration of a grant.
     #[must_use]
     pub fn new(now: Time, hold: Duration) -> Self {
         Self {
@@ -94,13 +93,13 @@
         }
     }
 
-    /// Returns the present start of the upstream.
+    /// Returns the current incarnation of the upstream.
     #[must_use]
     pub const fn incarnation(&self) -> Option<&Incarnation> {
         self.incarnations.present()
     }
 
-    /// Takes in a report, which says nothing of what is held.
+    /// Handles a heartbeat of the upstream, which does not state the keys that it holds.
     pub fn report(&mut self, now: Time, incarnation: &Incarnation, sequence: u64) -> ReportOutcome {
         let report = self.incarnations.report(now, incarnation, sequence);
         if report == ReportOutcome::NewIncarnation {
@@ -109,11 +108,10 @@
         report
     }
 
-    /// Notes that another start of the upstream has taken the place of the present one.
+    /// Handles a new incarnation of the upstream, which must be granted all keys again.
     ///
-    /// It holds nothing but what it was granted between its start and its first report, over a new
-    /// connection, and nobody knows which grants those are. So the bounds on what it may hold stay, and
-    /// all is granted anew. Tokens rise, for the keys pass to another holder.
+    /// The bounds on what it may hold stay, as it may have received some grants before its first
+    /// heartbeat. The epoch rises, so that its tokens are above those of the previous incarnation.
     fn restarted(&mut self, now: Time) {
         self.epoch.raise(now);
         self.replacements += 1;
@@ -121,7 +119,7 @@
         self.changed = true;
     }
 
-    /// Takes over which units the upstream is to hold; everything else is to be released.
+    /// Sets the units that the upstream is to hold; all other keys are to be released.
     pub fn set_wanted(&mut self, wanted: &[Wanted]) {
         self.segments.all_mut().for_each(|segment| segment.wanted = false);
         for wanted in wanted {
@@ -132,11 +130,11 @@
         self.changed = true;
     }
 
-    /// Decides which orders are to be given now.
+    /// Decides which orders to send now.
     ///
-    /// `lease` is the end of this member's lease, which no grant may outlast. `idle` tells whether
-    /// no request for a range of keys is in flight; only then it is released, so that the answer
-    /// comes at once and one long request does not hold up its neighbours.
+    /// `lease` is the expiry of this member's lease, which no grant may outlast. A key range is
+    /// released only once `idle` says that no request for it is in flight, so that the release is
+    /// answered at once and a long request does not delay the release of neighbouring keys.
     pub fn decide(
         &mut self,
         now: Time,
@@ -163,7 +161,7 @@
         }
         self.next_expiry = self.segments.all().filter_map(|segment| segment.expiry(now)).min();
         let due = self.segments.all().filter_map(|segment| segment.due(now)).min();
-        // What is due already waits for a place, or for requests in flight.
+        // What is due already waits for a free slot, or for requests in flight.
         self.due = due.unwrap_or(now + self.hold).max(now + POLL_INTERVAL);
         issued
     }
@@ -191,13 +189,13 @@
         }
     }
 
-    /// Takes in what came of an order; `None` for a number that is not under way.
+    /// Handles the result of an order; returns `None` when the number is not in flight.
     pub fn complete(&mut self, now: Time, number: u64, answer: &Answer) -> Option<Completion> {
         let InFlight { order, token, since, replacements } = self.in_flight.remove(&number)?;
-        // What a former start has answered says nothing of the present one.
+        // An answer of an earlier incarnation says nothing about the current one.
         let answer = if replacements == self.replacements { answer } else { &Answer::Unknown };
         if *answer == Answer::Unconnected {
-            // Behind a new connection may be another start of the upstream.
+            // A new connection may lead to another incarnation.
             self.epoch.raise(now);
         }
         let mut changed = false;
@@ -220,28 +218,28 @@
         Some(Completion { order, age: now.since(since), changed })
     }
 
-    /// Returns true while the upstream runs requests for keys under a token.
+    /// Returns true while the upstream holds all of the keys under `token`.
     #[must_use]
     pub fn serves(&self, now: Time, keys: &[RangeInclusive<u32>], token: Token) -> bool {
         keys.iter().all(|keys| self.segments.is_covered(keys, |segment| segment.serves(now, token)))
     }
 
-    /// Returns true when a grant has lapsed since the last decision.
+    /// Returns true when a grant of wanted keys has expired since the last decision.
     #[must_use]
     pub fn has_expired(&self, now: Time) -> bool {
         self.next_expiry.is_some_and(|expiry| now >= expiry)
     }
 
-    /// Returns when something is to be done or changes by time alone.
+    /// Returns when the next order is due or the next grant expires.
     #[must_use]
     pub fn next_due(&self) -> Time {
         self.next_expiry.map_or(self.due, |expiry| self.due.min(expiry))
     }
 
-    /// Notes that the upstream has refused a request for keys that it should hold.
+    /// Drops the grants of keys for which the upstream has refused a request, to grant them again.
     ///
-    /// Guards against a release that is carried out late, after a newer grant, and against a start
-    /// that no report has told of: the keys are granted again.
+    /// It may not hold granted keys when a release is carried out late, after a newer grant, or
+    /// after a restart that no heartbeat has announced yet.
     pub fn mark_refused(&mut self, keys: &[RangeInclusive<u32>]) {
         for keys in keys {
             for segment in self.segments.overlapping_mut(keys) {
@@ -251,27 +249,27 @@
         self.changed = true;
     }
 
-    /// Returns true while the upstream may hold some of the keys, by orders of this process or a former one.
+    /// Returns true while the upstream may hold any of the keys, by this or an earlier process.
     #[must_use]
     pub fn may_hold(&self, now: Time, keys: &[RangeInclusive<u32>]) -> bool {
         let held = |keys| self.segments.overlapping(keys).any(|segment| segment.may_be_held(now));
         now < self.unknown_until || keys.iter().any(held)
     }
 
-    /// Returns true while the upstream may hold anything.
+    /// Returns true while the upstream may hold any keys.
     #[must_use]
     pub fn may_hold_any(&self, now: Time) -> bool {
         now < self.unknown_until || self.segments.all().any(|segment| segment.may_be_held(now))
     }
 
-    /// Returns what the upstream gave out when it released keys, empty when it gave nothing.
+    /// Returns the handover value that the upstream gave when it released keys, or an empty one.
     #[must_use]
     pub fn handover(&self, keys: &[RangeInclusive<u32>]) -> Name {
         let segment = keys.first().and_then(|keys| self.segments.overlapping(keys).next());
         segment.map_or_else(|| Name::from(""), |segment| Name::clone(&segment.freed))
     }
 
-    /// Returns true when keys cannot be granted under their present token, for one above it was seen.
+    /// Returns true when the upstream refuses any of the keys, having seen a higher token for it.
     #[must_use]
     pub fn superseded(&self, keys: &[RangeInclusive<u32>]) -> bool {
         keys.iter().any(|keys| self.segments.overlapping(keys).any(Segment::is_superseded))
--- a/acaciaring_core/src/orders/order.rs
+++ b/acaciaring_core/src/orders/order.rs
@@ -1,11 +1,11 @@
-//! Orders to an upstream, and what comes back.
+//! Orders to an upstream and their results.
 
 use std::time::Duration;
 
 use crate::id::{Name, Token};
 use crate::time::Time;
 
-/// Order to hold a range of keys, or to give it back.
+/// Order to hold or to release a range of keys.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Order {
     /// First key.
@@ -14,68 +14,68 @@
     pub last: u32,
     /// Fencing token.
     pub token: Token,
-    /// What is to be done with the keys.
+    /// Grant or release.
     pub action: Action,
 }
 
-/// What an upstream is to do with a range of keys.
+/// Action that an upstream is to take on a range of keys.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Hold it for a time that counts from the arrival of the order.
+    /// Hold the keys for a time that counts from the arrival of the order.
     Grant {
-        /// Time of the grant.
+        /// Duration of the grant.
         hold: Duration,
-        /// What the last holder gave out, empty when it gave nothing or has no longer to be told.
+        /// Handover value of the previous holder, empty when there is none or it was passed on.
         handover: Name,
     },
-    /// Take no new work for it, and answer once the work on it has ended.
+    /// Accept no new requests for the keys and answer once those in flight have ended.
     Release,
 }
 
-/// Order that is to be sent now.
+/// Order to be sent now.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Issued {
-    /// Number of the order, never used again.
+    /// Number of the order, never reused.
     pub number: u64,
     /// The order.
     pub order: Order,
-    /// Time at which it is given up: its connection is closed, so it arrives no later.
+    /// Time at which its connection is closed when there is no answer, so that it arrives no later.
     pub deadline: Time,
-    /// True when it may go over a new connection.
+    /// True when it may be sent over a new connection.
     ///
-    /// Guards against an upstream that ends and starts again under its name between two reports:
-    /// the order would reach it under a token that the former start had. Kept connections end with
-    /// the start, so only a new one can lead to another.
+    /// Guards against an upstream that restarts between two heartbeats: it would get the order
+    /// under a token of its previous incarnation. Open connections end with an incarnation, so only
+    /// a new one can lead to another.
     pub may_connect: bool,
 }
 
-/// What came of an order.
+/// Result of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// It is carried out.
+    /// The upstream has carried out the order.
     Done {
-        /// What the upstream gives to the next holder, empty where it gives nothing.
+        /// Handover value for the next holder, empty when there is none.
         handover: Name,
     },
-    /// The upstream has seen a higher token for one of the keys.
+    /// The upstream has seen a higher token for at least one of the keys.
     Superseded,
-    /// The upstream does not take the order as it stands.
+    /// The upstream does not accept the order in this form.
     Rejected,
-    /// It surely has not arrived, or is not taken now.
+    /// The order did not arrive, or the upstream does not accept it for now.
     Unsent,
-    /// It was not sent, for there is no kept connection and it may not go over a new one.
+    /// The order was not sent: no connection is open and it may not use a new one.
     Unconnected,
-    /// There is no answer: it may be carried out, now or seconds later.
+    /// There is no answer: the order may be carried out, now or seconds later.
     Unknown,
 }
 
-/// Range of keys of an order whose answer has come, for the log.
+/// Completed order, for logging.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Completion {
     /// The order.
     pub order: Order,
-    /// Time since it was decided.
+    /// Time since the order was issued.
     pub age: Duration,
-    /// True when the answer changes what the upstream serves or may hold.
+    /// True when the result changes which keys the upstream serves or may hold.
     pub changed: bool,
 }
--- a/acaciaring_core/src/orders/runs.rs
+++ b/acaciaring_core/src/orders/runs.rs
@@ -1,10 +1,10 @@
-//! Neighbouring pieces that one order can bear.
+//! Runs of adjacent segments that one order can cover.
 
 use super::segment::{Segment, Segments};
 use crate::id::{Name, Token};
 use crate::time::Time;
 
-/// Range of keys for one order.
+/// Adjacent segments for one order.
 #[derive(Debug, Clone)]
 pub(super) struct Run {
     pub(super) first: u32,
@@ -12,12 +12,12 @@
     pub(super) token: Token,
     pub(super) handover: Name,
     isolated: bool,
-    /// When the first of its pieces is due.
+    /// When the first of its segments is due.
     due: Time,
 }
 
 impl Run {
-    /// Takes a piece in where it goes on, under the same token and with the same handover.
+    /// Appends `next` if it is adjacent and alike; returns whether it did.
     fn extend(&mut self, next: &Self) -> bool {
         let fits = self.last + 1 == next.first
             && self.token == next.token
@@ -32,11 +32,11 @@
     }
 }
 
-/// Returns the grants that are due, the most urgent first, at most `room`.
+/// Returns at most `room` grants that are due, the most urgent first.
 pub(super) fn grants(now: Time, segments: &Segments, room: usize) -> Vec<Run> {
     let fits = segments.ordered().filter(|(_, segment)| segment.is_grantable(now));
     let mut runs = join(fits.map(|(first, segment)| {
-        // What is held already has no longer to be told what the last holder gave out.
+        // The upstream needs the handover value only with the first grant.
         let handover =
             if segment.is_new() { Name::clone(&segment.handover) } else { Name::from("") };
         run(first, segment, handover, segment.renewal())
@@ -47,7 +47,7 @@
     runs
 }
 
-/// Returns the releases that are due, at most `room`.
+/// Returns at most `room` releases that are due.
 pub(super) fn releases(
     now: Time,
     segments: &Segments,
--- a/acaciaring_core/src/orders/segment.rs
+++ b/acaciaring_core/src/orders/segment.rs
@@ -1,4 +1,4 @@
-//! Pieces of the keys, of which each is wanted and held as a whole.
+//! Segments of the key space, each of which is wanted, granted and released as a whole.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -10,49 +10,49 @@
 use crate::orders::Answer;
 use crate::time::Time;
 
-/// Part of a grant's time that is left when it is renewed, as a divisor.
+/// Divisor of a grant's duration after which it is renewed.
 ///
-/// One order without answer, and one that is sent again after it, then cost no hold.
+/// The rest of the duration leaves time to retry one lost renewal.
 const RENEWAL_DIVISOR: u32 = 2;
 
-/// Grant that the upstream has confirmed.
+/// Confirmed grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Grant {
     token: Token,
-    /// When it is to be renewed.
+    /// When it must be renewed.
     renewal: Time,
-    /// When the upstream may have let go.
+    /// When the upstream may have stopped holding the segment.
     expiry: Time,
 }
 
-/// Piece of the keys.
+/// Segment of the key space; its first key is its index in [`Segments`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Segment {
     pub(super) last: u32,
-    /// True while the upstream is to hold it.
+    /// True while the upstream should hold it.
     pub(super) wanted: bool,
-    /// Token under which it is wanted, or was last.
+    /// Token under which it is wanted or was last wanted.
     pub(super) token: Token,
-    /// What the last holder gave out, for the first grant under the token.
+    /// Handover value of the previous holder, for the first grant under the token.
     pub(super) handover: Name,
-    /// Number of the order under way.
+    /// Number of the order in flight.
     pub(super) in_flight: Option<u64>,
-    /// What the upstream gave out when it released the piece.
+    /// Handover value that the upstream gave when it released the segment.
     pub(super) freed: Name,
     grant: Option<Grant>,
-    /// Until when the upstream may hold it by what it has answered.
+    /// Time until which the upstream may hold it by confirmed grants.
     held_until: Time,
-    /// Until when it may hold it by what it has not answered.
+    /// Time until which the upstream may hold it by unanswered grants.
     unconfirmed_until: Time,
-    /// Time before which no order is given.
+    /// Time before which no order is issued.
     paused_until: Time,
-    /// Token for which the upstream has seen a higher one.
+    /// Token that the upstream refused, having seen a higher one.
     superseded: Option<Token>,
-    /// True when the piece must be ordered by itself.
+    /// True when the segment needs an order of its own.
     pub(super) isolated: bool,
 }
 
-/// What others have to know of a piece.
+/// State of a segment that matters to the rest of the member.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct SegmentState {
     serves: Option<Token>,
@@ -89,12 +89,12 @@
         self.handover = Name::clone(handover);
     }
 
-    /// Notes that the upstream does not hold the piece, as far as is known.
+    /// Drops the confirmed grant, as the upstream seems not to hold the segment.
     pub(super) fn mark_refused(&mut self) {
         self.grant = None;
     }
 
-    /// Takes in the answer to a grant that was decided at `since`; `alone` when it bore this piece only.
+    /// Handles the result of a grant issued at `since`; `alone` when it covered only this segment.
     pub(super) fn handle_grant(
         &mut self,
         now: Time,
@@ -113,7 +113,7 @@
                 self.freed = Name::from("");
                 self.isolated = false;
             }
-            // Its connection is closed by now, so it has arrived or never will.
+            // Its connection is closed, so the order has arrived by now or never will.
             Answer::Unknown => self.unconfirmed_until = self.unconfirmed_until.max(longest),
             Answer::Superseded if alone => self.superseded = Some(token),
             Answer::Superseded => self.isolated = true,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes in the answer to a release.
+    /// Handles the result of a release.
     pub(super) fn handle_release(&mut self, now: Time, answer: &Answer) {
         match answer {
             Answer::Done { handover } => {
@@ -142,14 +142,14 @@
         self.wanted && self.grant.as_ref().is_some_and(valid)
     }
 
-    /// Returns true while the upstream may hold the piece, or an order that could change it is under way.
+    /// Returns true while the upstream may hold the segment or an order for it is in flight.
     pub(super) fn may_be_held(&self, now: Time) -> bool {
         self.in_flight.is_some() || now < self.held_until || now < self.unconfirmed_until
     }
 
-    /// Returns true when the upstream may hold the piece by what it has answered.
+    /// Returns true when the segment is not wanted and may be held by confirmed grants.
     ///
-    /// What it has not answered cannot be released: it may be carried out after the release.
+    /// A release cannot end unanswered grants, which may be carried out after it.
     pub(super) fn is_releasable(&self, now: Time) -> bool {
         !self.wanted && self.is_orderable(now) && now < self.held_until
     }
@@ -158,34 +158,34 @@
         self.wanted && self.superseded == Some(self.token)
     }
 
-    /// Returns true while the piece may be ordered.
+    /// Returns true while an order for the segment may be issued.
     pub(super) fn is_orderable(&self, now: Time) -> bool {
         self.in_flight.is_none() && now >= self.paused_until
     }
 
-    /// Returns true while the piece may be granted.
+    /// Returns true while a grant of the segment may be issued.
     pub(super) fn is_grantable(&self, now: Time) -> bool {
         self.wanted && self.is_orderable(now) && !self.is_superseded()
     }
 
-    /// Returns true while the upstream does not hold the piece under its token.
+    /// Returns true when no grant under the current token is confirmed.
     pub(super) fn is_new(&self) -> bool {
         self.grant.is_none_or(|grant| grant.token != self.token)
     }
 
-    /// Returns when a grant of the piece is due: at once when it is new, else before it lapses.
+    /// Returns when a grant is due: at once for a new segment, else before the current one expires.
     pub(super) fn renewal(&self) -> Time {
         let grant = self.grant.filter(|grant| grant.token == self.token);
         grant.map_or(Time::ZERO, |grant| grant.renewal)
     }
 
-    /// Returns when the grant lapses under which the piece is served.
+    /// Returns when the grant of a wanted segment expires, `None` when there is none.
     pub(super) fn expiry(&self, now: Time) -> Option<Time> {
         let grant = self.grant.filter(|_| self.wanted)?;
         (now < grant.expiry).then_some(grant.expiry)
     }
 
-    /// Returns when an order for the piece is due by time alone.
+    /// Returns when an order for the segment becomes due if nothing but the time changes.
     pub(super) fn due(&self, now: Time) -> Option<Time> {
         if self.in_flight.is_some() {
             return None;
@@ -193,7 +193,7 @@
         if self.wanted && !self.is_superseded() {
             return Some(self.renewal().max(self.paused_until));
         }
-        // Requests in flight may keep it from being released until they end.
+        // Requests in flight may delay the release.
         (!self.wanted && now < self.held_until).then_some(self.paused_until)
     }
 
@@ -207,7 +207,7 @@
     }
 }
 
-/// Pieces by their first keys; they do not overlap.
+/// Segments by their first keys, without overlap.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct Segments(BTreeMap<u32, Segment>);
 
@@ -220,12 +220,12 @@
         self.0.values_mut()
     }
 
-    /// Returns the pieces with their first keys, in order.
+    /// Returns the segments with their first keys, in order.
     pub(super) fn ordered(&self) -> impl Iterator<Item = (u32, &Segment)> {
         self.0.iter().map(|(first, segment)| (*first, segment))
     }
 
-    /// Returns the pieces that begin in a range.
+    /// Returns the segments that begin in a range.
     pub(super) fn starting_in_mut(
         &mut self,
         first: u32,
@@ -234,7 +234,7 @@
         self.0.range_mut(first..=last).map(|(_, segment)| segment)
     }
 
-    /// Returns the pieces that have keys in a range.
+    /// Returns the segments that overlap a range.
     pub(super) fn overlapping(&self, keys: &RangeInclusive<u32>) -> impl Iterator<Item = &Segment> {
         let first = *keys.start();
         let before = self.0.range(..first).next_back().map(|(_, segment)| segment);
@@ -252,7 +252,7 @@
         self.0.range_mut(begin..=*keys.end()).map(|(_, segment)| segment)
     }
 
-    /// Returns true when pieces that all fit cover a range.
+    /// Returns true when segments for which `fits` is true cover the whole range.
     pub(super) fn is_covered(
         &self,
         keys: &RangeInclusive<u32>,
@@ -269,7 +269,7 @@
         true
     }
 
-    /// Makes the pieces of a range wanted; what lies between them becomes new pieces.
+    /// Marks a range as wanted; segments are split at its ends and gaps filled with new ones.
     pub(super) fn set_wanted(&mut self, keys: &RangeInclusive<u32>, token: Token, handover: &Name) {
         let (first, last) = (*keys.start(), *keys.end());
         self.split_at(first);
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Makes a piece begin at a key, if one covers it.
+    /// Splits the segment that contains `at`, if any, so that one begins there.
     fn split_at(&mut self, at: u32) {
         let Some((_, segment)) = self.0.range_mut(..at).next_back() else { return };
         if segment.last < at {
@@ -303,7 +303,7 @@
         self.0.insert(at, upper);
     }
 
-    /// Forgets pieces that are neither wanted nor held, but for what they gave out.
+    /// Removes segments that are neither wanted nor held and have no handover value.
     pub(super) fn prune(&mut self, now: Time) {
         let kept = |segment: &Segment| {
             segment.wanted || segment.may_be_held(now) || !segment.freed.is_empty()
