--- a/acaciaring_core/src/holds.rs
+++ b/acaciaring_core/src/holds.rs
@@ -15,46 +15,46 @@
 pub use self::epoch::Epoch;
 pub use self::incarnation::{Incarnation, Incarnations, ReportOutcome};
 pub use self::ranges::{Freed, Granted, Held, Wanted};
-use self::ranges::{lie_in, meet, rows};
+use self::ranges::{lie_within, overlap, ranges};
 use crate::id::{Name, Token, UnitId};
 use crate::time::Time;
 
 /// Time after which a reply that the upstream has not taken has no effect any more.
 ///
 /// An upstream takes a reply within a second of its report or not at all; the rest is for the way.
-const REPLY_LIFE: Duration = Duration::from_millis(1100);
+const REPLY_TTL: Duration = Duration::from_millis(1100);
 
 /// Time from a reply until the upstream acts on what it was newly given.
-const EFFECT: Duration = Duration::from_millis(4);
+const EFFECT_DELAY: Duration = Duration::from_millis(4);
 
 /// Time from the first report until what a second one says is believed.
 ///
 /// The first report that a process sees may be one that was held up for seconds, from before the
 /// upstream held anything.
-const CONFIRM: Duration = Duration::from_millis(500);
+const CONFIRM_PERIOD: Duration = Duration::from_millis(500);
 
 /// Part of its own time by which the clock of the upstream may run slow, with a reserve.
-pub(crate) const DRIFT: f64 = 0.03;
+pub(crate) const CLOCK_DRIFT: f64 = 0.03;
 
 /// Shortest time for which a grant is worth its reply.
-pub(crate) const LEAST: Duration = Duration::from_millis(100);
+pub(crate) const MIN_GRANT: Duration = Duration::from_millis(100);
 
 /// Released ranges that are remembered.
-const FREED: usize = 1024;
+const MAX_FREED: usize = 1024;
 
 /// Unit that the upstream may hold.
 #[derive(Debug, Clone)]
-struct Given {
+struct UnitGrant {
     token: Token,
     keys: Vec<RangeInclusive<u32>>,
     /// When the upstream acts on it.
-    effect: Time,
+    effective: Time,
     /// When a reply last contained it.
-    latest: Time,
+    last_sent: Time,
     /// True while the last reply contained it.
-    present: bool,
+    current: bool,
     /// True when the upstream has refused a request for it, and no report has said since that it is held.
-    denied: bool,
+    refused: bool,
 }
 
 /// What the upstream beside this member holds.
@@ -62,17 +62,17 @@
 pub struct Holds {
     /// Longest time for which a grant is given.
     hold: Duration,
-    starts: Incarnations,
+    incarnations: Incarnations,
     epoch: Epoch,
     reported: Vec<Held>,
-    given: BTreeMap<UnitId, Given>,
+    grants: BTreeMap<UnitId, UnitGrant>,
     freed: Vec<Freed>,
     /// Time from which nothing is held that is not given anew.
-    until: Time,
+    held_until: Time,
     /// Time from which the upstream may have let go what it was given last.
-    lapse: Time,
+    expiry: Time,
     /// When what was given last takes effect, each time once.
-    effects: Vec<Time>,
+    effect_times: Vec<Time>,
 }
 
 impl Holds {
@@ -83,58 +83,59 @@
     pub fn new(now: Time, hold: Duration) -> Self {
         Self {
             hold,
-            starts: Incarnations::new(now),
+            incarnations: Incarnations::new(now),
             epoch: Epoch::default(),
             reported: Vec::new(),
-            given: BTreeMap::new(),
+            grants: BTreeMap::new(),
             freed: Vec::new(),
-            until: now + hold.mul_f64(1.0 + DRIFT),
-            lapse: now,
-            effects: Vec::new(),
+            held_until: now + hold.mul_f64(1.0 + CLOCK_DRIFT),
+            expiry: now,
+            effect_times: Vec::new(),
         }
     }
 
     /// Returns the present start of the upstream.
     #[must_use]
     pub const fn incarnation(&self) -> Option<&Incarnation> {
-        self.starts.present()
+        self.incarnations.current()
     }
 
     /// Takes in a report.
     pub fn report(
         &mut self,
         now: Time,
-        start: &Incarnation,
+        incarnation: &Incarnation,
         sequence: u64,
         held: Vec<Held>,
         freed: Vec<Freed>,
     ) -> ReportOutcome {
-        let report = self.starts.report(now, start, sequence);
+        let report = self.incarnations.report(now, incarnation, sequence);
         match report {
             ReportOutcome::Stale => return report,
-            ReportOutcome::NewIncarnation => self.replaced(now),
+            ReportOutcome::NewIncarnation => self.restarted(now),
             ReportOutcome::Current => {}
         }
         self.reported = held;
         self.freed.extend(freed);
-        if !self.reported.is_empty() && self.given.is_empty() {
+        if !self.reported.is_empty() && self.grants.is_empty() {
             // Given by a former process; its grants last no longer than any of this one.
-            self.until = self.until.max(now + self.hold.mul_f64(1.0 + DRIFT));
+            self.held_until = self.held_until.max(now + self.hold.mul_f64(1.0 + CLOCK_DRIFT));
         }
-        self.settle(now);
+        self.prune(now);
         report
     }
 
     /// Returns true while the upstream may hold anything.
     #[must_use]
     pub fn may_hold_any(&self, now: Time) -> bool {
-        now < self.until && (self.unknown() || !self.reported.is_empty() || !self.given.is_empty())
+        now < self.held_until
+            && (self.is_unknown() || !self.reported.is_empty() || !self.grants.is_empty())
     }
 
-    fn replaced(&mut self, now: Time) {
+    fn restarted(&mut self, now: Time) {
         self.epoch.raise(now);
         self.reported.clear();
-        self.given.clear();
+        self.grants.clear();
         self.freed.clear();
     }
 
@@ -149,73 +150,73 @@
         wanted: &[Wanted],
         room: usize,
     ) -> Option<(Vec<Granted>, Duration)> {
-        let hold = lease.since(now).mul_f64(1.0 / (1.0 + DRIFT)).min(self.hold);
-        if hold < LEAST {
+        let hold = lease.since(now).mul_f64(1.0 / (1.0 + CLOCK_DRIFT)).min(self.hold);
+        if hold < MIN_GRANT {
             return None;
         }
-        let known = |wanted: &&Wanted| self.given.contains_key(&wanted.unit);
+        let known = |wanted: &&Wanted| self.grants.contains_key(&wanted.unit);
         let (mut units, new): (Vec<&Wanted>, Vec<&Wanted>) = wanted.iter().partition(known);
         units.extend(new);
-        let mut granted = rows(&units);
+        let mut granted = ranges(&units);
         if granted.len() > room {
             // More units never make fewer rows, but for those that close a gap between two.
-            let fits = |count: &usize| rows(&units[..*count]).len() <= room;
+            let fits = |count: &usize| ranges(&units[..*count]).len() <= room;
             let counts: Vec<usize> = (0..=units.len()).collect();
             units.truncate(counts.partition_point(fits) - 1);
-            granted = rows(&units);
+            granted = ranges(&units);
         }
-        for given in self.given.values_mut() {
-            given.present = false;
+        for grant in self.grants.values_mut() {
+            grant.current = false;
         }
         for unit in &units {
-            self.give(now, unit);
+            self.grant_unit(now, unit);
         }
-        self.effects = self.given.values().map(|given| given.effect).collect();
-        self.effects.sort_unstable();
-        self.effects.dedup();
-        self.until = self.until.max(now + hold.mul_f64(1.0 + DRIFT));
+        self.effect_times = self.grants.values().map(|grant| grant.effective).collect();
+        self.effect_times.sort_unstable();
+        self.effect_times.dedup();
+        self.held_until = self.held_until.max(now + hold.mul_f64(1.0 + CLOCK_DRIFT));
         // The upstream counts from the sending of its report, a moment before it was heard.
-        self.lapse = self.starts.heard() + hold.saturating_sub(EFFECT);
-        for row in &mut granted {
-            row.token = self.epoch.fence(row.token);
+        self.expiry = self.incarnations.last_report() + hold.saturating_sub(EFFECT_DELAY);
+        for range in &mut granted {
+            range.token = self.epoch.fence(range.token);
         }
         Some((granted, hold))
     }
 
-    fn give(&mut self, now: Time, wanted: &Wanted) {
+    fn grant_unit(&mut self, now: Time, wanted: &Wanted) {
         let held = self.is_reported(&wanted.keys, self.epoch.fence(wanted.token));
-        let effect = if held { now } else { now + EFFECT };
-        let given = self.given.entry(wanted.unit).or_insert(Given {
+        let effective = if held { now } else { now + EFFECT_DELAY };
+        let grant = self.grants.entry(wanted.unit).or_insert(UnitGrant {
             token: wanted.token,
             keys: wanted.keys.clone(),
-            effect,
-            latest: now,
-            present: true,
-            denied: false,
+            effective,
+            last_sent: now,
+            current: true,
+            refused: false,
         });
-        if given.token != wanted.token || given.keys != wanted.keys {
-            given.effect = effect;
+        if grant.token != wanted.token || grant.keys != wanted.keys {
+            grant.effective = effective;
         }
-        given.token = wanted.token;
-        given.keys.clone_from(&wanted.keys);
-        given.latest = now;
-        given.present = true;
-        given.denied &= !held;
+        grant.token = wanted.token;
+        grant.keys.clone_from(&wanted.keys);
+        grant.last_sent = now;
+        grant.current = true;
+        grant.refused &= !held;
     }
 
     /// Returns true while the upstream runs requests for a unit under a token.
     #[must_use]
     pub fn serves(&self, now: Time, unit: UnitId, token: Token) -> bool {
-        let acts = |given: &Given| {
-            given.present && !given.denied && given.token == token && now >= given.effect
+        let valid = |grant: &UnitGrant| {
+            grant.current && !grant.refused && grant.token == token && now >= grant.effective
         };
-        now < self.lapse && self.given.get(&unit).is_some_and(acts)
+        now < self.expiry && self.grants.get(&unit).is_some_and(valid)
     }
 
     /// Returns when the next grant takes effect or all lapse, none when neither is to come.
     #[must_use]
     pub fn next_effect(&self, now: Time) -> Option<Time> {
-        let times = self.effects.iter().copied().chain([self.lapse]);
+        let times = self.effect_times.iter().copied().chain([self.expiry]);
         times.filter(|time| now < *time).min()
     }
 
@@ -225,56 +226,59 @@
     /// refused again, as often as there is time for. The unit is served again once a report
     /// says that it is held.
     pub fn mark_refused(&mut self, unit: UnitId) {
-        if let Some(given) = self.given.get_mut(&unit) {
-            given.denied = true;
+        if let Some(grant) = self.grants.get_mut(&unit) {
+            grant.refused = true;
         }
     }
 
     /// Returns true while the upstream may hold keys of a unit, by grants of this process or a former one.
     #[must_use]
     pub fn may_hold(&self, now: Time, unit: UnitId, keys: &[RangeInclusive<u32>]) -> bool {
-        if now >= self.until {
+        if now >= self.held_until {
             return false;
         }
-        let reported = meet(keys, &self.reported);
-        self.unknown() || reported || self.given.contains_key(&unit)
+        let reported = overlap(keys, &self.reported);
+        self.is_unknown() || reported || self.grants.contains_key(&unit)
     }
 
     /// Returns true while no report says for sure what the upstream holds.
     ///
     /// Guards against a process that starts beside a living upstream and sees a report that was
     /// held up: it would pass on at once what the upstream still holds by the former process.
-    fn unknown(&self) -> bool {
-        let soon = self.starts.present().is_none() || self.starts.span() < CONFIRM;
-        !self.starts.is_replaced() && soon
+    fn is_unknown(&self) -> bool {
+        let soon = self.incarnations.current().is_none()
+            || self.incarnations.report_span() < CONFIRM_PERIOD;
+        !self.incarnations.was_replaced() && soon
     }
 
     /// Returns what the upstream gave out when it released keys, empty when it gave nothing.
     #[must_use]
     pub fn handover(&self, keys: &[RangeInclusive<u32>]) -> Name {
-        let freed = self.freed.iter().rev().find(|freed| lie_in(keys, freed.first, freed.last));
+        let freed = self.freed.iter().rev().find(|freed| lie_within(keys, freed.first, freed.last));
         freed.map_or_else(|| Name::from(""), |freed| Name::clone(&freed.handover))
     }
 
     /// Forgets units that the upstream has released, or never took.
-    fn settle(&mut self, now: Time) {
+    fn prune(&mut self, now: Time) {
         let (reported, freed) = (&self.reported, &self.freed);
-        self.given.retain(|_, given| {
-            let held = meet(&given.keys, reported);
-            let released = freed.iter().any(|freed| lie_in(&given.keys, freed.first, freed.last));
-            let taken = now.since(given.latest) < REPLY_LIFE;
-            held || given.present || (taken && !released)
+        self.grants.retain(|_, grant| {
+            let held = overlap(&grant.keys, reported);
+            let released =
+                freed.iter().any(|freed| lie_within(&grant.keys, freed.first, freed.last));
+            let taken = now.since(grant.last_sent) < REPLY_TTL;
+            held || grant.current || (taken && !released)
         });
         // What is held again was not released for good.
-        self.freed.retain(|freed| !meet(&[freed.first..=freed.last], reported));
-        let excess = self.freed.len().saturating_sub(FREED);
+        self.freed.retain(|freed| !overlap(&[freed.first..=freed.last], reported));
+        let excess = self.freed.len().saturating_sub(MAX_FREED);
         self.freed.drain(..excess);
     }
 
     fn is_reported(&self, keys: &[RangeInclusive<u32>], token: Token) -> bool {
         keys.iter().all(|keys| {
             let keys = slice::from_ref(keys);
-            let covers = |held: &Held| lie_in(keys, held.first, held.last) && held.token == token;
+            let covers =
+                |held: &Held| lie_within(keys, held.first, held.last) && held.token == token;
             self.reported.iter().any(covers)
         })
     }
--- a/acaciaring_core/src/holds/incarnation.rs
+++ b/acaciaring_core/src/holds/incarnation.rs
@@ -7,7 +7,7 @@
 use crate::time::Time;
 
 /// Former starts that are remembered.
-const FORMER: usize = 32;
+const MAX_FORMER: usize = 32;
 
 /// One start of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -48,7 +48,7 @@
 /// Start that may have taken the place of the present one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Candidate {
-    start: Incarnation,
+    incarnation: Incarnation,
     sequence: u64,
     since: Time,
 }
@@ -56,14 +56,14 @@
 /// The present start of the upstream, and former ones.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Incarnations {
-    present: Option<Incarnation>,
+    current: Option<Incarnation>,
     sequence: u64,
     former: Vec<Incarnation>,
     /// Another start that has reported once, its number and when.
     candidate: Option<Candidate>,
     /// When the present start last reported, and first.
-    heard: Time,
-    first: Time,
+    last_report: Time,
+    first_report: Time,
 }
 
 impl Incarnations {
@@ -71,33 +71,33 @@
     #[must_use]
     pub const fn new(now: Time) -> Self {
         Self {
-            present: None,
+            current: None,
             sequence: 0,
             former: Vec::new(),
             candidate: None,
-            heard: now,
-            first: now,
+            last_report: now,
+            first_report: now,
         }
     }
 
     /// Returns the present start.
     #[must_use]
-    pub const fn present(&self) -> Option<&Incarnation> {
-        self.present.as_ref()
+    pub const fn current(&self) -> Option<&Incarnation> {
+        self.current.as_ref()
     }
 
     /// Returns when the present start last reported.
-    pub(crate) const fn heard(&self) -> Time {
-        self.heard
+    pub(crate) const fn last_report(&self) -> Time {
+        self.last_report
     }
 
     /// Returns for how long the present start has reported.
-    pub(crate) fn span(&self) -> Duration {
-        self.heard.since(self.first)
+    pub(crate) fn report_span(&self) -> Duration {
+        self.last_report.since(self.first_report)
     }
 
     /// Returns true once one start has taken the place of another.
-    pub(crate) const fn is_replaced(&self) -> bool {
+    pub(crate) const fn was_replaced(&self) -> bool {
         !self.former.is_empty()
     }
 
@@ -108,50 +108,52 @@
     /// the living one holds in the eyes of this member, which would pass it on at once. So
     /// starts that were replaced are remembered, and one under another name is believed once it
     /// has reported twice while the present one was silent. Under one name the numbers tell.
-    pub fn report(&mut self, now: Time, start: &Incarnation, sequence: u64) -> ReportOutcome {
-        let same = self.present.as_ref() == Some(start);
-        if self.is_late(start) || (same && sequence <= self.sequence) {
+    pub fn report(&mut self, now: Time, incarnation: &Incarnation, sequence: u64) -> ReportOutcome {
+        let same = self.current.as_ref() == Some(incarnation);
+        if self.is_stale(incarnation) || (same && sequence <= self.sequence) {
             return ReportOutcome::Stale;
         }
-        let report = if same || self.present.is_none() {
+        let report = if same || self.current.is_none() {
             ReportOutcome::Current
         } else {
             ReportOutcome::NewIncarnation
         };
         if report == ReportOutcome::NewIncarnation {
-            if !self.believes(now, start, sequence) {
+            if !self.confirms(now, incarnation, sequence) {
                 return ReportOutcome::Stale;
             }
-            self.former.extend(self.present.take());
-            let excess = self.former.len().saturating_sub(FORMER);
+            self.former.extend(self.current.take());
+            let excess = self.former.len().saturating_sub(MAX_FORMER);
             self.former.drain(..excess);
         }
         self.candidate = None;
-        self.heard = now;
+        self.last_report = now;
         if !same {
-            self.first = now;
+            self.first_report = now;
         }
-        self.present = Some(start.clone());
+        self.current = Some(incarnation.clone());
         self.sequence = sequence;
         report
     }
 
     /// Returns true for a start that a later one has replaced.
-    fn is_late(&self, start: &Incarnation) -> bool {
-        let present = self.present.as_ref();
-        self.former.contains(start) || present.is_some_and(|present| present.follows(start))
+    fn is_stale(&self, incarnation: &Incarnation) -> bool {
+        let current = self.current.as_ref();
+        self.former.contains(incarnation)
+            || current.is_some_and(|current| current.follows(incarnation))
     }
 
     /// Returns true when another start has surely taken the place of the present one.
-    fn believes(&mut self, now: Time, start: &Incarnation, sequence: u64) -> bool {
-        if self.present.as_ref().is_some_and(|present| start.follows(present)) {
+    fn confirms(&mut self, now: Time, incarnation: &Incarnation, sequence: u64) -> bool {
+        if self.current.as_ref().is_some_and(|current| incarnation.follows(current)) {
             return true;
         }
-        let known = self.candidate.as_ref().filter(|candidate| candidate.start == *start);
+        let known =
+            self.candidate.as_ref().filter(|candidate| candidate.incarnation == *incarnation);
         if let Some(known) = known {
-            return sequence > known.sequence && self.heard < known.since;
+            return sequence > known.sequence && self.last_report < known.since;
         }
-        self.candidate = Some(Candidate { start: start.clone(), sequence, since: now });
+        self.candidate = Some(Candidate { incarnation: incarnation.clone(), sequence, since: now });
         false
     }
 }
--- a/acaciaring_core/src/holds/ranges.rs
+++ b/acaciaring_core/src/holds/ranges.rs
@@ -53,40 +53,40 @@
 }
 
 /// Returns true when some of the keys are in a range that is held.
-pub(super) fn meet(keys: &[RangeInclusive<u32>], held: &[Held]) -> bool {
-    let meets = |keys: &RangeInclusive<u32>, held: &Held| {
+pub(super) fn overlap(keys: &[RangeInclusive<u32>], held: &[Held]) -> bool {
+    let overlaps = |keys: &RangeInclusive<u32>, held: &Held| {
         held.first <= *keys.end() && *keys.start() <= held.last
     };
-    held.iter().any(|held| keys.iter().any(|keys| meets(keys, held)))
+    held.iter().any(|held| keys.iter().any(|keys| overlaps(keys, held)))
 }
 
 /// Returns true when all of the keys are in the range from `first` to `last`.
-pub(super) fn lie_in(keys: &[RangeInclusive<u32>], first: u32, last: u32) -> bool {
+pub(super) fn lie_within(keys: &[RangeInclusive<u32>], first: u32, last: u32) -> bool {
     keys.iter().all(|keys| first <= *keys.start() && *keys.end() <= last)
 }
 
 /// Returns the ranges of units; neighbours that are given alike are joined.
-pub(super) fn rows(units: &[&Wanted]) -> Vec<Granted> {
-    let row = |unit: &Wanted, keys: &RangeInclusive<u32>| Granted {
+pub(super) fn ranges(units: &[&Wanted]) -> Vec<Granted> {
+    let range = |unit: &Wanted, keys: &RangeInclusive<u32>| Granted {
         first: *keys.start(),
         last: *keys.end(),
         token: unit.token,
         handover: Name::clone(&unit.handover),
     };
-    let mut rows: Vec<Granted> =
-        units.iter().flat_map(|unit| unit.keys.iter().map(|keys| row(unit, keys))).collect();
-    rows.sort_unstable_by_key(|row| row.first);
-    let mut merged: Vec<Granted> = Vec::with_capacity(rows.len());
-    for row in rows {
+    let mut ranges: Vec<Granted> =
+        units.iter().flat_map(|unit| unit.keys.iter().map(|keys| range(unit, keys))).collect();
+    ranges.sort_unstable_by_key(|range| range.first);
+    let mut merged: Vec<Granted> = Vec::with_capacity(ranges.len());
+    for range in ranges {
         match merged.last_mut() {
             Some(last)
-                if last.last + 1 == row.first
-                    && last.token == row.token
-                    && last.handover == row.handover =>
+                if last.last + 1 == range.first
+                    && last.token == range.token
+                    && last.handover == range.handover =>
             {
-                last.last = row.last;
+                last.last = range.last;
             }
-            _ => merged.push(row),
+            _ => merged.push(range),
         }
     }
     merged
--- a/acaciaring_core/src/orders.rs
+++ b/acaciaring_core/src/orders.rs
@@ -15,7 +15,9 @@
 pub use self::order::{Action, Answer, Completion, Issued, Order};
 use self::runs::{Run, grants, releases};
 use self::segment::{Segment, Segments};
-use crate::holds::{DRIFT, Epoch, Incarnation, Incarnations, LEAST, ReportOutcome, Wanted};
+use crate::holds::{
+    CLOCK_DRIFT, Epoch, Incarnation, Incarnations, MIN_GRANT, ReportOutcome, Wanted,
+};
 use crate::id::{Name, Token};
 use crate::time::Time;
 
@@ -86,7 +88,7 @@
             count: 0,
             replacements: 0,
             epoch: Epoch::default(),
-            unknown_until: now + hold.mul_f64(1.0 + DRIFT),
+            unknown_until: now + hold.mul_f64(1.0 + CLOCK_DRIFT),
             changed: true,
             due: now,
             next_expiry: None,
@@ -96,7 +98,7 @@
     /// Returns the current incarnation of the upstream.
     #[must_use]
     pub const fn incarnation(&self) -> Option<&Incarnation> {
-        self.incarnations.present()
+        self.incarnations.current()
     }
 
     /// Handles a heartbeat of the upstream, which does not state the keys that it holds.
@@ -147,8 +149,9 @@
         self.changed = false;
         self.segments.prune(now);
         let mut issued = Vec::new();
-        let hold = lease.since(now + ORDER_TIMEOUT).mul_f64(1.0 / (1.0 + DRIFT)).min(self.hold);
-        if hold >= LEAST {
+        let hold =
+            lease.since(now + ORDER_TIMEOUT).mul_f64(1.0 / (1.0 + CLOCK_DRIFT)).min(self.hold);
+        if hold >= MIN_GRANT {
             let room = MAX_IN_FLIGHT.saturating_sub(self.in_flight_count(false));
             for run in grants(now, &self.segments, room) {
                 let action = Action::Grant { hold, handover: Name::clone(&run.handover) };
@@ -185,7 +188,7 @@
             number,
             order,
             deadline: now + ORDER_TIMEOUT,
-            may_connect: self.epoch.is_fresh(now),
+            may_connect: self.epoch.is_current(now),
         }
     }
 
--- a/acaciaring_core/src/orders/segment.rs
+++ b/acaciaring_core/src/orders/segment.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::{REJECTED_DELAY, RETRY_DELAY};
-use crate::holds::DRIFT;
+use crate::holds::CLOCK_DRIFT;
 use crate::id::{Name, Token};
 use crate::orders::Answer;
 use crate::time::Time;
@@ -104,7 +104,7 @@
         answer: &Answer,
         alone: bool,
     ) {
-        let longest = now + hold.mul_f64(1.0 + DRIFT);
+        let longest = now + hold.mul_f64(1.0 + CLOCK_DRIFT);
         match answer {
             Answer::Done { .. } => {
                 let renewal = since + hold / RENEWAL_DIVISOR;
