--- a/acaciaring_core/src/holds.rs
+++ b/acaciaring_core/src/holds.rs
@@ -1,7 +1,8 @@
-//! What an upstream holds by grant: it runs a request only while it holds the request's unit.
+//! Units that an upstream holds by grants in the replies to its heartbeats.
 //!
-//! The upstream reports what it holds, and each reply says all that it is to hold and for how
-//! long. A unit may pass to another member only once its upstream surely holds it no more.
+//! The upstream runs a request only while it holds the request's unit. It reports the key ranges
+//! that it holds, and each reply states all ranges that it is to hold and for how long. A unit may
+//! pass to another member only once its upstream can no longer hold it.
 
 mod epoch;
 mod incarnation;
@@ -19,66 +20,65 @@
 use crate::id::{Name, Token, UnitId};
 use crate::time::Time;
 
-/// Time after which a reply that the upstream has not taken has no effect any more.
+/// Time after which a reply that the upstream has not applied can no longer take effect.
 ///
-/// An upstream takes a reply within a second of its report or not at all; the rest is for the way.
+/// An upstream ignores replies later than a second after its heartbeat; the rest is for transit.
 const REPLY_TTL: Duration = Duration::from_millis(1100);
 
-/// Time from a reply until the upstream acts on what it was newly given.
+/// Time from a reply until the upstream applies a new grant.
 const EFFECT_DELAY: Duration = Duration::from_millis(4);
 
-/// Time from the first report until what a second one says is believed.
+/// Time after the first report from which reports are relied on.
 ///
-/// The first report that a process sees may be one that was held up for seconds, from before the
-/// upstream held anything.
+/// The first report that a process sees may be delayed and date from before the upstream held keys.
 const CONFIRM_PERIOD: Duration = Duration::from_millis(500);
 
-/// Part of its own time by which the clock of the upstream may run slow, with a reserve.
+/// Maximum relative drift between the clocks of this process and the upstream.
 pub(crate) const CLOCK_DRIFT: f64 = 0.03;
 
-/// Shortest time for which a grant is worth its reply.
+/// Minimum duration of a grant; shorter ones are not sent.
 pub(crate) const MIN_GRANT: Duration = Duration::from_millis(100);
 
-/// Released ranges that are remembered.
+/// Maximum number of released ranges kept.
 const MAX_FREED: usize = 1024;
 
-/// Unit that the upstream may hold.
+/// Grant of a unit that the upstream may hold.
 #[derive(Debug, Clone)]
 struct UnitGrant {
     token: Token,
     keys: Vec<RangeInclusive<u32>>,
-    /// When the upstream acts on it.
+    /// When the upstream has applied it.
     effective: Time,
-    /// When a reply last contained it.
+    /// When a reply last included it.
     last_sent: Time,
-    /// True while the last reply contained it.
+    /// True when the last reply included it.
     current: bool,
-    /// True when the upstream has refused a request for it, and no report has said since that it is held.
+    /// True when the upstream refused a request for the unit and has not reported it as held since.
     refused: bool,
 }
 
-/// What the upstream beside this member holds.
+/// Grants to the upstream of this member and the key ranges that it reports as held.
 #[derive(Debug, Clone)]
 pub struct Holds {
-    /// Longest time for which a grant is given.
+    /// Maximum duration of a grant.
     hold: Duration,
     incarnations: Incarnations,
     epoch: Epoch,
     reported: Vec<Held>,
     grants: BTreeMap<UnitId, UnitGrant>,
     freed: Vec<Freed>,
-    /// Time from which nothing is held that is not given anew.
+    /// Time at which everything held expires unless it is granted again.
     held_until: Time,
-    /// Time from which the upstream may have let go what it was given last.
+    /// Time from which the upstream may have stopped holding what the last reply granted.
     expiry: Time,
-    /// When what was given last takes effect, each time once.
+    /// Times at which grants take effect, sorted and without duplicates.
     effect_times: Vec<Time>,
 }
 
 impl Holds {
-    /// Makes a record of an upstream of which nothing is known.
+    /// Creates the state for an upstream of which nothing is known.
     ///
-    /// It may hold what a former process has given, for as long as any grant lasts.
+    /// It may hold any keys by grants of an earlier process, for the maximum duration of a grant.
     #[must_use]
     pub fn new(now: Time, hold: Duration) -> Self {
         Self {
@@ -94,13 +94,13 @@
         }
     }
 
-    /// Returns the present start of the upstream.
+    /// Returns the current incarnation of the upstream.
     #[must_use]
     pub const fn incarnation(&self) -> Option<&Incarnation> {
         self.incarnations.current()
     }
 
-    /// Takes in a report.
+    /// Handles a heartbeat of the upstream with the ranges that it holds and has released.
     pub fn report(
         &mut self,
         now: Time,
@@ -118,14 +118,14 @@
         self.reported = held;
         self.freed.extend(freed);
         if !self.reported.is_empty() && self.grants.is_empty() {
-            // Given by a former process; its grants last no longer than any of this one.
+            // Granted by an earlier process, whose grants last no longer than those of this one.
             self.held_until = self.held_until.max(now + self.hold.mul_f64(1.0 + CLOCK_DRIFT));
         }
         self.prune(now);
         report
     }
 
-    /// Returns true while the upstream may hold anything.
+    /// Returns true while the upstream may hold any keys.
     #[must_use]
     pub fn may_hold_any(&self, now: Time) -> bool {
         now < self.held_until
@@ -139,10 +139,11 @@
         self.freed.clear();
     }
 
-    /// Decides what the upstream is to hold, at most `room` ranges; `None` renews nothing.
+    /// Returns at most `room` ranges to grant and their duration, `None` when the lease is too short.
     ///
-    /// What it holds already goes before what is new, so that a lack of room moves nothing to
-    /// and fro. The grant ends with the lease of this member, on a slow clock of the upstream too.
+    /// Units granted before take precedence over new ones, so that a lack of room does not make
+    /// units alternate. The grant expires before `lease`, the expiry of this member's lease, even
+    /// if the clock of the upstream is slow.
     pub fn grant(
         &mut self,
         now: Time,
@@ -159,7 +160,7 @@
         units.extend(new);
         let mut granted = ranges(&units);
         if granted.len() > room {
-            // More units never make fewer rows, but for those that close a gap between two.
+            // The number of ranges grows with the units, except where a unit joins two ranges.
             let fits = |count: &usize| ranges(&units[..*count]).len() <= room;
             let counts: Vec<usize> = (0..=units.len()).collect();
             units.truncate(counts.partition_point(fits) - 1);
@@ -175,7 +176,7 @@
         self.effect_times.sort_unstable();
         self.effect_times.dedup();
         self.held_until = self.held_until.max(now + hold.mul_f64(1.0 + CLOCK_DRIFT));
-        // The upstream counts from the sending of its report, a moment before it was heard.
+        // The upstream counts from when it sent its heartbeat, shortly before this process got it.
         self.expiry = self.incarnations.last_report() + hold.saturating_sub(EFFECT_DELAY);
         for range in &mut granted {
             range.token = self.epoch.fence(range.token);
@@ -204,7 +205,7 @@
         grant.refused &= !held;
     }
 
-    /// Returns true while the upstream runs requests for a unit under a token.
+    /// Returns true while the upstream holds a unit under `token` and runs requests for it.
     #[must_use]
     pub fn serves(&self, now: Time, unit: UnitId, token: Token) -> bool {
         let valid = |grant: &UnitGrant| {
@@ -213,25 +214,24 @@
         now < self.expiry && self.grants.get(&unit).is_some_and(valid)
     }
 
-    /// Returns when the next grant takes effect or all lapse, none when neither is to come.
+    /// Returns when the next grant takes effect or all expire, `None` when neither is ahead.
     #[must_use]
     pub fn next_effect(&self, now: Time) -> Option<Time> {
         let times = self.effect_times.iter().copied().chain([self.expiry]);
         times.filter(|time| now < *time).min()
     }
 
-    /// Notes that the upstream has refused a request for a unit that it should hold.
+    /// Records that the upstream has refused a request for a unit that it should hold.
     ///
-    /// Guards against a grant that it has not taken: each request for the unit would be sent and
-    /// refused again, as often as there is time for. The unit is served again once a report
-    /// says that it is held.
+    /// The unit is not served until a heartbeat reports it as held. Otherwise, after a lost grant,
+    /// each request for the unit would be sent and refused repeatedly.
     pub fn mark_refused(&mut self, unit: UnitId) {
         if let Some(grant) = self.grants.get_mut(&unit) {
             grant.refused = true;
         }
     }
 
-    /// Returns true while the upstream may hold keys of a unit, by grants of this process or a former one.
+    /// Returns true while the upstream may hold any key of a unit, by this or an earlier process.
     #[must_use]
     pub fn may_hold(&self, now: Time, unit: UnitId, keys: &[RangeInclusive<u32>]) -> bool {
         if now >= self.held_until {
@@ -241,24 +241,24 @@
         self.is_unknown() || reported || self.grants.contains_key(&unit)
     }
 
-    /// Returns true while no report says for sure what the upstream holds.
+    /// Returns true while the reports do not reliably state what the upstream holds.
     ///
-    /// Guards against a process that starts beside a living upstream and sees a report that was
-    /// held up: it would pass on at once what the upstream still holds by the former process.
+    /// Guards against a delayed report to a restarted process, which would pass on units that the
+    /// upstream still holds by grants of the earlier process.
     fn is_unknown(&self) -> bool {
         let soon = self.incarnations.current().is_none()
             || self.incarnations.report_span() < CONFIRM_PERIOD;
         !self.incarnations.was_replaced() && soon
     }
 
-    /// Returns what the upstream gave out when it released keys, empty when it gave nothing.
+    /// Returns the handover value that the upstream gave when it released keys, or an empty one.
     #[must_use]
     pub fn handover(&self, keys: &[RangeInclusive<u32>]) -> Name {
         let freed = self.freed.iter().rev().find(|freed| lie_within(keys, freed.first, freed.last));
         freed.map_or_else(|| Name::from(""), |freed| Name::clone(&freed.handover))
     }
 
-    /// Forgets units that the upstream has released, or never took.
+    /// Removes grants of units that the upstream has released or never applied.
     fn prune(&mut self, now: Time) {
         let (reported, freed) = (&self.reported, &self.freed);
         self.grants.retain(|_, grant| {
@@ -268,7 +268,7 @@
             let taken = now.since(grant.last_sent) < REPLY_TTL;
             held || grant.current || (taken && !released)
         });
-        // What is held again was not released for good.
+        // Ranges that are held again are no longer released.
         self.freed.retain(|freed| !overlap(&[freed.first..=freed.last], reported));
         let excess = self.freed.len().saturating_sub(MAX_FREED);
         self.freed.drain(..excess);
--- a/acaciaring_core/src/holds/epoch.rs
+++ b/acaciaring_core/src/holds/epoch.rs
@@ -1,21 +1,20 @@
-//! Part of a fencing token that tells starts of one upstream under one assignment apart.
+//! Part of a fencing token that distinguishes incarnations of an upstream under one assignment.
 
 use std::time::Duration;
 
 use crate::id::Token;
 use crate::time::Time;
 
-/// Bits of a token below that of the assignment; a raise every [`START`] fills them in 29 hours.
+/// Bits of a token below those of the assignment.
 const EPOCH_BITS: u32 = 20;
 
-/// Shortest time in which an upstream ends, starts again and takes a grant.
+/// Minimum time for an upstream to exit, restart and accept a grant.
 const MIN_RESTART_TIME: Duration = Duration::from_millis(100);
 
-/// Count of the times at which the upstream may have started anew beside this process.
+/// Counter of possible restarts of the upstream during the life of this process.
 ///
-/// Guards against an upstream that starts again under its name while its assignment stays: a grant
-/// under the token that the former start had would not be above all earlier ones. The tokens of
-/// an assignment are spread, so that there is room for a count below the next one.
+/// An upstream may restart under the same name while its assignment stays. The counter forms the
+/// low bits of the token, so that a grant to the new incarnation is above all earlier ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Epoch {
     count: u64,
@@ -23,7 +22,7 @@
 }
 
 impl Epoch {
-    /// Notes that the upstream may have started anew; tokens are higher from now on.
+    /// Records that the upstream may have restarted; later tokens are higher.
     pub fn raise(&mut self, now: Time) {
         if self.is_current(now) {
             return;
@@ -32,13 +31,13 @@
         self.raised = Some(now);
     }
 
-    /// Returns true while the upstream cannot have started anew since the last raise.
+    /// Returns true while the upstream cannot have restarted since the last raise.
     #[must_use]
     pub fn is_current(&self, now: Time) -> bool {
         self.raised.is_some_and(|raised| now.since(raised) < MIN_RESTART_TIME)
     }
 
-    /// Returns the token to be told to the upstream.
+    /// Returns the fencing token to send to the upstream for an assignment's token.
     #[must_use]
     pub const fn fence(&self, token: Token) -> Token {
         Token(token.0 << EPOCH_BITS | self.count)
--- a/acaciaring_core/src/holds/incarnation.rs
+++ b/acaciaring_core/src/holds/incarnation.rs
@@ -1,4 +1,4 @@
-//! Starts of the upstream, as its reports tell them.
+//! Incarnations of the upstream, identified by its heartbeats.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use crate::id::Name;
 use crate::time::Time;
 
-/// Former starts that are remembered.
+/// Maximum number of former incarnations kept.
 const MAX_FORMER: usize = 32;
 
-/// One start of an upstream.
+/// Incarnation of an upstream: one run of it from start to exit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Incarnation {
-    /// Name of the upstream, which may outlast a start.
+    /// Name of the upstream, which may stay the same across restarts.
     pub instance: Name,
-    /// Number that grows with each start under one name; 0 where the upstream tells none.
+    /// Number that grows with each restart under one name; 0 when the upstream sends none.
     pub generation: u64,
 }
 
 impl Incarnation {
-    /// Returns true for a later start under the same name.
+    /// Returns true when this is a later incarnation under the same name.
     fn follows(&self, other: &Self) -> bool {
         self.instance == other.instance && self.generation > other.generation
     }
@@ -34,18 +34,18 @@
     }
 }
 
-/// What became of a report.
+/// Classification of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ReportOutcome {
-    /// It is the newest of the present upstream.
+    /// It is the newest one of the current incarnation.
     Current,
-    /// It is the first of another start of the upstream.
+    /// It is the first accepted one of a new incarnation.
     NewIncarnation,
-    /// It was sent before one that came earlier, or by an upstream that has gone.
+    /// It is out of order or not from the current incarnation, and is ignored.
     Stale,
 }
 
-/// Start that may have taken the place of the present one.
+/// Incarnation that may have replaced the current one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Candidate {
     incarnation: Incarnation,
@@ -53,21 +53,22 @@
     since: Time,
 }
 
-/// The present start of the upstream, and former ones.
+/// Current incarnation of the upstream and former ones.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Incarnations {
     current: Option<Incarnation>,
     sequence: u64,
     former: Vec<Incarnation>,
-    /// Another start that has reported once, its number and when.
+    /// Other incarnation that has reported once.
     candidate: Option<Candidate>,
-    /// When the present start last reported, and first.
+    /// When the current incarnation last reported.
     last_report: Time,
+    /// When it first reported.
     first_report: Time,
 }
 
 impl Incarnations {
-    /// Makes a record of an upstream that has not reported.
+    /// Creates the state for an upstream that has not reported.
     #[must_use]
     pub const fn new(now: Time) -> Self {
         Self {
@@ -80,34 +81,34 @@
         }
     }
 
-    /// Returns the present start.
+    /// Returns the current incarnation.
     #[must_use]
     pub const fn current(&self) -> Option<&Incarnation> {
         self.current.as_ref()
     }
 
-    /// Returns when the present start last reported.
+    /// Returns when the current incarnation last reported.
     pub(crate) const fn last_report(&self) -> Time {
         self.last_report
     }
 
-    /// Returns for how long the present start has reported.
+    /// Returns the time between the first and the last report of the current incarnation.
     pub(crate) fn report_span(&self) -> Duration {
         self.last_report.since(self.first_report)
     }
 
-    /// Returns true once one start has taken the place of another.
+    /// Returns true once one incarnation has replaced another.
     pub(crate) const fn was_replaced(&self) -> bool {
         !self.former.is_empty()
     }
 
-    /// Takes in a report.
+    /// Handles a heartbeat.
     ///
-    /// Guards against a report that is delayed until its sender has gone and another one
-    /// reports from the same address. Taken for a start of the upstream, it would end all that
-    /// the living one holds in the eyes of this member, which would pass it on at once. So
-    /// starts that were replaced are remembered, and one under another name is believed once it
-    /// has reported twice while the present one was silent. Under one name the numbers tell.
+    /// Guards against delayed heartbeats of an earlier incarnation at the same address. Taken for a
+    /// restart, one would clear the grants of the running incarnation, and this member would pass
+    /// on units that are still held. So replaced incarnations are kept, and one under another name
+    /// is accepted only after two heartbeats while the current one was silent. Under the same name,
+    /// the generation decides.
     pub fn report(&mut self, now: Time, incarnation: &Incarnation, sequence: u64) -> ReportOutcome {
         let same = self.current.as_ref() == Some(incarnation);
         if self.is_stale(incarnation) || (same && sequence <= self.sequence) {
@@ -136,14 +137,14 @@
         report
     }
 
-    /// Returns true for a start that a later one has replaced.
+    /// Returns true for an incarnation that a later one has replaced.
     fn is_stale(&self, incarnation: &Incarnation) -> bool {
         let current = self.current.as_ref();
         self.former.contains(incarnation)
             || current.is_some_and(|current| current.follows(incarnation))
     }
 
-    /// Returns true when another start has surely taken the place of the present one.
+    /// Returns true when another incarnation is known to have replaced the current one.
     fn confirms(&mut self, now: Time, incarnation: &Incarnation, sequence: u64) -> bool {
         if self.current.as_ref().is_some_and(|current| incarnation.follows(current)) {
             return true;
--- a/acaciaring_core/src/holds/ranges.rs
+++ b/acaciaring_core/src/holds/ranges.rs
@@ -1,4 +1,4 @@
-//! Ranges of keys in reports and replies.
+//! Key ranges in heartbeats of the upstream and in the replies.
 
 use std::ops::RangeInclusive;
 
@@ -11,7 +11,7 @@
     pub first: u32,
     /// Last key.
     pub last: u32,
-    /// Token under which it holds them.
+    /// Fencing token under which it holds them.
     pub token: Token,
 }
 
@@ -22,24 +22,24 @@
     pub first: u32,
     /// Last key.
     pub last: u32,
-    /// What the next holder needs to go on without warming up.
+    /// Handover value for the next holder, which need not warm up then; empty when there is none.
     pub handover: Name,
 }
 
-/// Range of keys that an upstream is to hold.
+/// Range of keys granted to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Granted {
     /// First key.
     pub first: u32,
     /// Last key.
     pub last: u32,
-    /// Token.
+    /// Fencing token.
     pub token: Token,
-    /// What the last holder gave out, empty when it gave nothing or has no longer to be told.
+    /// Handover value of the previous holder, empty when there is none or it was passed on.
     pub handover: Name,
 }
 
-/// Unit that the upstream is to hold.
+/// Unit that an upstream is to hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wanted {
     /// Unit.
@@ -48,11 +48,11 @@
     pub token: Token,
     /// Its keys.
     pub keys: Vec<RangeInclusive<u32>>,
-    /// What the last holder gave out.
+    /// Handover value of the previous holder.
     pub handover: Name,
 }
 
-/// Returns true when some of the keys are in a range that is held.
+/// Returns true when any of the keys is in a held range.
 pub(super) fn overlap(keys: &[RangeInclusive<u32>], held: &[Held]) -> bool {
     let overlaps = |keys: &RangeInclusive<u32>, held: &Held| {
         held.first <= *keys.end() && *keys.start() <= held.last
@@ -60,12 +60,12 @@
     held.iter().any(|held| keys.iter().any(|keys| overlaps(keys, held)))
 }
 
-/// Returns true when all of the keys are in the range from `first` to `last`.
+/// Returns true when all of the keys lie in the range from `first` to `last`.
 pub(super) fn lie_within(keys: &[RangeInclusive<u32>], first: u32, last: u32) -> bool {
     keys.iter().all(|keys| first <= *keys.start() && *keys.end() <= last)
 }
 
-/// Returns the ranges of units; neighbours that are given alike are joined.
+/// Returns the ranges of units; adjacent ones with the same token and handover are merged.
 pub(super) fn ranges(units: &[&Wanted]) -> Vec<Granted> {
     let range = |unit: &Wanted, keys: &RangeInclusive<u32>| Granted {
         first: *keys.start(),
