--- a/acaciaring_core/src/attempt.rs
+++ b/acaciaring_core/src/attempt.rs
@@ -4,7 +4,7 @@
 //! attempt that has not is refused from then on, so the sender may give the
 //! request to another member.
 
-use std::collections::hash_map::Entry as Place;
+use std::collections::hash_map::Entry as MapEntry;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
 
 /// What is known of one attempt.
 #[derive(Debug)]
-enum Entry {
+enum AttemptState {
     Refused,
     Running,
     Finished(Option<Box<Answer>>),
@@ -78,11 +78,11 @@
 #[derive(Debug, Default)]
 pub struct Attempts {
     settings: AttemptSettings,
-    entries: HashMap<AttemptId, Entry>,
+    states: HashMap<AttemptId, AttemptState>,
     /// Refused and finished attempts by the time at which they are forgotten.
     expiry: VecDeque<(Time, AttemptId)>,
     /// Kept answers by the time at which they are dropped, with their size.
-    kept: VecDeque<(Time, AttemptId, usize)>,
+    kept_answers: VecDeque<(Time, AttemptId, usize)>,
     /// Bytes of kept answers.
     bytes: usize,
 }
@@ -97,13 +97,15 @@
     /// Records that an attempt has arrived and returns what to do with it.
     pub fn arrive(&mut self, now: Time, attempt: AttemptId) -> Arrival {
         self.expire(now);
-        let full = self.entries.len() >= self.settings.max_attempts;
-        match self.entries.entry(attempt) {
-            Place::Occupied(place) if matches!(place.get(), Entry::Refused) => Arrival::Superseded,
-            Place::Occupied(_) => Arrival::Repeated,
-            Place::Vacant(_) if full => Arrival::Full,
-            Place::Vacant(place) => {
-                place.insert(Entry::Running);
+        let full = self.states.len() >= self.settings.max_attempts;
+        match self.states.entry(attempt) {
+            MapEntry::Occupied(entry) if matches!(entry.get(), AttemptState::Refused) => {
+                Arrival::Superseded
+            }
+            MapEntry::Occupied(_) => Arrival::Repeated,
+            MapEntry::Vacant(_) if full => Arrival::Full,
+            MapEntry::Vacant(entry) => {
+                entry.insert(AttemptState::Running);
                 Arrival::Run
             }
         }
@@ -115,32 +117,32 @@
     /// finds no answer and takes the request for one that may have run, which is safe.
     pub fn probe(&mut self, now: Time, attempt: AttemptId) -> bool {
         self.expire(now);
-        match self.entries.get(&attempt) {
-            Some(Entry::Refused) => false,
-            Some(Entry::Running | Entry::Finished(_)) => true,
+        match self.states.get(&attempt) {
+            Some(AttemptState::Refused) => false,
+            Some(AttemptState::Running | AttemptState::Finished(_)) => true,
             None => !self.refuse(now, attempt),
         }
     }
 
     /// Cancels an attempt and returns whether it is running; one that has not arrived is refused from now on.
     pub fn cancel(&mut self, now: Time, attempt: AttemptId) -> bool {
-        self.probe(now, attempt) && matches!(self.entries.get(&attempt), Some(Entry::Running))
+        self.probe(now, attempt) && matches!(self.states.get(&attempt), Some(AttemptState::Running))
     }
 
     /// Records the answer of a running attempt; has no effect on any other attempt.
     pub fn finish(&mut self, now: Time, attempt: AttemptId, answer: Answer) {
         self.expire(now);
-        let Some(entry @ Entry::Running) = self.entries.get_mut(&attempt) else {
+        let Some(state @ AttemptState::Running) = self.states.get_mut(&attempt) else {
             return;
         };
         self.expiry.push_back((now + self.settings.retention, attempt));
         let size = size_of_answer(&answer);
         if size > self.settings.max_bytes {
-            *entry = Entry::Finished(None);
+            *state = AttemptState::Finished(None);
             return;
         }
-        *entry = Entry::Finished(Some(Box::new(answer)));
-        self.kept.push_back((now + self.settings.answer_retention, attempt, size));
+        *state = AttemptState::Finished(Some(Box::new(answer)));
+        self.kept_answers.push_back((now + self.settings.answer_retention, attempt, size));
         self.bytes += size;
         while self.bytes > self.settings.max_bytes {
             self.drop_answer();
@@ -150,23 +152,23 @@
     /// Returns what is known of an attempt's answer.
     pub fn fetch(&mut self, now: Time, attempt: AttemptId) -> Fetched<'_> {
         self.expire(now);
-        match self.entries.get(&attempt) {
-            Some(Entry::Running) => Fetched::Running,
-            Some(Entry::Finished(Some(answer))) => Fetched::Ready(answer),
-            Some(Entry::Refused | Entry::Finished(None)) | None => Fetched::Absent,
+        match self.states.get(&attempt) {
+            Some(AttemptState::Running) => Fetched::Running,
+            Some(AttemptState::Finished(Some(answer))) => Fetched::Ready(answer),
+            Some(AttemptState::Refused | AttemptState::Finished(None)) | None => Fetched::Absent,
         }
     }
 
     /// Returns the count of attempts known.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.states.len()
     }
 
     /// Returns whether no attempt is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.states.is_empty()
     }
 
     /// Returns the bytes of answers that are kept.
@@ -177,32 +179,32 @@
 
     /// Refuses an unknown attempt from now on and returns whether there was room for that.
     fn refuse(&mut self, now: Time, attempt: AttemptId) -> bool {
-        if self.entries.len() >= self.settings.max_attempts + self.settings.max_refusals {
+        if self.states.len() >= self.settings.max_attempts + self.settings.max_refusals {
             return false;
         }
-        self.entries.insert(attempt, Entry::Refused);
+        self.states.insert(attempt, AttemptState::Refused);
         self.expiry.push_back((now + self.settings.retention, attempt));
         true
     }
 
     /// Drops answers and attempts whose time has come.
     fn expire(&mut self, now: Time) {
-        while self.kept.front().is_some_and(|(until, ..)| *until <= now) {
+        while self.kept_answers.front().is_some_and(|(until, ..)| *until <= now) {
             self.drop_answer();
         }
         while let Some((_, attempt)) = self.expiry.pop_front_if(|(until, _)| *until <= now) {
-            self.entries.remove(&attempt);
+            self.states.remove(&attempt);
         }
     }
 
     /// Drops the oldest kept answer; its attempt stays known.
     fn drop_answer(&mut self) {
-        let Some((_, attempt, size)) = self.kept.pop_front() else {
+        let Some((_, attempt, size)) = self.kept_answers.pop_front() else {
             return;
         };
         self.bytes -= size;
-        if let Some(entry @ Entry::Finished(_)) = self.entries.get_mut(&attempt) {
-            *entry = Entry::Finished(None);
+        if let Some(state @ AttemptState::Finished(_)) = self.states.get_mut(&attempt) {
+            *state = AttemptState::Finished(None);
         }
     }
 }
--- a/acaciaring_core/src/holds/incarnation.rs
+++ b/acaciaring_core/src/holds/incarnation.rs
@@ -29,7 +29,7 @@
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         match self.generation {
             0 => out.write_str(&self.instance),
-            born => write!(out, "{} ({born})", self.instance),
+            generation => write!(out, "{} ({generation})", self.instance),
         }
     }
 }
