--- a/acaciaring_core/src/admin.rs
+++ b/acaciaring_core/src/admin.rs
@@ -1,4 +1,4 @@
-//! Messages between the command-line tool and a member's admin address: JSON over HTTP.
+//! Messages of a member's admin API, JSON over HTTP, as used by the command-line tool.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,11 +7,11 @@
 
 /// `POST`: publishes, replaces or retires a document.
 ///
-/// Answers: 200 [`Published`], 409 [`Conflict`], 422 [`Invalid`], else [`Failure`]; 503 says that
-/// nothing was appended, 504 that it is not known whether the record was.
+/// Answers 200 [`Published`], 409 [`Conflict`], 422 [`Invalid`], else [`Failure`]; 503 means that
+/// no record was appended, 504 that it is unknown whether one was.
 pub const PUBLISH: &str = "/v1/publish";
 
-/// `GET` with the query `offset`: which members have folded that offset; answers [`InForce`].
+/// `GET` with the query `offset`: members that have folded that offset; answers [`InForce`].
 pub const IN_FORCE: &str = "/v1/in-force";
 
 /// `GET`: documents in force; answers [`Documents`].
@@ -20,91 +20,92 @@
 /// `GET`: members; answers [`Members`].
 pub const MEMBERS: &str = "/v1/members";
 
-/// `GET` with the queries `workspace` and `key`: who owns a key; answers [`Owner`] or 404 [`Failure`].
+/// `GET` with the queries `workspace` and `key`: owner of a key.
+///
+/// Answers [`Owner`] or 404 [`Failure`].
 pub const OWNER: &str = "/v1/owner";
 
-/// `GET`: load of the members, as the asked one knows it; answers [`Loads`].
+/// `GET`: load of the members, as known to the queried one; answers [`Loads`].
 pub const LOAD: &str = "/v1/load";
 
 /// Request to publish or retire a document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publish {
-    /// Random id of the record, 32 hex digits. A repeat with the same id has the same answer, so
-    /// that a request whose answer was lost can be repeated.
+    /// Random id of the record, 32 hex digits; makes retries of the request idempotent.
     pub id: String,
     /// Kind of the document.
     pub kind: DocumentKind,
     /// Name of the document.
     pub name: Name,
-    /// Version on which the change builds, 0 for a new document.
+    /// Version that the change is based on, 0 for a new document.
     pub base: Offset,
     /// True to retire the document.
     #[serde(default)]
     pub retired: bool,
-    /// Values, none when retired.
+    /// Fields of the document, none when retired.
     #[serde(default)]
     pub fields: Vec<DocumentField>,
 }
 
-/// Answer to a change that has taken effect.
+/// Response to a change that has taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
     /// Offset of the record: the document's new version.
     pub offset: Offset,
-    /// What became of the record.
+    /// Outcome of the record.
     pub outcome: PublishOutcome,
 }
 
-/// What became of a record that has taken effect.
+/// Outcome of a record that has taken effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PublishOutcome {
-    /// The record is in force at the member that answers.
+    /// The record is in force at the answering member.
     Applied,
 }
 
-/// Answer to a change that builds on a version that is no longer current.
+/// Response to a change that is based on an outdated version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    /// Version in force, 0 when there is none.
+    /// Current version, 0 when there is none.
     pub current: Offset,
 }
 
-/// Answer to a change by which a route would not build.
+/// Response to a change that would make a route invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Invalid {
-    /// Every fault, at least one.
+    /// All faults, at least one.
     pub faults: Vec<Fault>,
 }
 
-/// Answer to a request that failed otherwise.
+/// Response to a request that failed for any other reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// What went wrong.
+    /// Description of the failure.
     pub message: String,
 }
 
-/// Which members have folded an offset.
+/// Progress of the members in folding a log offset.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForce {
-    /// Members that were asked and answered.
+    /// Members that answered, with their progress.
     pub applied: Vec<Applied>,
-    /// Names of the VMs of members that have not folded the offset or could not be asked.
+    /// Names of the VMs whose members have not folded the offset or could not be queried.
     pub pending: Vec<Name>,
 }
 
-/// How far a member has folded the log.
+/// Progress of one member in folding the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Applied {
     /// Member.
     pub member: MemberId,
     /// Name of its VM.
     pub vm: Name,
-    /// Highest offset that it has folded.
+    /// Highest offset that the member has folded.
     pub applied: Offset,
 }
 
-/// Documents in force, with tombstones of retired ones.
+/// Documents in force, including tombstones of retired ones.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Documents {
     /// Highest offset that the member has folded.
@@ -124,11 +125,11 @@
     pub version: Offset,
     /// True when it is retired.
     pub retired: bool,
-    /// Values, none when retired.
+    /// Fields of the document, none when retired.
     pub fields: Vec<DocumentField>,
 }
 
-/// All members that are remembered.
+/// All members in the folded state; dead ones stay for some time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     /// Members in order of joining.
@@ -154,9 +155,9 @@
     pub workspace: Option<Name>,
     /// Lessors.
     pub lessors: Vec<MemberId>,
-    /// Units that it owns.
+    /// Number of units that it owns.
     pub owned: u64,
-    /// Units for which it stands by.
+    /// Number of units for which it is the standby.
     pub standing_by: u64,
 }
 
@@ -169,42 +170,42 @@
     pub vm: Name,
 }
 
-/// Who owns a key and why.
+/// Owner of a key, and which member serves it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// Workspace.
     pub workspace: Name,
     /// Slot of the key.
     pub slot: u32,
-    /// True when the key is hot and a unit of its own.
+    /// True when the key is a hot key, which is a unit of its own.
     pub hot: bool,
-    /// Member that owns the key by the log.
+    /// Member that owns the key according to the log.
     pub owner: Option<MemberName>,
-    /// Member that takes over when the owner is lost.
+    /// Member that takes over when the owner fails.
     pub standby: Option<MemberName>,
-    /// Former owner whose release the owner may have to wait for.
+    /// Former owner whose release the owner may have to await.
     pub prior: Option<MemberName>,
     /// Offset of the record that last changed the assignment.
     pub version: Offset,
     /// Offset of the record that last changed the owner.
     pub token: Offset,
-    /// Member that serves the key now, as far as the asked member knows.
+    /// Member that serves the key now, as far as the queried member knows.
     pub serves: Option<MemberName>,
-    /// Why that member serves, or why none does.
+    /// Why that member serves the key, or why none does.
     pub reason: OwnerReason,
 }
 
-/// Why a member serves a key, or why none does.
+/// Reason why a member serves a key, or why none does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OwnerReason {
-    /// The owner serves by the record at `token`.
+    /// The owner serves the key, by the record at `token`.
     Assigned,
-    /// The owner waits for the release of the former owner, or for the end of its lease.
+    /// The owner waits for the former owner to release the key or for its lease to expire.
     AwaitsRelease,
-    /// The owner's lease is over or it has released; the standby serves.
+    /// The standby serves, as the owner has released the key or its lease has expired.
     TakenOver,
-    /// No member that could own the key has been assigned.
+    /// The key has no owner.
     Unassigned,
 }
 
@@ -224,12 +225,12 @@
     pub vm: Name,
     /// Workspace that its upstream serves, if it has one.
     pub workspace: Option<Name>,
-    /// Requests a second, smoothed, times 1000.
+    /// Smoothed request rate, in thousandths of a request per second.
     pub rate: u64,
-    /// Requests in flight and waiting.
+    /// Requests in flight and queued.
     pub busy: u32,
-    /// Requests that the upstream runs at once.
+    /// Number of requests that the upstream runs concurrently.
     pub capacity: u32,
-    /// Milliseconds since the member reported this.
+    /// Age of the report in milliseconds.
     pub age: u64,
 }
--- a/acaciaring_core/src/attempt.rs
+++ b/acaciaring_core/src/attempt.rs
@@ -1,8 +1,7 @@
-//! Table of attempts at the receiver of a hop: each attempt runs at most once.
+//! Table of attempts at the receiving member of a hop, by which each attempt runs at most once.
 //!
-//! A sender that has lost track of an attempt asks whether it has arrived. An
-//! attempt that has not is refused from then on, so the sender may give the
-//! request to another member.
+//! A sender that got no answer to an attempt probes whether it has arrived. An attempt that has not
+//! is refused from then on, so the sender may safely send the request to another member.
 
 use std::collections::hash_map::Entry as MapEntry;
 use std::collections::{HashMap, VecDeque};
@@ -12,21 +11,21 @@
 
 use crate::time::Time;
 
-/// One try of a request over one hop, drawn at random by the sender.
+/// Identity of one attempt of a request over one hop, drawn at random by the sender.
 pub type AttemptId = u64;
 
-/// Bounds of a table of attempts.
+/// Limits of a table of attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptSettings {
-    /// How long a refused or finished attempt is known; longer than a message can be late.
+    /// How long a refused or finished attempt is kept; longer than a message can be delayed.
     pub retention: Duration,
-    /// How long an answer can be fetched.
+    /// How long the answer of a finished attempt is kept.
     pub answer_retention: Duration,
-    /// Most bytes of answers that can be fetched.
+    /// Maximum bytes of kept answers.
     pub max_bytes: usize,
-    /// Most attempts known; further ones are refused.
+    /// Maximum number of attempts; further ones are refused.
     pub max_attempts: usize,
-    /// Most attempts refused ahead of their arrival, in addition to `attempts`.
+    /// Maximum number of attempts refused before their arrival, in addition to `max_attempts`.
     pub max_refusals: usize,
 }
 
@@ -42,31 +41,31 @@
     }
 }
 
-/// What to do with an attempt that arrives.
+/// Decision on an attempt that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// It is new; run it, then call [`Attempts::finish`].
+    /// The attempt is new: run it, then call [`Attempts::finish`].
     Run,
-    /// The sender has been told that it never arrived, or has cancelled it: it does not run.
+    /// The sender was told that it had not arrived, or has cancelled it: do not run it.
     Superseded,
-    /// It arrived before and may have run; it does not run again.
+    /// The attempt arrived before and may have run: do not run it again.
     Repeated,
-    /// The table is full: it does not run.
+    /// The table is full: do not run it.
     Full,
 }
 
-/// What the table has of an attempt's answer.
+/// State of an attempt's answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fetched<'a> {
     /// The attempt is running.
     Running,
     /// The attempt has finished with this answer.
     Ready(&'a Answer),
-    /// The attempt is not known, was refused, or its answer is no longer kept.
+    /// The attempt is unknown or refused, or its answer is no longer kept.
     Absent,
 }
 
-/// What is known of one attempt.
+/// State of one attempt.
 #[derive(Debug)]
 enum AttemptState {
     Refused,
@@ -74,27 +73,27 @@
     Finished(Option<Box<Answer>>),
 }
 
-/// Attempts that have arrived or are refused.
+/// Attempts that have arrived or were refused.
 #[derive(Debug, Default)]
 pub struct Attempts {
     settings: AttemptSettings,
     states: HashMap<AttemptId, AttemptState>,
-    /// Refused and finished attempts by the time at which they are forgotten.
+    /// Refused and finished attempts by the time at which they are removed.
     expiry: VecDeque<(Time, AttemptId)>,
-    /// Kept answers by the time at which they are dropped, with their size.
+    /// Kept answers by the time at which they are dropped, with their sizes in bytes.
     kept_answers: VecDeque<(Time, AttemptId, usize)>,
-    /// Bytes of kept answers.
+    /// Total size of kept answers.
     bytes: usize,
 }
 
 impl Attempts {
-    /// Returns an empty table with the bounds in `settings`.
+    /// Creates an empty table with the limits in `settings`.
     #[must_use]
     pub fn new(settings: AttemptSettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// Records that an attempt has arrived and returns what to do with it.
+    /// Records the arrival of an attempt and decides whether it runs.
     pub fn arrive(&mut self, now: Time, attempt: AttemptId) -> Arrival {
         self.expire(now);
         let full = self.states.len() >= self.settings.max_attempts;
@@ -113,8 +112,8 @@
 
     /// Returns whether an attempt has arrived; if it has not, it is refused from now on.
     ///
-    /// When the table has no room to remember the refusal the answer is `true`: the sender then
-    /// finds no answer and takes the request for one that may have run, which is safe.
+    /// Returns true when the table has no room for the refusal: the sender then finds no answer and
+    /// treats the request as one that may have run, which is safe.
     pub fn probe(&mut self, now: Time, attempt: AttemptId) -> bool {
         self.expire(now);
         match self.states.get(&attempt) {
@@ -124,7 +123,7 @@
         }
     }
 
-    /// Cancels an attempt and returns whether it is running; one that has not arrived is refused from now on.
+    /// Cancels an attempt: refuses it if it has not arrived, and returns whether it is running.
     pub fn cancel(&mut self, now: Time, attempt: AttemptId) -> bool {
         self.probe(now, attempt) && matches!(self.states.get(&attempt), Some(AttemptState::Running))
     }
@@ -149,7 +148,7 @@
         }
     }
 
-    /// Returns what is known of an attempt's answer.
+    /// Returns the state of an attempt's answer.
     pub fn fetch(&mut self, now: Time, attempt: AttemptId) -> Fetched<'_> {
         self.expire(now);
         match self.states.get(&attempt) {
@@ -159,25 +158,25 @@
         }
     }
 
-    /// Returns the count of attempts known.
+    /// Returns the number of attempts in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Returns whether no attempt is known.
+    /// Returns true when the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Returns the bytes of answers that are kept.
+    /// Returns the total size of kept answers in bytes.
     #[must_use]
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Refuses an unknown attempt from now on and returns whether there was room for that.
+    /// Refuses an unknown attempt from now on; returns false when the table has no room for it.
     fn refuse(&mut self, now: Time, attempt: AttemptId) -> bool {
         if self.states.len() >= self.settings.max_attempts + self.settings.max_refusals {
             return false;
@@ -187,7 +186,7 @@
         true
     }
 
-    /// Drops answers and attempts whose time has come.
+    /// Drops expired answers and attempts.
     fn expire(&mut self, now: Time) {
         while self.kept_answers.front().is_some_and(|(until, ..)| *until <= now) {
             self.drop_answer();
@@ -197,7 +196,7 @@
         }
     }
 
-    /// Drops the oldest kept answer; its attempt stays known.
+    /// Drops the oldest kept answer; its attempt stays in the table.
     fn drop_answer(&mut self) {
         let Some((_, attempt, size)) = self.kept_answers.pop_front() else {
             return;
@@ -209,7 +208,7 @@
     }
 }
 
-/// Returns the bytes that an answer takes in memory.
+/// Returns the size of an answer in memory, in bytes.
 fn size_of_answer(answer: &Answer) -> usize {
     let header = |header: &Header| size_of::<Header>() + header.name.len() + header.value.len();
     let headers = answer.headers.iter().map(header).sum::<usize>();
--- a/acaciaring_core/src/holds.rs
+++ b/acaciaring_core/src/holds.rs
@@ -139,7 +139,7 @@
         self.freed.clear();
     }
 
-    /// Returns at most `room` ranges to grant and their duration, `None` when the lease is too short.
+    /// Returns at most `room` ranges to grant and their duration, `None` for too short a lease.
     ///
     /// Units granted before take precedence over new ones, so that a lack of room does not make
     /// units alternate. The grant expires before `lease`, the expiry of this member's lease, even
--- a/acaciaring_core/src/id.rs
+++ b/acaciaring_core/src/id.rs
@@ -1,4 +1,4 @@
-//! Identities: members, offsets, keys, slots and requests.
+//! Identifiers of members, log offsets, keys, slots, units and requests.
 
 use std::fmt::{self, Display, Formatter};
 use std::sync::Arc;
@@ -9,30 +9,30 @@
 /// Shared immutable name, for example of a workspace.
 pub type Name = Arc<str>;
 
-/// Offset of a record in the control log; also the version of what the record changed.
+/// Offset of a record in the control log, also used as the version of what the record changed.
 ///
-/// Zero means "none": the log service numbers records from 1.
+/// Zero means none, as the log numbers records from 1.
 pub type Offset = u64;
 
-/// Slot of a service that is divided by key.
+/// Slot of a service that is partitioned by key.
 pub type Slot = u32;
 
-/// Identity of one process start: the offset of its `Join` record.
+/// Identity of one run of a member process: the offset of its `Join` record.
 ///
-/// A restarted process is a new member, so what an earlier one granted,
-/// voted or owned can never be taken for the new one's.
+/// A restarted process gets a new identity, so it cannot be mistaken for the earlier one, whose
+/// grants, votes and units do not pass to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MemberId(pub Offset);
 
 impl MemberId {
-    /// Converts from a message field in which zero means "none".
+    /// Converts from a protobuf field in which zero means none.
     #[must_use]
     pub const fn from_wire(value: u64) -> Option<Self> {
         if value == 0 { None } else { Some(Self(value)) }
     }
 
-    /// Converts to a message field in which zero means "none".
+    /// Converts to a protobuf field in which zero means none.
     #[must_use]
     pub fn to_wire(member: Option<Self>) -> u64 {
         member.map_or(0, |id| id.0)
@@ -45,11 +45,10 @@
     }
 }
 
-/// Fencing token: grows each time a unit gets a new server.
+/// Fencing token of a unit, which increases each time another member starts to serve it.
 ///
-/// The owner of an assignment made at offset `o` serves under `2 * o`, its
-/// standby, once it has taken over without the log, under `2 * v + 1` where `v`
-/// is the assignment's version.
+/// The owner of an assignment made at offset `o` serves under `2 * o`. A standby that has taken
+/// over without a log record serves under `2 * v + 1`, where `v` is the assignment's version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
@@ -90,17 +89,17 @@
     }
 }
 
-/// What is assigned: a slot, or a single hot key within it.
+/// Unit of assignment: a slot, or a single hot key within one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnitId {
-    /// Slot, also of a hot key.
+    /// Slot, or the slot that contains the hot key.
     pub slot: Slot,
-    /// Key hash when the unit is a hot key.
+    /// Hash of the key when the unit is a hot key.
     pub key: Option<KeyHash>,
 }
 
 impl UnitId {
-    /// Returns the unit that is a whole slot.
+    /// Returns the unit of a whole slot.
     #[must_use]
     pub const fn slot(slot: Slot) -> Self {
         Self { slot, key: None }
@@ -116,14 +115,14 @@
     }
 }
 
-/// Identity of a caller's request over all its tries.
+/// Identity of a caller's request, the same for all its attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 16]);
 
 impl RequestId {
-    /// Derives the identity from the caller's idempotency key and the key of what it concerns.
+    /// Derives the identity from a workspace, the routing key's hash and the idempotency key.
     ///
-    /// The same idempotency key sent for two contracts makes two requests.
+    /// The same idempotency key with two routing keys identifies two requests.
     #[must_use]
     pub fn from_key(workspace: &str, subject: Option<KeyHash>, key: &str) -> Self {
         let mut hasher = xxh3::Xxh3::new();
--- a/acaciaring_core/src/lib.rs
+++ b/acaciaring_core/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions of acaciaring, free of input, output and threads; the present time is an argument.
+//! Decision logic of acaciaring, without I/O or threads; the current time is passed as an argument.
 
 pub mod admin;
 pub mod admission;
--- a/acaciaring_core/src/time.rs
+++ b/acaciaring_core/src/time.rs
@@ -1,37 +1,37 @@
-//! Monotonic time, an argument of every function that decides.
+//! Monotonic time, passed as an argument to all decisions.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Time on a monotonic clock of this process that runs on while its VM is suspended.
+/// Time on this process's monotonic clock, which advances while the VM is suspended.
 ///
-/// Times of two processes are never compared.
+/// Times of two processes must not be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(Duration);
 
 impl Time {
-    /// Start of the clock.
+    /// Origin of the clock.
     pub const ZERO: Self = Self(Duration::ZERO);
 
-    /// Returns the time at `elapsed` after the start of the clock.
+    /// Returns the time at `elapsed` after the origin of the clock.
     #[must_use]
     pub const fn from_start(elapsed: Duration) -> Self {
         Self(elapsed)
     }
 
-    /// Returns the time at `millis` milliseconds after the start of the clock.
+    /// Returns the time at `millis` milliseconds after the origin of the clock.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(Duration::from_millis(millis))
     }
 
-    /// Returns the time since the start of the clock.
+    /// Returns the duration since the origin of the clock.
     #[must_use]
     pub const fn since_start(self) -> Duration {
         self.0
     }
 
-    /// Returns the time since `earlier`, zero when `earlier` is later than `self`.
+    /// Returns the duration since `earlier`, zero when `earlier` is later than `self`.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
--- a/acaciaring_core/src/verdict.rs
+++ b/acaciaring_core/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdict: whether a request may have run.
+//! Verdicts on whether a request may have run, and refusals with their reasons.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The request was never given to an upstream, and never will be.
+    /// The request was not sent to an upstream and never will be.
     NotRun,
-    /// The upstream ran the request and its whole answer is here.
+    /// The upstream ran the request and its complete answer was received.
     Answered,
-    /// The request may have run; there is no whole answer.
+    /// The request may have run, but no complete answer was received.
     Unknown,
 }
 
@@ -34,33 +34,33 @@
 pub enum Reason {
     /// The member does not own the key.
     NotOwner,
-    /// The member's lease has run out.
+    /// The member has no valid lease.
     NoLease,
-    /// The queue beside the upstream is full, or the upstream sheds load.
+    /// The queue in front of the upstream is full, or the upstream sheds load.
     Busy,
-    /// The upstream itself refused the request, although it had a place for it by its own word.
+    /// The upstream refused the request despite having announced free capacity.
     Shed,
-    /// The deadline passed, or cannot be met.
+    /// The deadline has passed or cannot be met.
     Expired,
-    /// The standby cannot be told of a request that may run once only.
+    /// The request may run only once and could not be replicated to the standby.
     StandbyLost,
-    /// The upstream is leaving.
+    /// The upstream or its member is draining and accepts no requests.
     Draining,
     /// The upstream does not accept connections.
     UpstreamDown,
-    /// A probe or a later try has replaced this attempt.
+    /// A probe or a later attempt has superseded this attempt.
     Superseded,
     /// No published route matches.
     NoRoute,
-    /// The caller has gone away.
+    /// The request was cancelled, for example because the caller disconnected.
     Cancelled,
     /// The member does not know which requests ran before it took over.
     DedupLost,
-    /// The upstream's answer was lost or was not whole.
+    /// The upstream's answer was lost or incomplete.
     LostAnswer,
     /// The request is malformed or lacks its key.
     BadRequest,
-    /// No member that may serve the key can be reached.
+    /// No member that may serve the key is reachable.
     Unreachable,
 }
 
@@ -95,7 +95,7 @@
     pub verdict: Verdict,
     /// Why it was refused.
     pub reason: Reason,
-    /// When the caller may come back.
+    /// Time after which the caller may retry.
     pub retry: Option<Duration>,
 }
 
@@ -112,7 +112,7 @@
         Self { verdict: Verdict::Unknown, reason, retry: None }
     }
 
-    /// Returns this refusal with the time after which to come back.
+    /// Returns this refusal with a time after which the caller may retry.
     #[must_use]
     pub const fn after(self, retry: Duration) -> Self {
         Self { retry: Some(retry), ..self }
