--- a/acaciaring_core/src/attempt.rs
+++ b/acaciaring_core/src/attempt.rs
@@ -1,10 +1,9 @@
-//! Table of attempts at the receiver of a hop: each attempt runs at most once.
+//! Table of attempts at the receiving member of a hop, by which each attempt runs at most once.
 //!
-//! A sender that has lost track of an attempt asks whether it has arrived. An
-//! attempt that has not is refused from then on, so the sender may give the
-//! request to another member.
+//! A sender that got no answer to an attempt probes whether it has arrived. An attempt that has not
+//! is refused from then on, so the sender may safely send the request to another member.
 
-use std::collections::hash_map::Entry as Place;
+use std::collections::hash_map::Entry as MapEntry;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
@@ -12,98 +11,100 @@
 
 use crate::time::Time;
 
-/// One try of a request over one hop, drawn at random by the sender.
+/// Identity of one attempt of a request over one hop, drawn at random by the sender.
 pub type AttemptId = u64;
 
-/// Bounds of a table of attempts.
+/// Limits of a table of attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptSettings {
-    /// How long a refused or finished attempt is known; longer than a message can be late.
-    pub memory: Duration,
-    /// How long an answer can be fetched.
-    pub answers: Duration,
-    /// Most bytes of answers that can be fetched.
-    pub bytes: usize,
-    /// Most attempts known; further ones are refused.
-    pub attempts: usize,
-    /// Most attempts refused ahead of their arrival, in addition to `attempts`.
-    pub refusals: usize,
+    /// How long a refused or finished attempt is kept; longer than a message can be delayed.
+    pub retention: Duration,
+    /// How long the answer of a finished attempt is kept.
+    pub answer_retention: Duration,
+    /// Maximum bytes of kept answers.
+    pub max_bytes: usize,
+    /// Maximum number of attempts; further ones are refused.
+    pub max_attempts: usize,
+    /// Maximum number of attempts refused before their arrival, in addition to `max_attempts`.
+    pub max_refusals: usize,
 }
 
 impl Default for AttemptSettings {
     fn default() -> Self {
         Self {
-            memory: Duration::from_secs(30),
-            answers: Duration::from_secs(3),
-            bytes: 16 << 20,
-            attempts: 600_000,
-            refusals: 100_000,
+            retention: Duration::from_secs(30),
+            answer_retention: Duration::from_secs(3),
+            max_bytes: 16 << 20,
+            max_attempts: 600_000,
+            max_refusals: 100_000,
         }
     }
 }
 
-/// What to do with an attempt that arrives.
+/// Decision on an attempt that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// It is new; run it, then call [`Attempts::finish`].
+    /// The attempt is new: run it, then call [`Attempts::finish`].
     Run,
-    /// The sender has been told that it never arrived, or has cancelled it: it does not run.
+    /// The sender was told that it had not arrived, or has cancelled it: do not run it.
     Superseded,
-    /// It arrived before and may have run; it does not run again.
+    /// The attempt arrived before and may have run: do not run it again.
     Repeated,
-    /// The table is full: it does not run.
+    /// The table is full: do not run it.
     Full,
 }
 
-/// What the table has of an attempt's answer.
+/// State of an attempt's answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fetched<'a> {
     /// The attempt is running.
     Running,
     /// The attempt has finished with this answer.
     Ready(&'a Answer),
-    /// The attempt is not known, was refused, or its answer is no longer kept.
+    /// The attempt is unknown or refused, or its answer is no longer kept.
     Absent,
 }
 
-/// What is known of one attempt.
+/// State of one attempt.
 #[derive(Debug)]
-enum Entry {
+enum AttemptState {
     Refused,
     Running,
     Finished(Option<Box<Answer>>),
 }
 
-/// Attempts that have arrived or are refused.
+/// Attempts that have arrived or were refused.
 #[derive(Debug, Default)]
 pub struct Attempts {
     settings: AttemptSettings,
-    entries: HashMap<AttemptId, Entry>,
-    /// Refused and finished attempts by the time at which they are forgotten.
+    states: HashMap<AttemptId, AttemptState>,
+    /// Refused and finished attempts by the time at which they are removed.
     expiry: VecDeque<(Time, AttemptId)>,
-    /// Kept answers by the time at which they are dropped, with their size.
-    kept: VecDeque<(Time, AttemptId, usize)>,
-    /// Bytes of kept answers.
+    /// Kept answers by the time at which they are dropped, with their sizes in bytes.
+    kept_answers: VecDeque<(Time, AttemptId, usize)>,
+    /// Total size of kept answers.
     bytes: usize,
 }
 
 impl Attempts {
-    /// Returns an empty table with the bounds in `settings`.
+    /// Creates an empty table with the limits in `settings`.
     #[must_use]
     pub fn new(settings: AttemptSettings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// Records that an attempt has arrived and returns what to do with it.
+    /// Records the arrival of an attempt and decides whether it runs.
     pub fn arrive(&mut self, now: Time, attempt: AttemptId) -> Arrival {
         self.expire(now);
-        let full = self.entries.len() >= self.settings.attempts;
-        match self.entries.entry(attempt) {
-            Place::Occupied(place) if matches!(place.get(), Entry::Refused) => Arrival::Superseded,
-            Place::Occupied(_) => Arrival::Repeated,
-            Place::Vacant(_) if full => Arrival::Full,
-            Place::Vacant(place) => {
-                place.insert(Entry::Running);
+        let full = self.states.len() >= self.settings.max_attempts;
+        match self.states.entry(attempt) {
+            MapEntry::Occupied(entry) if matches!(entry.get(), AttemptState::Refused) => {
+                Arrival::Superseded
+            }
+            MapEntry::Occupied(_) => Arrival::Repeated,
+            MapEntry::Vacant(_) if full => Arrival::Full,
+            MapEntry::Vacant(entry) => {
+                entry.insert(AttemptState::Running);
                 Arrival::Run
             }
         }
@@ -111,103 +112,103 @@
 
     /// Returns whether an attempt has arrived; if it has not, it is refused from now on.
     ///
-    /// When the table has no room to remember the refusal the answer is `true`: the sender then
-    /// finds no answer and takes the request for one that may have run, which is safe.
+    /// Returns true when the table has no room for the refusal: the sender then finds no answer and
+    /// treats the request as one that may have run, which is safe.
     pub fn probe(&mut self, now: Time, attempt: AttemptId) -> bool {
         self.expire(now);
-        match self.entries.get(&attempt) {
-            Some(Entry::Refused) => false,
-            Some(Entry::Running | Entry::Finished(_)) => true,
+        match self.states.get(&attempt) {
+            Some(AttemptState::Refused) => false,
+            Some(AttemptState::Running | AttemptState::Finished(_)) => true,
             None => !self.refuse(now, attempt),
         }
     }
 
-    /// Cancels an attempt and returns whether it is running; one that has not arrived is refused from now on.
+    /// Cancels an attempt: refuses it if it has not arrived, and returns whether it is running.
     pub fn cancel(&mut self, now: Time, attempt: AttemptId) -> bool {
-        self.probe(now, attempt) && matches!(self.entries.get(&attempt), Some(Entry::Running))
+        self.probe(now, attempt) && matches!(self.states.get(&attempt), Some(AttemptState::Running))
     }
 
     /// Records the answer of a running attempt; has no effect on any other attempt.
     pub fn finish(&mut self, now: Time, attempt: AttemptId, answer: Answer) {
         self.expire(now);
-        let Some(entry @ Entry::Running) = self.entries.get_mut(&attempt) else {
+        let Some(state @ AttemptState::Running) = self.states.get_mut(&attempt) else {
             return;
         };
-        self.expiry.push_back((now + self.settings.memory, attempt));
+        self.expiry.push_back((now + self.settings.retention, attempt));
         let size = size_of_answer(&answer);
-        if size > self.settings.bytes {
-            *entry = Entry::Finished(None);
+        if size > self.settings.max_bytes {
+            *state = AttemptState::Finished(None);
             return;
         }
-        *entry = Entry::Finished(Some(Box::new(answer)));
-        self.kept.push_back((now + self.settings.answers, attempt, size));
+        *state = AttemptState::Finished(Some(Box::new(answer)));
+        self.kept_answers.push_back((now + self.settings.answer_retention, attempt, size));
         self.bytes += size;
-        while self.bytes > self.settings.bytes {
+        while self.bytes > self.settings.max_bytes {
             self.drop_answer();
         }
     }
 
-    /// Returns what is known of an attempt's answer.
+    /// Returns the state of an attempt's answer.
     pub fn fetch(&mut self, now: Time, attempt: AttemptId) -> Fetched<'_> {
         self.expire(now);
-        match self.entries.get(&attempt) {
-            Some(Entry::Running) => Fetched::Running,
-            Some(Entry::Finished(Some(answer))) => Fetched::Ready(answer),
-            Some(Entry::Refused | Entry::Finished(None)) | None => Fetched::Absent,
+        match self.states.get(&attempt) {
+            Some(AttemptState::Running) => Fetched::Running,
+            Some(AttemptState::Finished(Some(answer))) => Fetched::Ready(answer),
+            Some(AttemptState::Refused | AttemptState::Finished(None)) | None => Fetched::Absent,
         }
     }
 
-    /// Returns the count of attempts known.
+    /// Returns the number of attempts in the table.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.states.len()
     }
 
-    /// Returns whether no attempt is known.
+    /// Returns true when the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.states.is_empty()
     }
 
-    /// Returns the bytes of answers that are kept.
+    /// Returns the total size of kept answers in bytes.
     #[must_use]
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Refuses an unknown attempt from now on and returns whether there was room for that.
+    /// Refuses an unknown attempt from now on; returns false when the table has no room for it.
     fn refuse(&mut self, now: Time, attempt: AttemptId) -> bool {
-        if self.entries.len() >= self.settings.attempts + self.settings.refusals {
+        if self.states.len() >= self.settings.max_attempts + self.settings.max_refusals {
             return false;
         }
-        self.entries.insert(attempt, Entry::Refused);
-        self.expiry.push_back((now + self.settings.memory, attempt));
+        self.states.insert(attempt, AttemptState::Refused);
+        self.expiry.push_back((now + self.settings.retention, attempt));
         true
     }
 
-    /// Drops answers and attempts whose time has come.
+    /// Drops expired answers and attempts.
     fn expire(&mut self, now: Time) {
-        while self.kept.front().is_some_and(|(until, ..)| *until <= now) {
+        while self.kept_answers.front().is_some_and(|(until, ..)| *until <= now) {
             self.drop_answer();
         }
         while let Some((_, attempt)) = self.expiry.pop_front_if(|(until, _)| *until <= now) {
-            self.entries.remove(&attempt);
+            self.states.remove(&attempt);
         }
     }
 
-    /// Drops the oldest kept answer; its attempt stays known.
+    /// Drops the oldest kept answer; its attempt stays in the table.
     fn drop_answer(&mut self) {
-        let Some((_, attempt, size)) = self.kept.pop_front() else {
+        let Some((_, attempt, size)) = self.kept_answers.pop_front() else {
             return;
         };
         self.bytes -= size;
-        if let Some(entry @ Entry::Finished(_)) = self.entries.get_mut(&attempt) {
-            *entry = Entry::Finished(None);
+        if let Some(state @ AttemptState::Finished(_)) = self.states.get_mut(&attempt) {
+            *state = AttemptState::Finished(None);
         }
     }
 }
 
-/// Returns the bytes that an answer takes in memory.
+/// Returns the size of an answer in memory, in bytes.
 fn size_of_answer(answer: &Answer) -> usize {
     let header = |header: &Header| size_of::<Header>() + header.name.len() + header.value.len();
     let headers = answer.headers.iter().map(header).sum::<usize>();
--- /dev/null
+++ b/acaciaring_core/src/holds/incarnation.rs
@@ -0,0 +1,160 @@
+//! Incarnations of the upstream, identified by its heartbeats.
+
+use std::fmt::{self, Display, Formatter};
+use std::time::Duration;
+
+use crate::id::Name;
+use crate::time::Time;
+
+/// Maximum number of former incarnations kept.
+const MAX_FORMER: usize = 32;
+
+/// Incarnation of an upstream: one run of it from start to exit.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct Incarnation {
+    /// Name of the upstream, which may stay the same across restarts.
+    pub instance: Name,
+    /// Number that grows with each restart under one name; 0 when the upstream sends none.
+    pub generation: u64,
+}
+
+impl Incarnation {
+    /// Returns true when this is a later incarnation under the same name.
+    fn follows(&self, other: &Self) -> bool {
+        self.instance == other.instance && self.generation > other.generation
+    }
+}
+
+impl Display for Incarnation {
+    fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
+        match self.generation {
+            0 => out.write_str(&self.instance),
+            generation => write!(out, "{} ({generation})", self.instance),
+        }
+    }
+}
+
+/// Classification of a heartbeat.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub enum ReportOutcome {
+    /// It is the newest one of the current incarnation.
+    Current,
+    /// It is the first accepted one of a new incarnation.
+    NewIncarnation,
+    /// It is out of order or not from the current incarnation, and is ignored.
+    Stale,
+}
+
+/// Incarnation that may have replaced the current one.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct Candidate {
+    incarnation: Incarnation,
+    sequence: u64,
+    since: Time,
+}
+
+/// Current incarnation of the upstream and former ones.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct Incarnations {
+    current: Option<Incarnation>,
+    sequence: u64,
+    former: Vec<Incarnation>,
+    /// Other incarnation that has reported once.
+    candidate: Option<Candidate>,
+    /// When the current incarnation last reported.
+    last_report: Time,
+    /// When it first reported.
+    first_report: Time,
+}
+
+impl Incarnations {
+    /// Creates the state for an upstream that has not reported.
+    #[must_use]
+    pub const fn new(now: Time) -> Self {
+        Self {
+            current: None,
+            sequence: 0,
+            former: Vec::new(),
+            candidate: None,
+            last_report: now,
+            first_report: now,
+        }
+    }
+
+    /// Returns the current incarnation.
+    #[must_use]
+    pub const fn current(&self) -> Option<&Incarnation> {
+        self.current.as_ref()
+    }
+
+    /// Returns when the current incarnation last reported.
+    pub(crate) const fn last_report(&self) -> Time {
+        self.last_report
+    }
+
+    /// Returns the time between the first and the last report of the current incarnation.
+    pub(crate) fn report_span(&self) -> Duration {
+        self.last_report.since(self.first_report)
+    }
+
+    /// Returns true once one incarnation has replaced another.
+    pub(crate) const fn was_replaced(&self) -> bool {
+        !self.former.is_empty()
+    }
+
+    /// Handles a heartbeat.
+    ///
+    /// Guards against delayed heartbeats of an earlier incarnation at the same address. Taken for a
+    /// restart, one would clear the grants of the running incarnation, and this member would pass
+    /// on units that are still held. So replaced incarnations are kept, and one under another name
+    /// is accepted only after two heartbeats while the current one was silent. Under the same name,
+    /// the generation decides.
+    pub fn report(&mut self, now: Time, incarnation: &Incarnation, sequence: u64) -> ReportOutcome {
+        let same = self.current.as_ref() == Some(incarnation);
+        if self.is_stale(incarnation) || (same && sequence <= self.sequence) {
+            return ReportOutcome::Stale;
+        }
+        let report = if same || self.current.is_none() {
+            ReportOutcome::Current
+        } else {
+            ReportOutcome::NewIncarnation
+        };
+        if report == ReportOutcome::NewIncarnation {
+            if !self.confirms(now, incarnation, sequence) {
+                return ReportOutcome::Stale;
+            }
+            self.former.extend(self.current.take());
+            let excess = self.former.len().saturating_sub(MAX_FORMER);
+            self.former.drain(..excess);
+        }
+        self.candidate = None;
+        self.last_report = now;
+        if !same {
+            self.first_report = now;
+        }
+        self.current = Some(incarnation.clone());
+        self.sequence = sequence;
+        report
+    }
+
+    /// Returns true for an incarnation that a later one has replaced.
+    fn is_stale(&self, incarnation: &Incarnation) -> bool {
+        let current = self.current.as_ref();
+        self.former.contains(incarnation)
+            || current.is_some_and(|current| current.follows(incarnation))
+    }
+
+    /// Returns true when another incarnation is known to have replaced the current one.
+    fn confirms(&mut self, now: Time, incarnation: &Incarnation, sequence: u64) -> bool {
+        if self.current.as_ref().is_some_and(|current| incarnation.follows(current)) {
+            return true;
+        }
+        let known =
+            self.candidate.as_ref().filter(|candidate| candidate.incarnation == *incarnation);
+        if let Some(known) = known {
+            return sequence > known.sequence && self.last_report < known.since;
+        }
+        self.candidate = Some(Candidate { incarnation: incarnation.clone(), sequence, since: now });
+        false
+    }
+}
--- a/acaciaring_core/src/lease/lessor.rs
+++ b/acaciaring_core/src/lease/lessor.rs
@@ -1,4 +1,4 @@
-//! Lessor's side of a lease.
+//! Lessor side of the lease protocol: grants leases to other members and votes on their expiry.
 
 use std::collections::BTreeMap;
 
@@ -6,44 +6,43 @@
 use crate::lease::{Grant, LeaseSettings, Vote};
 use crate::time::Time;
 
-/// What a lessor remembers of one holder.
+/// State that a lessor keeps for one holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Record {
-    /// End of the grant, or of the wait for the first renewal.
+struct HolderState {
+    /// End of the grant, or of the waiting time for the first renewal.
     ends: Time,
-    /// Highest version of the holder's lessor set that was seen.
+    /// Highest version of the holder's lessor set seen.
     version: Offset,
-    /// Version of the last vote.
+    /// Lessor set version of the last vote.
     voted: Option<Offset>,
-    /// True when the newest set seen contains this lessor.
-    member: bool,
-    /// True when the holder is dead in the log.
+    /// True when the newest lessor set seen contains this lessor.
+    in_set: bool,
+    /// True when the log records the holder as dead.
     dead: bool,
 }
 
-/// Grants that one member identity gives to others.
+/// Grants and votes of one member identity for other members.
 ///
-/// Nothing is forgotten while the holder may live: a lessor that forgot its
-/// vote would grant again, one that forgot a version would vote by a set that
-/// the holder has dropped. A process that restarts is another member and in no
-/// set. Of a dead holder one entry stays so that a holder that lags behind the
-/// log is refused.
+/// Entries are never removed. A lessor that lost its vote would grant again, one that lost a
+/// version would vote by a set that the holder has dropped, and without the entry of a dead holder
+/// it would grant to one that lags behind the log. A restarted process has a new identity, which is
+/// in no lessor set.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Lessor {
     me: MemberId,
     settings: LeaseSettings,
-    records: BTreeMap<MemberId, Record>,
+    holders: BTreeMap<MemberId, HolderState>,
     stopped: bool,
 }
 
 impl Lessor {
-    /// Makes a lessor that has granted nothing.
+    /// Creates a lessor without grants.
     #[must_use]
     pub fn new(me: MemberId, settings: LeaseSettings) -> Self {
-        Self { me, settings, records: BTreeMap::new(), stopped: false }
+        Self { me, settings, holders: BTreeMap::new(), stopped: false }
     }
 
-    /// Returns the identity that grants.
+    /// Returns the identity of this lessor.
     #[must_use]
     pub fn id(&self) -> MemberId {
         self.me
@@ -51,10 +50,10 @@
 
     /// Answers a renewal.
     ///
-    /// `abandoned` is [`Holder::abandoned`](crate::lease::Holder::abandoned) of
-    /// this member's own lease at `now`. Failure: a lessor wakes from a long
-    /// pause and answers renewals that have waited in its socket, while its
-    /// recorded death already counts as its vote. Asked at `now`, it refuses.
+    /// `abandoned` is [`Holder::abandoned`](crate::lease::Holder::abandoned) of this member's own
+    /// lease at `now`. It must be evaluated for each renewal: after a long pause, a lessor whose
+    /// recorded death already counts as its vote would otherwise grant renewals that waited in its
+    /// socket.
     pub fn renew(
         &mut self,
         now: Time,
@@ -64,98 +63,97 @@
     ) -> Grant {
         self.stopped |= abandoned;
         let ends = now + self.settings.term;
-        let fresh = Record { ends, version, voted: None, member: true, dead: false };
-        let record = self.records.entry(holder).or_insert(fresh);
-        if self.stopped || record.dead || record.voted.is_some() {
-            return Grant { granted: false, version: record.version };
+        let initial = HolderState { ends, version, voted: None, in_set: true, dead: false };
+        let state = self.holders.entry(holder).or_insert(initial);
+        if self.stopped || state.dead || state.voted.is_some() {
+            return Grant { granted: false, version: state.version };
         }
-        record.ends = ends;
-        record.version = record.version.max(version);
-        Grant { granted: true, version: record.version }
+        state.ends = ends;
+        state.version = state.version.max(version);
+        Grant { granted: true, version: state.version }
     }
 
-    /// Notes that this member is a lessor of `holder` by the set of `version`.
+    /// Records that the lessor set of `holder` at `version` contains this member.
     ///
-    /// A holder that has never asked gets a full term from here before a vote.
-    pub fn learn(&mut self, now: Time, holder: MemberId, version: Offset) {
+    /// A holder that has not renewed yet gets a full term before this member votes.
+    pub fn join_set(&mut self, now: Time, holder: MemberId, version: Offset) {
         let ends = now + self.settings.term;
-        let fresh = Record { ends, version, voted: None, member: true, dead: false };
-        let record = self.records.entry(holder).or_insert(fresh);
-        if version >= record.version {
-            record.version = version;
-            record.member = true;
+        let initial = HolderState { ends, version, voted: None, in_set: true, dead: false };
+        let state = self.holders.entry(holder).or_insert(initial);
+        if version >= state.version {
+            state.version = version;
+            state.in_set = true;
         }
     }
 
-    /// Notes that the set of `version` does not contain this member: no vote is wanted.
-    pub fn unlearn(&mut self, holder: MemberId, version: Offset) {
-        let Some(record) = self.records.get_mut(&holder) else { return };
-        if version >= record.version {
-            record.version = version;
-            record.member = false;
+    /// Records that the lessor set of `holder` at `version` lacks this member, which need not vote.
+    pub fn leave_set(&mut self, holder: MemberId, version: Offset) {
+        let Some(state) = self.holders.get_mut(&holder) else { return };
+        if version >= state.version {
+            state.version = version;
+            state.in_set = false;
         }
     }
 
-    /// Notes that `holder` is dead in the log: no grant and no vote from now on.
-    pub fn forget(&mut self, holder: MemberId) {
-        if let Some(record) = self.records.get_mut(&holder) {
-            record.dead = true;
+    /// Records that the log states the death of `holder`: it gets no more grants and no more votes.
+    pub fn mark_dead(&mut self, holder: MemberId) {
+        if let Some(state) = self.holders.get_mut(&holder) {
+            state.dead = true;
         }
     }
 
-    /// Returns the holders whose grant has run out and that are still to be voted on.
+    /// Returns the holders whose grant has expired and on which this lessor has not voted yet.
     #[must_use]
     pub fn expired(&self, now: Time) -> Vec<MemberId> {
-        let due = |record: &Record| record.voted != Some(record.version) && ripe(record, now);
-        self.records.iter().filter(|(_, record)| due(record)).map(|(id, _)| *id).collect()
+        let due = |state: &HolderState| state.voted != Some(state.version) && may_vote(state, now);
+        self.holders.iter().filter(|(_, state)| due(state)).map(|(id, _)| *id).collect()
     }
 
-    /// Returns the time at which the next grant runs out.
+    /// Returns the time at which the next grant expires.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Time> {
-        let open = |record: &&Record| record.member && !record.dead && record.voted.is_none();
-        self.records.values().filter(open).map(|record| record.ends).min()
+        let open = |state: &&HolderState| state.in_set && !state.dead && state.voted.is_none();
+        self.holders.values().filter(open).map(|state| state.ends).min()
     }
 
-    /// Votes on a holder, none while its grant runs.
+    /// Votes that the grant to a holder has expired; returns `None` while the grant is valid.
     ///
-    /// A member without a lease of its own does not vote: it is more likely cut
-    /// off itself. From the vote on it never grants to this holder again.
+    /// A member that is not `leased` itself does not vote, since it is more likely to be
+    /// partitioned than the holder. After the vote it never grants to this holder again.
     pub fn vote(&mut self, now: Time, holder: MemberId, leased: bool) -> Option<Vote> {
-        let record = self.records.get_mut(&holder)?;
-        if !leased || !ripe(record, now) {
+        let state = self.holders.get_mut(&holder)?;
+        if !leased || !may_vote(state, now) {
             return None;
         }
-        record.voted = Some(record.version);
-        Some(Vote { member: holder, version: record.version })
+        state.voted = Some(state.version);
+        Some(Vote { member: holder, version: state.version })
     }
 
-    /// Returns the votes on holders that are not dead in the log, to be sent again.
+    /// Returns the votes on holders that are not recorded as dead, for retransmission.
     pub fn votes(&self) -> impl Iterator<Item = Vote> {
-        let live = self.records.iter().filter(|(_, record)| !record.dead);
-        live.filter_map(|(id, record)| Some(Vote { member: *id, version: record.voted? }))
+        let live = self.holders.iter().filter(|(_, state)| !state.dead);
+        live.filter_map(|(id, state)| Some(Vote { member: *id, version: state.voted? }))
     }
 
-    /// Returns true while a grant to a holder that `counts` runs.
+    /// Returns true while a grant to a holder for which `counts` is true has not expired.
     ///
-    /// Guards against a lease that is lost because two lessors end together: one leaves by plan
-    /// while its holders still exchange it, another crashes in that moment, and the old set makes
-    /// no majority any more. The holders were without lease until they gave up their identities.
-    /// A member that stays until its last grant has run out has been exchanged by then.
-    pub fn vouches(&self, now: Time, counts: impl Fn(MemberId) -> bool) -> bool {
-        let runs = |(holder, record): (&MemberId, &Record)| {
-            !record.dead && now < record.ends && counts(*holder)
+    /// A leaving member stays until then, so that its holders have replaced it. Otherwise a crash
+    /// of a second lessor during the replacement would cost a holder its majority, and so its
+    /// lease.
+    pub fn has_active_grant(&self, now: Time, counts: impl Fn(MemberId) -> bool) -> bool {
+        let runs = |(holder, state): (&MemberId, &HolderState)| {
+            !state.dead && now < state.ends && counts(*holder)
         };
-        self.records.iter().any(runs)
+        self.holders.iter().any(runs)
     }
 
-    /// Grants nothing any more: this identity is given up.
+    /// Stops granting for good, as this identity is abandoned.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
 }
 
-/// Returns true when a vote is legal and wanted.
-fn ripe(record: &Record, now: Time) -> bool {
-    record.member && !record.dead && now >= record.ends
+/// Returns true when the grant has expired and the newest lessor set needs this lessor's vote.
+fn may_vote(state: &HolderState, now: Time) -> bool {
+    state.in_set && !state.dead && now >= state.ends
 }
--- a/acaciaring_core/src/orders.rs
+++ b/acaciaring_core/src/orders.rs
@@ -1,142 +1,142 @@
-//! What an upstream holds by order: each grant and each release is a call to it.
+//! Keys that an upstream holds where each grant and each release of a key range is a call to it.
 //!
-//! An order may stay without answer and be carried out seconds later, after newer ones. So each
-//! range has two bounds: until when the upstream may hold it by what it has answered, which a
-//! release ends, and by what it has not answered, which nothing ends but time.
+//! An order without an answer may be carried out seconds later, after newer ones. So each key range
+//! has two bounds on how long the upstream may hold it: one from confirmed grants, which a release
+//! ends, and one from unanswered grants, which ends only with time.
 
 mod order;
-mod piece;
 mod runs;
+mod segment;
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-pub use self::order::{Action, Answer, Issued, Order, Settled};
-use self::piece::{Piece, Pieces};
+pub use self::order::{Action, Answer, Completion, Issued, Order};
 use self::runs::{Run, grants, releases};
-use crate::holds::{DRIFT, Epoch, LEAST, Report, Start, Starts, Wanted};
+use self::segment::{Segment, Segments};
+use crate::holds::{
+    CLOCK_DRIFT, Epoch, Incarnation, Incarnations, MIN_GRANT, ReportOutcome, Wanted,
+};
 use crate::id::{Name, Token};
 use crate::time::Time;
 
-/// Time from the decision on an order until it is given up without answer.
+/// Timeout of an order, from its decision.
 ///
-/// The upstream is on the same VM and answers within milliseconds. The time is taken off what a
-/// grant may last, for the upstream counts from the arrival.
-pub const REACH: Duration = Duration::from_millis(200);
+/// It is subtracted from the duration of a grant, which the upstream counts from arrival.
+pub const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Grants under way at once, and releases under way at once.
+/// Maximum number of grants in flight, and of releases.
 ///
-/// Each takes a connection; those that wait without answer must not hold up the others.
-const WINDOW: usize = 8;
+/// Each takes a connection; those that get no answer must not block the others.
+const MAX_IN_FLIGHT: usize = 8;
 
-/// Time until an order that was not taken is given again.
-const AGAIN: Duration = Duration::from_millis(50);
+/// Delay before retrying an order that did not arrive or was not accepted for now.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time until an order that was rejected is given again.
-const REJECTED: Duration = Duration::from_secs(1);
+/// Delay before retrying an order that was rejected.
+const REJECTED_DELAY: Duration = Duration::from_secs(1);
 
-/// Time between two looks at what waits for a place or for requests in flight.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which orders that wait for a free slot or for requests in flight are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Order under way.
+/// Order in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Open {
+struct InFlight {
     order: Order,
-    /// Token of the assignment, without the epoch.
+    /// Token of the assignment, without epoch.
     token: Token,
     since: Time,
-    /// Starts of the upstream that were known when it was given.
-    starts: u64,
+    /// Value of `Orders::replacements` when it was issued.
+    replacements: u64,
 }
 
-/// What the upstream beside this member holds by order.
+/// Orders to the upstream of this member and the keys that it holds by them.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Orders {
-    /// Longest time for which a grant is given.
+    /// Maximum duration of a grant.
     hold: Duration,
-    starts: Starts,
-    pieces: Pieces,
-    open: BTreeMap<u64, Open>,
-    /// Orders given so far.
+    incarnations: Incarnations,
+    segments: Segments,
+    in_flight: BTreeMap<u64, InFlight>,
+    /// Orders issued so far.
     count: u64,
-    /// Starts of the upstream that took the place of an earlier one.
-    replaced: u64,
+    /// Incarnations of the upstream that replaced an earlier one.
+    replacements: u64,
     epoch: Epoch,
-    /// Time until which the upstream may hold anything by a former process.
-    unknown: Time,
-    /// True when something but time has changed since orders were last decided.
+    /// Time until which the upstream may hold any keys by grants of an earlier process.
+    unknown_until: Time,
+    /// True when anything but the time has changed since the last decision.
     changed: bool,
-    /// When the next order is due by time alone.
+    /// When the next order becomes due if nothing but the time changes.
     due: Time,
-    /// When the first of the grants that are served lapses.
-    lapse: Option<Time>,
+    /// When the first grant of a wanted segment expires.
+    next_expiry: Option<Time>,
 }
 
 impl Orders {
-    /// Makes a record of an upstream of which nothing is known.
+    /// Creates the state for an upstream of which nothing is known.
     ///
-    /// It may hold what a former process has granted, for as long as any grant lasts.
+    /// It may hold any keys by grants of an earlier process, for the maximum duration of a grant.
     #[must_use]
     pub fn new(now: Time, hold: Duration) -> Self {
         Self {
             hold,
-            starts: Starts::new(now),
-            pieces: Pieces::default(),
-            open: BTreeMap::new(),
+            incarnations: Incarnations::new(now),
+            segments: Segments::default(),
+            in_flight: BTreeMap::new(),
             count: 0,
-            replaced: 0,
+            replacements: 0,
             epoch: Epoch::default(),
-            unknown: now + hold.mul_f64(1.0 + DRIFT),
+            unknown_until: now + hold.mul_f64(1.0 + CLOCK_DRIFT),
             changed: true,
             due: now,
-            lapse: None,
+            next_expiry: None,
         }
     }
 
-    /// Returns the present start of the upstream.
+    /// Returns the current incarnation of the upstream.
     #[must_use]
-    pub const fn start(&self) -> Option<&Start> {
-        self.starts.present()
+    pub const fn incarnation(&self) -> Option<&Incarnation> {
+        self.incarnations.current()
     }
 
-    /// Takes in a report, which says nothing of what is held.
-    pub fn report(&mut self, now: Time, start: &Start, sequence: u64) -> Report {
-        let report = self.starts.report(now, start, sequence);
-        if report == Report::Another {
+    /// Handles a heartbeat of the upstream, which does not state the keys that it holds.
+    pub fn report(&mut self, now: Time, incarnation: &Incarnation, sequence: u64) -> ReportOutcome {
+        let report = self.incarnations.report(now, incarnation, sequence);
+        if report == ReportOutcome::NewIncarnation {
             self.restarted(now);
         }
         report
     }
 
-    /// Notes that another start of the upstream has taken the place of the present one.
+    /// Handles a new incarnation of the upstream, which must be granted all keys again.
     ///
-    /// It holds nothing but what it was granted between its start and its first report, over a new
-    /// connection, and nobody knows which grants those are. So the bounds on what it may hold stay, and
-    /// all is granted anew. Tokens rise, for the keys pass to another holder.
+    /// The bounds on what it may hold stay, as it may have received some grants before its first
+    /// heartbeat. The epoch rises, so that its tokens are above those of the previous incarnation.
     fn restarted(&mut self, now: Time) {
         self.epoch.raise(now);
-        self.replaced += 1;
-        self.pieces.all_mut().for_each(Piece::deny);
+        self.replacements += 1;
+        self.segments.all_mut().for_each(Segment::mark_refused);
         self.changed = true;
     }
 
-    /// Takes over which units the upstream is to hold; everything else is to be released.
-    pub fn want(&mut self, wanted: &[Wanted]) {
-        self.pieces.all_mut().for_each(|piece| piece.wanted = false);
+    /// Sets the units that the upstream is to hold; all other keys are to be released.
+    pub fn set_wanted(&mut self, wanted: &[Wanted]) {
+        self.segments.all_mut().for_each(|segment| segment.wanted = false);
         for wanted in wanted {
             for keys in &wanted.keys {
-                self.pieces.want(keys, wanted.token, &wanted.handover);
+                self.segments.set_wanted(keys, wanted.token, &wanted.handover);
             }
         }
         self.changed = true;
     }
 
-    /// Decides which orders are to be given now.
+    /// Decides which orders to send now.
     ///
-    /// `lease` is the end of this member's lease, which no grant may outlast. `idle` tells whether
-    /// no request for a range of keys is in flight; only then it is released, so that the answer
-    /// comes at once and one long request does not hold up its neighbours.
+    /// `lease` is the expiry of this member's lease, which no grant may outlast. A key range is
+    /// released only once `idle` says that no request for it is in flight, so that the release is
+    /// answered at once and a long request does not delay the release of neighbouring keys.
     pub fn decide(
         &mut self,
         now: Time,
@@ -147,129 +147,139 @@
             return Vec::new();
         }
         self.changed = false;
-        self.pieces.settle(now);
+        self.segments.prune(now);
         let mut issued = Vec::new();
-        let hold = lease.since(now + REACH).mul_f64(1.0 / (1.0 + DRIFT)).min(self.hold);
-        if hold >= LEAST {
-            let room = WINDOW.saturating_sub(self.under_way(false));
-            for run in grants(now, &self.pieces, room) {
+        let hold =
+            lease.since(now + ORDER_TIMEOUT).mul_f64(1.0 / (1.0 + CLOCK_DRIFT)).min(self.hold);
+        if hold >= MIN_GRANT {
+            let room = MAX_IN_FLIGHT.saturating_sub(self.in_flight_count(false));
+            for run in grants(now, &self.segments, room) {
                 let action = Action::Grant { hold, handover: Name::clone(&run.handover) };
                 issued.push(self.issue(now, &run, action));
             }
         }
-        let room = WINDOW.saturating_sub(self.under_way(true));
-        for run in releases(now, &self.pieces, idle, room) {
+        let room = MAX_IN_FLIGHT.saturating_sub(self.in_flight_count(true));
+        for run in releases(now, &self.segments, idle, room) {
             issued.push(self.issue(now, &run, Action::Release));
         }
-        self.lapse = self.pieces.all().filter_map(|piece| piece.lapse(now)).min();
-        let due = self.pieces.all().filter_map(|piece| piece.due(now)).min();
-        // What is due already waits for a place, or for requests in flight.
-        self.due = due.unwrap_or(now + self.hold).max(now + LOOK);
+        self.next_expiry = self.segments.all().filter_map(|segment| segment.expiry(now)).min();
+        let due = self.segments.all().filter_map(|segment| segment.due(now)).min();
+        // What is due already waits for a free slot, or for requests in flight.
+        self.due = due.unwrap_or(now + self.hold).max(now + POLL_INTERVAL);
         issued
     }
 
     fn issue(&mut self, now: Time, run: &Run, action: Action) -> Issued {
         self.count += 1;
         let number = self.count;
-        for piece in self.pieces.within_mut(run.first, run.last) {
-            piece.open = Some(number);
+        for segment in self.segments.starting_in_mut(run.first, run.last) {
+            segment.in_flight = Some(number);
         }
         let token = self.epoch.fence(run.token);
         let order = Order { first: run.first, last: run.last, token, action };
-        let open =
-            Open { order: order.clone(), token: run.token, since: now, starts: self.replaced };
-        self.open.insert(number, open);
-        Issued { number, order, reach: now + REACH, connects: self.epoch.is_fresh(now) }
+        let open = InFlight {
+            order: order.clone(),
+            token: run.token,
+            since: now,
+            replacements: self.replacements,
+        };
+        self.in_flight.insert(number, open);
+        Issued {
+            number,
+            order,
+            deadline: now + ORDER_TIMEOUT,
+            may_connect: self.epoch.is_current(now),
+        }
     }
 
-    /// Takes in what came of an order; `None` for a number that is not under way.
-    pub fn settle(&mut self, now: Time, number: u64, answer: &Answer) -> Option<Settled> {
-        let Open { order, token, since, starts } = self.open.remove(&number)?;
-        // What a former start has answered says nothing of the present one.
-        let answer = if starts == self.replaced { answer } else { &Answer::Unknown };
+    /// Handles the result of an order; returns `None` when the number is not in flight.
+    pub fn complete(&mut self, now: Time, number: u64, answer: &Answer) -> Option<Completion> {
+        let InFlight { order, token, since, replacements } = self.in_flight.remove(&number)?;
+        // An answer of an earlier incarnation says nothing about the current one.
+        let answer = if replacements == self.replacements { answer } else { &Answer::Unknown };
         if *answer == Answer::Unconnected {
-            // Behind a new connection may be another start of the upstream.
+            // A new connection may lead to another incarnation.
             self.epoch.raise(now);
         }
         let mut changed = false;
-        let pieces = self.pieces.within_mut(order.first, order.last);
-        let mut pieces: Vec<&mut Piece> =
-            pieces.filter(|piece| piece.open == Some(number)).collect();
-        let alone = pieces.len() == 1;
-        for piece in &mut pieces {
-            piece.open = None;
-            let before = piece.state(now);
+        let segments = self.segments.starting_in_mut(order.first, order.last);
+        let mut segments: Vec<&mut Segment> =
+            segments.filter(|segment| segment.in_flight == Some(number)).collect();
+        let alone = segments.len() == 1;
+        for segment in &mut segments {
+            segment.in_flight = None;
+            let before = segment.state(now);
             match &order.action {
                 Action::Grant { hold, .. } => {
-                    piece.granted(now, since, token, *hold, answer, alone);
+                    segment.handle_grant(now, since, token, *hold, answer, alone);
                 }
-                Action::Release => piece.released(now, answer),
+                Action::Release => segment.handle_release(now, answer),
             }
-            changed |= before != piece.state(now);
+            changed |= before != segment.state(now);
         }
         self.changed = true;
-        Some(Settled { order, age: now.since(since), changed })
+        Some(Completion { order, age: now.since(since), changed })
     }
 
-    /// Returns true while the upstream runs requests for keys under a token.
+    /// Returns true while the upstream holds all of the keys under `token`.
     #[must_use]
     pub fn serves(&self, now: Time, keys: &[RangeInclusive<u32>], token: Token) -> bool {
-        keys.iter().all(|keys| self.pieces.cover(keys, |piece| piece.serves(now, token)))
+        keys.iter().all(|keys| self.segments.is_covered(keys, |segment| segment.serves(now, token)))
     }
 
-    /// Returns true when a grant has lapsed since the last decision.
+    /// Returns true when a grant of wanted keys has expired since the last decision.
     #[must_use]
-    pub fn lapsed(&self, now: Time) -> bool {
-        self.lapse.is_some_and(|lapse| now >= lapse)
+    pub fn has_expired(&self, now: Time) -> bool {
+        self.next_expiry.is_some_and(|expiry| now >= expiry)
     }
 
-    /// Returns when something is to be done or changes by time alone.
+    /// Returns when the next order is due or the next grant expires.
     #[must_use]
-    pub fn next(&self) -> Time {
-        self.lapse.map_or(self.due, |lapse| self.due.min(lapse))
+    pub fn next_due(&self) -> Time {
+        self.next_expiry.map_or(self.due, |expiry| self.due.min(expiry))
     }
 
-    /// Notes that the upstream has refused a request for keys that it should hold.
+    /// Drops the grants of keys for which the upstream has refused a request, to grant them again.
     ///
-    /// Guards against a release that is carried out late, after a newer grant, and against a start
-    /// that no report has told of: the keys are granted again.
-    pub fn deny(&mut self, keys: &[RangeInclusive<u32>]) {
+    /// It may not hold granted keys when a release is carried out late, after a newer grant, or
+    /// after a restart that no heartbeat has announced yet.
+    pub fn mark_refused(&mut self, keys: &[RangeInclusive<u32>]) {
         for keys in keys {
-            for piece in self.pieces.meeting_mut(keys) {
-                piece.deny();
+            for segment in self.segments.overlapping_mut(keys) {
+                segment.mark_refused();
             }
         }
         self.changed = true;
     }
 
-    /// Returns true while the upstream may hold some of the keys, by orders of this process or a former one.
+    /// Returns true while the upstream may hold any of the keys, by this or an earlier process.
     #[must_use]
     pub fn may_hold(&self, now: Time, keys: &[RangeInclusive<u32>]) -> bool {
-        let held = |keys| self.pieces.meeting(keys).any(|piece| piece.may_be_held(now));
-        now < self.unknown || keys.iter().any(held)
+        let held = |keys| self.segments.overlapping(keys).any(|segment| segment.may_be_held(now));
+        now < self.unknown_until || keys.iter().any(held)
     }
 
-    /// Returns true while the upstream may hold anything.
+    /// Returns true while the upstream may hold any keys.
     #[must_use]
     pub fn may_hold_any(&self, now: Time) -> bool {
-        now < self.unknown || self.pieces.all().any(|piece| piece.may_be_held(now))
+        now < self.unknown_until || self.segments.all().any(|segment| segment.may_be_held(now))
     }
 
-    /// Returns what the upstream gave out when it released keys, empty when it gave nothing.
+    /// Returns the handover value that the upstream gave when it released keys, or an empty one.
     #[must_use]
     pub fn handover(&self, keys: &[RangeInclusive<u32>]) -> Name {
-        let piece = keys.first().and_then(|keys| self.pieces.meeting(keys).next());
-        piece.map_or_else(|| Name::from(""), |piece| Name::clone(&piece.freed))
+        let segment = keys.first().and_then(|keys| self.segments.overlapping(keys).next());
+        segment.map_or_else(|| Name::from(""), |segment| Name::clone(&segment.freed))
     }
 
-    /// Returns true when keys cannot be granted under their present token, for one above it was seen.
+    /// Returns true when the upstream refuses any of the keys, having seen a higher token for it.
     #[must_use]
     pub fn superseded(&self, keys: &[RangeInclusive<u32>]) -> bool {
-        keys.iter().any(|keys| self.pieces.meeting(keys).any(Piece::is_superseded))
+        keys.iter().any(|keys| self.segments.overlapping(keys).any(Segment::is_superseded))
     }
 
-    fn under_way(&self, releases: bool) -> usize {
-        let fits = |open: &&Open| (open.order.action == Action::Release) == releases;
-        self.open.values().filter(fits).count()
+    fn in_flight_count(&self, releases: bool) -> usize {
+        let fits = |open: &&InFlight| (open.order.action == Action::Release) == releases;
+        self.in_flight.values().filter(fits).count()
     }
 }
