--- a/acaciaringd/src/appender.rs
+++ b/acaciaringd/src/appender.rs
@@ -14,8 +14,8 @@
 
 use crate::backoff::Backoff;
 use crate::platform::{AppendError, LogService};
+use crate::read_pacer::Wanted;
 use crate::vital;
-use crate::wanted::Wanted;
 
 /// Identity of a record, the same over all tries of its append.
 pub(crate) type RecordId = [u8; 16];
--- a/acaciaringd/src/control/eviction.rs
+++ b/acaciaringd/src/control/eviction.rs
@@ -10,9 +10,9 @@
 use tracing::warn;
 
 use super::Control;
-use super::concern::concerned;
 use super::identity::Identity;
 use super::proposal::Purpose;
+use super::vote_recipients::concerned;
 
 /// Delay of an eviction per rank, so that the members with a proof do not all append it.
 const STAGGER: Duration = Duration::from_millis(100);
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -11,8 +11,8 @@
 use tracing::{info, warn};
 
 use super::Control;
-use super::concern::concerned;
 use super::identity::Retiring;
+use super::vote_recipients::concerned;
 use crate::metrics::Counter;
 use crate::view::peer_address;
 use crate::wire;
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -2,15 +2,14 @@
 
 mod balance;
 mod catch_up;
-mod concern;
 mod event;
 mod eviction;
 mod fold;
+mod grant_mode;
 mod handover;
-mod holding;
 mod identity;
 mod lease;
-mod ordering;
+mod orders;
 mod placement;
 mod proposal;
 mod publish;
@@ -19,7 +18,8 @@
 mod roles;
 mod snapshot;
 mod stop;
-mod way;
+mod upstream_state;
+mod vote_recipients;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -43,7 +43,6 @@
 use self::eviction::Grounds;
 use self::fold::Progress;
 use self::handover::Handover;
-use self::holding::Holding;
 use self::identity::Identity;
 use self::lease::Voting;
 use self::proposal::{Proposals, Purpose};
@@ -52,6 +51,7 @@
 use self::roles::Roles;
 use self::snapshot::Snapshots;
 use self::stop::Stopping;
+use self::upstream_state::Holding;
 use crate::announce::Announcement;
 use crate::appender::Appender;
 use crate::clock;
@@ -61,11 +61,11 @@
 use crate::outbox::Outbox;
 use crate::peer::Transport;
 use crate::platform::LogService;
+use crate::read_pacer::Wanted;
 use crate::recent::Recent;
 use crate::upstream::Outlet;
 use crate::view::{Link, Shared, View};
 use crate::vital;
-use crate::wanted::Wanted;
 
 /// Longest time between two rounds of the control thread.
 const ROUND: Duration = Duration::from_millis(50);
--- a/acaciaringd/src/control/ordering.rs
+++ b/acaciaringd/src/control/orders.rs
@@ -8,7 +8,7 @@
 use acaciaring_core::{Name, Time, UnitId};
 use tracing::{debug, info, warn};
 
-use super::way::Way;
+use super::grant_mode::Way;
 use super::{Control, Event};
 use crate::upstream::OrderCall;
 use crate::view::{Permit, Permits};
--- a/acaciaringd/src/control/holding.rs
+++ b/acaciaringd/src/control/upstream_state.rs
@@ -12,9 +12,9 @@
 use tracing::{debug, info, warn};
 
 use super::Control;
+use super::grant_mode::Way;
 use super::identity::Retiring;
 use super::proposal::Purpose;
-use super::way::Way;
 use crate::announce::Phase;
 use crate::heartbeat::{Heartbeat, HeartbeatReply};
 use crate::view::{Permit, Permits};
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -35,11 +35,11 @@
 use crate::peer::{PeerError, Transport};
 use crate::pulse::Pulse;
 use crate::ration::Ration;
+use crate::read_pacer::Wanted;
 use crate::reader;
 use crate::recent::Recent;
 use crate::router::{Lingerers, Outages, Router, Shares, Spans, Suspects};
 use crate::view::Shared;
-use crate::wanted::Wanted;
 use crate::web::{self, WebError};
 
 /// One in this many requests in hand may wait for a takeover.
--- a/acaciaringd/src/lib.rs
+++ b/acaciaringd/src/lib.rs
@@ -22,6 +22,7 @@
 pub mod platform;
 mod pulse;
 mod ration;
+mod read_pacer;
 mod reader;
 mod recent;
 mod router;
@@ -30,7 +31,6 @@
 pub mod upstream;
 mod view;
 mod vital;
-mod wanted;
 pub mod web;
 mod wire;
 
--- a/acaciaringd/src/reader.rs
+++ b/acaciaringd/src/reader.rs
@@ -12,8 +12,8 @@
 use crate::clock;
 use crate::control::Event;
 use crate::platform::LogService;
+use crate::read_pacer::Wanted;
 use crate::vital;
-use crate::wanted::Wanted;
 
 /// Records in one read.
 const LIMIT: usize = 512;
