--- a/acaciaringd/src/appender.rs
+++ b/acaciaringd/src/appender.rs
@@ -14,7 +14,7 @@
 
 use crate::backoff::Backoff;
 use crate::platform::{AppendError, LogService};
-use crate::read_pacer::Wanted;
+use crate::read_pacer::ReadPacer;
 use crate::vital;
 
 /// Identity of a record, the same over all tries of its append.
@@ -34,17 +34,17 @@
 
 /// What came of an append, as far as it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Appended {
+pub(crate) enum AppendOutcome {
     /// The record is in the log, at this offset.
-    Yes(Offset),
+    Appended(Offset),
     /// The record was surely not appended.
-    No,
+    NotAppended,
     /// The record may have been appended.
     Unknown,
 }
 
 /// Appends through another member when the log service cannot be reached.
-pub(crate) type Relay = Box<dyn Fn(&[u8]) -> Appended + Send>;
+pub(crate) type Relay = Box<dyn Fn(&[u8]) -> AppendOutcome + Send>;
 
 /// Tries of an open record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -72,11 +72,21 @@
 
 impl Appender {
     /// Starts the thread.
-    pub(crate) fn start(log: Arc<dyn LogService>, wanted: Arc<Wanted>, relay: Relay) -> Self {
+    pub(crate) fn start(
+        log: Arc<dyn LogService>,
+        read_pacer: Arc<ReadPacer>,
+        relay: Relay,
+    ) -> Self {
         let (queue, records) = bounded(QUEUE);
         let open = Open::default();
-        let worker =
-            Worker { queue: queue.clone(), log, wanted, relay, records, open: Arc::clone(&open) };
+        let worker = Worker {
+            queue: queue.clone(),
+            log,
+            read_pacer,
+            relay,
+            records,
+            open: Arc::clone(&open),
+        };
         vital::spawn("appender", move || worker.run());
         Self { queue, open }
     }
@@ -108,7 +118,7 @@
     queue: Sender<Record>,
     log: Arc<dyn LogService>,
     /// Reader of the log, which is to bring back at once what was appended.
-    wanted: Arc<Wanted>,
+    read_pacer: Arc<ReadPacer>,
     relay: Relay,
     records: Receiver<Record>,
     open: Open,
@@ -132,12 +142,14 @@
                 return;
             }
             let appended = self.attempt(&bytes);
-            let refused = appended == Appended::No;
+            let refused = appended == AppendOutcome::NotAppended;
             self.note(record, if refused { Tries::Refused } else { Tries::Doubtful });
             match appended {
-                Appended::Yes(offset) => return self.wanted.need(offset + 1),
-                Appended::Unknown => self.wanted.ask(),
-                Appended::No => {}
+                AppendOutcome::Appended(offset) => {
+                    return self.read_pacer.request_before(offset + 1);
+                }
+                AppendOutcome::Unknown => self.read_pacer.request_read(),
+                AppendOutcome::NotAppended => {}
             }
             thread::sleep(backoff.pause());
         }
@@ -147,15 +159,15 @@
     }
 
     /// Makes one try, through another member when the log service refuses.
-    fn attempt(&self, bytes: &[u8]) -> Appended {
+    fn attempt(&self, bytes: &[u8]) -> AppendOutcome {
         match self.log.append(bytes) {
             Ok(offset) => {
                 debug!(offset, "record appended");
-                Appended::Yes(offset)
+                AppendOutcome::Appended(offset)
             }
             Err(AppendError::Unknown { .. }) => {
                 debug!("append without answer, trying again with the same id");
-                Appended::Unknown
+                AppendOutcome::Unknown
             }
             Err(error) => {
                 warn!(%error, "append refused");
--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -74,13 +74,13 @@
     /// Where moves are planned only with a report of the upstream, each plan gets fresh loads; where
     /// they are planned every few rounds, fresher loads would move more units.
     fn report_interval(&self) -> Duration {
-        if self.holding.reports { REPORT.min(self.parts.interval) } else { REPORT }
+        if self.holding.reports { REPORT.min(self.context.balance_interval) } else { REPORT }
     }
 
     /// Proposes moves of this member's units, if it is time for it.
     pub(super) fn plan_when_due(&mut self, now: Time) {
-        let due = now.since(self.balance.planned) >= self.parts.interval;
-        if due && !self.retiring() && !self.pausing() && self.parts.balance.least_moves > 0 {
+        let due = now.since(self.balance.planned) >= self.context.balance_interval;
+        if due && !self.retiring() && !self.pausing() && self.context.balance.least_moves > 0 {
             self.balance.planned = now;
             self.plan(now);
         }
@@ -95,10 +95,10 @@
     fn report_load(&mut self) {
         let Some(identity) = &self.identity else { return };
         let me = identity.me;
-        let (busy, capacity) = self.parts.gate.load();
-        let service = self.parts.gate.mean_time().as_micros();
+        let (busy, capacity) = self.context.gate.load();
+        let service = self.context.gate.mean_time().as_micros();
         let service = u32::try_from(service).unwrap_or(0);
-        let rate = self.parts.gate.rate();
+        let rate = self.context.gate.rate();
         let leaving = self.pausing() || identity.retiring.is_some();
         let loads = Loads { member: me.0, rate, busy, capacity, service, leaving };
         let datagram = Datagram { body: Some(datagram::Body::Loads(loads)) };
@@ -112,8 +112,8 @@
         let few = owners.len() <= REPORTS;
         for owner in self.balance.turn(&owners) {
             let Some(to) = self.state.member(owner).and_then(peer_address) else { continue };
-            if few || self.parts.transport.connected(to) {
-                self.parts.transport.send(to, &datagram, false);
+            if few || self.context.transport.connected(to) {
+                self.context.transport.send(to, &datagram, false);
             }
         }
     }
@@ -166,7 +166,7 @@
         let count = self.balance.loads.len() + 1;
         if total > 0.0 {
             let ratio = own * count as f64 / total;
-            self.parts.metrics.gauge(Gauge::BalanceImbalance, (ratio * 1000.0) as u64);
+            self.context.metrics.gauge(Gauge::BalanceImbalance, (ratio * 1000.0) as u64);
         }
     }
 
@@ -248,9 +248,9 @@
             let data_centre = Arc::clone(&member.data_centre);
             members.insert(member.id, Candidate { data_centre, load });
         }
-        let settings: &BalanceSettings = &self.parts.balance;
+        let settings: &BalanceSettings = &self.context.balance;
         let history = &mut self.balance.history;
-        let gate = &self.parts.gate;
+        let gate = &self.context.gate;
         let service_time = gate.service_time();
         let decide = |heat: &mut Heat| {
             let view =
@@ -262,8 +262,8 @@
 
     #[expect(clippy::cast_precision_loss, reason = "a rate is far below the exact range")]
     fn own_load(&self, now: Time) -> Load {
-        let (busy, capacity) = self.parts.gate.load();
-        let rate = self.parts.gate.rate() as f64 / 1000.0;
+        let (busy, capacity) = self.context.gate.load();
+        let rate = self.context.gate.rate() as f64 / 1000.0;
         Load { rate, busy, capacity, speed: 1.0, at: now }
     }
 
@@ -272,7 +272,7 @@
     /// Guards against load that is even by count and not by time: upstreams of one service differ
     /// in speed by more than two times, and the slow ones would be full while the others idle.
     fn speed(&self, member: MemberId, me: MemberId) -> f64 {
-        let own = self.parts.gate.mean_time();
+        let own = self.context.gate.mean_time();
         let others = self.balance.services.values().copied();
         let known: Vec<f64> = others.chain([own]).map(|time| time.as_secs_f64()).collect();
         let count = u32::try_from(known.len()).map_or(1.0, f64::from);
--- a/acaciaringd/src/control/catch_up.rs
+++ b/acaciaringd/src/control/catch_up.rs
@@ -26,7 +26,7 @@
     /// Without it what the message brings would wait for the pace of the reads.
     pub(super) fn depend(&self, record: Offset) {
         if record >= self.state.next() {
-            self.parts.wanted.need(record.saturating_add(1));
+            self.context.read_pacer.request_before(record.saturating_add(1));
         }
     }
 
@@ -37,7 +37,7 @@
     /// Records carry their offsets, so a gap is seen and never skipped.
     pub(super) fn catch_up(&mut self, now: Time, from: SocketAddr, applied: Offset) {
         let next = self.state.next();
-        let grace = GRACE + self.parts.wanted.rest();
+        let grace = GRACE + self.context.read_pacer.interval();
         let quiet =
             now.since(self.progress.folded) >= grace && now.since(self.progress.asked) >= GRACE;
         if applied <= next || !quiet {
@@ -45,7 +45,7 @@
         }
         self.progress.asked = now;
         debug!(%from, applied, next, "another member is ahead, asking it for records");
-        let events = self.parts.events.clone();
+        let events = self.context.events.clone();
         let done = move |reply: Option<reply::Body>| {
             let Some(reply::Body::Records(batch)) = reply else { return };
             if batch.entries.is_empty() {
@@ -55,7 +55,7 @@
             let _ = events.send(Event::Relayed(batch));
         };
         let records = call::Body::Records(Records { from: next.max(1), max: LIMIT });
-        self.parts.outbox.call(from, records, wire::CALL, Box::new(done));
+        self.context.outbox.call(from, records, wire::CALL, Box::new(done));
     }
 
     /// Asks a member for a configuration that it has and this one has not.
@@ -63,7 +63,7 @@
     /// Guards against a member that cannot read where the configuration is declared while
     /// others can: it would go on by an old one.
     pub(super) fn follow(&mut self, now: Time, from: SocketAddr, version: u64) {
-        let declarations = &self.parts.declarations;
+        let declarations = &self.context.declarations;
         if version <= declarations.version() || now.since(self.followed) < PAUSE {
             return;
         }
@@ -77,6 +77,6 @@
             }
         };
         let query = call::Body::Declaration(DeclarationQuery {});
-        self.parts.outbox.call(from, query, wire::CALL, Box::new(done));
+        self.context.outbox.call(from, query, wire::CALL, Box::new(done));
     }
 }
--- a/acaciaringd/src/control/event.rs
+++ b/acaciaringd/src/control/event.rs
@@ -39,7 +39,7 @@
     /// The upstream reports what it holds.
     Heartbeat(Heartbeat, oneshot::Sender<HeartbeatReply>),
     /// The upstream has refused a request for a unit that it was given.
-    Misplaced(Name, UnitId),
+    UnitDenied(Name, UnitId),
     /// What came of an order to the upstream.
     Ordered(u64, Answer),
     /// The upstream is leaving and reports no more; it is told once nothing new is given to it.
--- a/acaciaringd/src/control/eviction.rs
+++ b/acaciaringd/src/control/eviction.rs
@@ -105,8 +105,8 @@
         match ground {
             Ground::Proof => Duration::ZERO,
             // Its last renewal was granted before the successor took its address.
-            Ground::Successor => self.parts.lease.term * 2,
-            Ground::Bare => self.parts.lease.abandon,
+            Ground::Successor => self.context.lease.term * 2,
+            Ground::Bare => self.context.lease.abandon,
         }
     }
 
--- a/acaciaringd/src/control/fold.rs
+++ b/acaciaringd/src/control/fold.rs
@@ -26,7 +26,7 @@
     /// Folds records and learns what became of own proposals.
     pub(super) fn batch(&mut self, now: Time, batch: &Batch) {
         let before = self.replica.state().next();
-        self.parts.recent.keep(batch);
+        self.context.recent.keep(batch);
         match self.fold(batch) {
             Ok(folded) => {
                 self.snapshots.note(&folded);
@@ -42,7 +42,7 @@
         }
         let state = self.replica.state();
         let members = state.members().filter(|member| member.alive()).count();
-        self.parts.wanted.folded(self.replica.wanted(), batch.next, members);
+        self.context.read_pacer.folded(self.replica.wanted(), batch.next, members);
         // The first member of a new system finds no record; it would wait for one for ever.
         self.progress.caught |= state.next().max(1) >= batch.next;
         if state.next() != before {
--- a/acaciaringd/src/control/handover.rs
+++ b/acaciaringd/src/control/handover.rs
@@ -116,7 +116,7 @@
         let Some(service) = self.state.service(workspace) else { return Vec::new() };
         let unit_of = |key| service.unit_of(key);
         let held = self.upstream_holds(now, workspace, *unit);
-        if held || self.parts.shared.inflight.count(workspace, *unit, unit_of) > 0 {
+        if held || self.context.shared.inflight.count(workspace, *unit, unit_of) > 0 {
             return Vec::new();
         }
         let assignment = service.assignment(*unit);
@@ -138,7 +138,7 @@
         let units: Vec<(UnitId, Offset)> =
             parcels.iter().map(|(_, unit, version)| (*unit, *version)).collect();
         let now = clock::now();
-        let (dedup, blind) = self.parts.gate.dedup.export(now, workspace, &ids(&units));
+        let (dedup, blind) = self.context.gate.dedup.export(now, workspace, &ids(&units));
         let release = Release {
             member: identity.me.0,
             workspace: workspace.to_string(),
@@ -148,7 +148,7 @@
             handovers: self.handovers(workspace, &units),
         };
         debug!(%workspace, %to, units = units.len(), "releasing");
-        let events = self.parts.events.clone();
+        let events = self.context.events.clone();
         let units = self.inherited(workspace, to, units);
         let workspace = Arc::clone(workspace);
         let done = move |reply: Option<reply::Body>| {
@@ -157,7 +157,7 @@
                 let _ = events.send(Event::ReleaseDone { workspace, units });
             }
         };
-        self.parts.outbox.call(address, call::Body::Release(release), wire::CALL, Box::new(done));
+        self.context.outbox.call(address, call::Body::Release(release), wire::CALL, Box::new(done));
     }
 
     /// Returns what the upstream gave out for the next holder of each unit.
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -39,7 +39,7 @@
     /// Sends the renewals that are due and publishes the end of the lease.
     pub(super) fn renew(&mut self, now: Time) {
         let Some(identity) = self.identity.as_mut().filter(|identity| identity.renews()) else {
-            self.parts.shared.lease.set(Time::ZERO);
+            self.context.shared.lease.set(Time::ZERO);
             return;
         };
         let renewals = identity.holder.due(now);
@@ -59,10 +59,10 @@
             seq: renewal.seq,
             version: renewal.version,
             applied: self.state.next(),
-            declared: self.parts.declarations.version(),
+            declared: self.context.declarations.version(),
         };
         let datagram = Datagram { body: Some(datagram::Body::Renew(renew)) };
-        self.parts.transport.send(to, &datagram, renewal.fresh);
+        self.context.transport.send(to, &datagram, renewal.fresh);
     }
 
     fn publish_lease(&mut self, now: Time) {
@@ -70,19 +70,19 @@
             return;
         };
         let end = identity.holder.until().unwrap_or(Time::ZERO);
-        let before = self.parts.shared.lease.get();
-        self.parts.shared.lease.set(end);
+        let before = self.context.shared.lease.get();
+        self.context.shared.lease.set(end);
         // Rights that waited for the lease are computed anew.
         self.dirty |= before <= now && end > now;
     }
 
     /// Counts a lease that ended although this member did not mean to stop.
     fn count_loss(&mut self, now: Time) {
-        let held = self.parts.shared.lease.get() > now;
+        let held = self.context.shared.lease.get() > now;
         let Some(identity) = &mut self.identity else { return };
         let meant = matches!(identity.retiring, Some(Retiring::Stop | Retiring::Upstream));
         if identity.leased && !held && !meant {
-            self.parts.metrics.count(Counter::LeaseLost, 1);
+            self.context.metrics.count(Counter::LeaseLost, 1);
         }
         identity.leased = held;
     }
@@ -124,10 +124,10 @@
             version: answer.version,
             granted: answer.granted,
             applied: self.state.next(),
-            declared: self.parts.declarations.version(),
+            declared: self.context.declarations.version(),
         };
         let datagram = Datagram { body: Some(datagram::Body::Grant(grant)) };
-        self.parts.transport.send(from, &datagram, false);
+        self.context.transport.send(from, &datagram, false);
     }
 
     fn on_grant(&mut self, now: Time, grant: &peer::Grant) {
@@ -139,7 +139,7 @@
         identity.holder.granted(now, lessor, grant.seq, grant.granted, grant.version);
         if !grant.granted {
             // The log may have ended this identity.
-            self.parts.wanted.need(grant.applied);
+            self.context.read_pacer.request_before(grant.applied);
         }
         // New lessors are ready while their grants are newer than those of the present ones,
         // which the next round of duties may miss each time.
@@ -195,7 +195,7 @@
         }
         self.dirty |= !votes.is_empty();
         if !votes.is_empty() {
-            self.parts.metrics.count(Counter::LeaseVotes, votes.len() as u64);
+            self.context.metrics.count(Counter::LeaseVotes, votes.len() as u64);
             self.voting.cast = now;
         }
         let pause = if now.since(self.voting.cast) < OLD { AGAIN } else { LATER };
@@ -217,7 +217,7 @@
             let address = self.state.member(member).and_then(peer_address);
             if let Some(to) = address.filter(|_| member != identity.me) {
                 let call = call::Body::Vote(message);
-                self.parts.outbox.call(to, call, wire::CALL, Box::new(|_| {}));
+                self.context.outbox.call(to, call, wire::CALL, Box::new(|_| {}));
             }
         }
     }
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -61,10 +61,10 @@
 use crate::outbox::Outbox;
 use crate::peer::Transport;
 use crate::platform::LogService;
-use crate::read_pacer::Wanted;
+use crate::read_pacer::ReadPacer;
 use crate::recent::Recent;
 use crate::upstream::Outlet;
-use crate::view::{Link, Shared, View};
+use crate::view::{Shared, UpstreamEndpoint, View};
 use crate::vital;
 
 /// Longest time between two rounds of the control thread.
@@ -81,7 +81,7 @@
 
 /// Place of this process, from its settings.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Place {
+pub(crate) struct Location {
     pub(crate) vm: String,
     pub(crate) data_centre: String,
     pub(crate) region: String,
@@ -91,25 +91,25 @@
 }
 
 /// What the control thread works with.
-pub(crate) struct Parts {
-    pub(crate) place: Place,
+pub(crate) struct ControlContext {
+    pub(crate) location: Location,
     pub(crate) lease: LeaseSettings,
     /// Bound on a stop.
-    pub(crate) drain: Duration,
+    pub(crate) drain_timeout: Duration,
     /// Where a stop is told that nothing is left to hand over.
-    pub(crate) releasing: Sender<()>,
+    pub(crate) drained: Sender<()>,
     /// Time between two decisions of balance.
-    pub(crate) interval: Duration,
+    pub(crate) balance_interval: Duration,
     pub(crate) balance: BalanceSettings,
     /// Records after which a snapshot is due.
-    pub(crate) records: u64,
+    pub(crate) snapshot_records: u64,
     pub(crate) shared: Arc<Shared>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) transport: Transport,
     pub(crate) outbox: Outbox,
     pub(crate) appender: Appender,
     pub(crate) recent: Arc<Recent>,
-    pub(crate) wanted: Arc<Wanted>,
+    pub(crate) read_pacer: Arc<ReadPacer>,
     pub(crate) events: Sender<Event>,
     pub(crate) metrics: Metrics,
     /// Log service, for the records that a snapshot covers.
@@ -138,7 +138,7 @@
 
 /// Control state.
 pub(crate) struct Control {
-    parts: Parts,
+    context: ControlContext,
     replica: Replica,
     proposals: Proposals,
     /// Answers to recent publishes through this member.
@@ -146,7 +146,7 @@
     identity: Option<Identity>,
     joining: Option<Joining>,
     announced: Option<Announced>,
-    link: Option<Link>,
+    endpoint: Option<UpstreamEndpoint>,
     holding: Holding,
     /// Declared configuration in force.
     declared: Option<Arc<Declared>>,
@@ -175,22 +175,25 @@
 
 impl Control {
     /// Starts the control thread; it ends when the process may exit.
-    pub(crate) fn start(parts: Parts, events: Receiver<Event>) -> thread::JoinHandle<()> {
-        vital::spawn("control", move || Self::new(parts).run(&events))
+    pub(crate) fn start(
+        context: ControlContext,
+        events: Receiver<Event>,
+    ) -> thread::JoinHandle<()> {
+        vital::spawn("control", move || Self::new(context).run(&events))
     }
 
-    fn new(parts: Parts) -> Self {
-        let proposals = Proposals::new(parts.appender.clone());
-        let holding = Holding::new(clock::now(), parts.upstream.grants, parts.upstream.hold);
+    fn new(context: ControlContext) -> Self {
+        let proposals = Proposals::new(context.appender.clone());
+        let holding = Holding::new(clock::now(), context.upstream.grants, context.upstream.hold);
         Self {
             proposals,
             answers: Answers::default(),
-            parts,
+            context,
             replica: Replica::default(),
             identity: None,
             joining: None,
             announced: None,
-            link: None,
+            endpoint: None,
             holding,
             declared: None,
             followed: Time::ZERO,
@@ -256,7 +259,7 @@
             Event::Announced(announcement) => self.announce(now, announcement),
             Event::Publish(id, publish, reply) => self.publish(now, id, publish, &reply),
             Event::Heartbeat(heartbeat, reply) => self.heartbeat(now, heartbeat, reply),
-            Event::Misplaced(workspace, unit) => {
+            Event::UnitDenied(workspace, unit) => {
                 self.misplaced(&workspace, unit);
             }
             Event::UpstreamLeaves(instance, reply) => {
@@ -289,7 +292,7 @@
 
     fn round(&mut self, now: Time) {
         self.dirty |= self.holding.is_stale(now);
-        self.dirty |= self.paused(now) && !self.parts.shared.view().closed;
+        self.dirty |= self.paused(now) && !self.context.shared.view().closed;
         self.renew(now);
         self.cast_votes(now);
         self.refresh(now);
@@ -317,16 +320,16 @@
         let joining = *self
             .joining
             .get_or_insert_with(|| Joining { nonce: rand::rng().random(), start: now });
-        let place = &self.parts.place;
+        let location = &self.context.location;
         let join = Join {
-            vm: place.vm.clone(),
+            vm: location.vm.clone(),
             nonce: joining.nonce,
-            data_centre: place.data_centre.clone(),
-            region: place.region.clone(),
-            rack: place.rack.clone(),
-            peer: place.peer.clone(),
-            http: place.http.clone(),
-            fingerprint: self.parts.transport.fingerprint().to_vec(),
+            data_centre: location.data_centre.clone(),
+            region: location.region.clone(),
+            rack: location.rack.clone(),
+            peer: location.peer.clone(),
+            http: location.http.clone(),
+            fingerprint: self.context.transport.fingerprint().to_vec(),
         };
         self.proposals.propose(now, Purpose::Join, record::Body::Join(join));
     }
@@ -334,14 +337,14 @@
     /// Takes the identity that the log gave to this process.
     fn find_identity(&mut self) {
         let Some(joining) = self.joining else { return };
-        let vm = &self.parts.place.vm;
+        let vm = &self.context.location.vm;
         let mine =
             self.state.members().find(|member| member.nonce == joining.nonce && *member.vm == **vm);
         let Some(member) = mine else { return };
         info!(member = %member.id, "joined");
         self.joining = None;
-        self.identity = Some(Identity::new(member.id, joining.start, self.parts.lease));
-        self.parts.shared.joined.store(true, Ordering::Release);
+        self.identity = Some(Identity::new(member.id, joining.start, self.context.lease));
+        self.context.shared.joined.store(true, Ordering::Release);
     }
 
     /// Computes the rights anew and publishes them.
@@ -363,12 +366,12 @@
             permits,
             synced: Arc::new(self.replication.synced.clone()),
             expired: Arc::new(self.expired(now)),
-            link: self.link.clone(),
+            endpoint: self.endpoint.clone(),
             closed: self.closed || self.leaving() || self.holding.closed(now) || self.paused(now),
         };
-        self.parts.shared.publish(view);
+        self.context.shared.publish(view);
         if self.declared.is_some() {
-            self.parts.shared.configured.store(true, Ordering::Release);
+            self.context.shared.configured.store(true, Ordering::Release);
         }
     }
 
@@ -383,6 +386,6 @@
     /// Tells the transport which certificates belong to members that are not dead.
     fn trust_members(&self) {
         let live = self.state.members().filter(|member| member.phase != Phase::Dead);
-        self.parts.transport.trust(live.map(|member| member.fingerprint.as_slice()));
+        self.context.transport.trust(live.map(|member| member.fingerprint.as_slice()));
     }
 }
--- a/acaciaringd/src/control/orders.rs
+++ b/acaciaringd/src/control/orders.rs
@@ -51,23 +51,25 @@
     /// The view without what is to be released is published before the requests in flight are
     /// counted, see [`crate::inflight::Inflight`].
     pub(super) fn give_orders(&mut self, now: Time) {
-        let lease = self.parts.shared.lease.get();
-        let (Some(link), Way::Called(orders)) = (&self.link, &mut self.holding.way) else { return };
-        let inflight = &self.parts.shared.inflight;
-        let busy = LazyCell::new(|| inflight.keys(&link.workspace));
+        let lease = self.context.shared.lease.get();
+        let (Some(endpoint), Way::Called(orders)) = (&self.endpoint, &mut self.holding.way) else {
+            return;
+        };
+        let inflight = &self.context.shared.inflight;
+        let busy = LazyCell::new(|| inflight.keys(&endpoint.workspace));
         let idle = |first, last| busy.range(u64::from(first)..=u64::from(last)).next().is_none();
         let issued = orders.decide(now, lease, idle);
         for Issued { number, order, reach, connects } in issued {
             let call = OrderCall {
-                address: link.address,
+                address: endpoint.address,
                 order,
                 reach,
                 connects,
-                instance: Arc::clone(&link.instance),
+                instance: Arc::clone(&endpoint.instance),
             };
             debug!(number, order = ?call.order, "order to the upstream");
-            let (outlet, events) = (Arc::clone(&self.parts.outlet), self.parts.events.clone());
-            self.parts.transport.runtime().spawn(async move {
+            let (outlet, events) = (Arc::clone(&self.context.outlet), self.context.events.clone());
+            self.context.transport.runtime().spawn(async move {
                 let answer = outlet.order(call).await;
                 // Control may have ended in the meantime.
                 let _ = events.send(Event::Ordered(number, answer));
--- a/acaciaringd/src/control/placement.rs
+++ b/acaciaringd/src/control/placement.rs
@@ -16,7 +16,7 @@
 use crate::announce::{Announcement, Phase};
 use crate::declared::Declared;
 use crate::metrics::Counter;
-use crate::view::Link;
+use crate::view::UpstreamEndpoint;
 
 /// Time for which members may join before slots without owner are assigned.
 const SETTLE: Duration = Duration::from_secs(1);
@@ -45,14 +45,14 @@
     /// Takes in an announcement of the upstream beside this member.
     pub(super) fn announce(&mut self, now: Time, announcement: Announcement) {
         if announcement.phase == Phase::Draining {
-            if self.link.is_some() {
+            if self.endpoint.is_some() {
                 info!("the upstream is leaving");
             }
             self.announced = None;
             self.detach(now);
             return;
         }
-        let link = Link {
+        let endpoint = UpstreamEndpoint {
             workspace: Arc::from(announcement.workspace.as_str()),
             address: announcement.address,
             fenced: announcement.fenced,
@@ -60,8 +60,8 @@
             received: now,
             instance: Arc::from(announcement.instance.as_str()),
         };
-        self.parts.gate.announce(now, &announcement);
-        self.link = Some(link);
+        self.context.gate.announce(now, &announcement);
+        self.endpoint = Some(endpoint);
         self.announced = Some(Announced { announcement, at: now });
         self.dirty = true;
     }
@@ -196,7 +196,7 @@
         }
         if applied && matches!(proposal.purpose, Purpose::Split(_)) {
             let keys = proposal.changed.len() as u64;
-            self.parts.metrics.count(Counter::UnitsSplit, keys);
+            self.context.metrics.count(Counter::UnitsSplit, keys);
         }
         if let Some(identity) = &mut self.identity {
             if proposal.purpose == Purpose::Lessors && !applied {
--- a/acaciaringd/src/control/replication.rs
+++ b/acaciaringd/src/control/replication.rs
@@ -47,12 +47,12 @@
 
     /// Returns the units served here whose standby has not acknowledged a sync.
     fn unsynced(&self) -> Vec<(Name, UnitId, MemberId)> {
-        if self.parts.shared.declares {
+        if self.context.shared.declares {
             // Requests of declared routes are never repeated under the same identity.
             return Vec::new();
         }
         let mut found = Vec::new();
-        let view = self.parts.shared.view();
+        let view = self.context.shared.view();
         for (workspace, units) in view.permits.iter() {
             for (unit, permit) in units {
                 let standby =
@@ -75,7 +75,7 @@
         let Some(identity) = &self.identity else { return };
         let Some(address) = self.address(standby) else { return };
         debug!(%workspace, %standby, units = units.len(), "syncing");
-        let (dedup, blind) = self.parts.gate.dedup.export(clock::now(), workspace, &units);
+        let (dedup, blind) = self.context.gate.dedup.export(clock::now(), workspace, &units);
         let sync = Sync {
             member: identity.me.0,
             workspace: workspace.to_string(),
@@ -83,7 +83,7 @@
             dedup,
             blind: wire::millis(blind),
         };
-        let events = self.parts.events.clone();
+        let events = self.context.events.clone();
         let workspace = Arc::clone(workspace);
         let done = move |reply: Option<reply::Body>| {
             if wire::accepted(reply.as_ref()) {
@@ -91,7 +91,7 @@
                 let _ = events.send(Event::SyncDone { workspace, units, standby: standby.0 });
             }
         };
-        self.parts.outbox.call(address, call::Body::Sync(sync), wire::CALL, Box::new(done));
+        self.context.outbox.call(address, call::Body::Sync(sync), wire::CALL, Box::new(done));
     }
 
     /// Notes that a standby knows what this member remembers of units.
--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -54,8 +54,8 @@
 
     fn watch_upstream(&mut self, now: Time) {
         let Some(announced) = &self.announced else { return };
-        let refused = self.parts.shared.refused.get() > announced.at;
-        let beat = self.parts.upstream.beat;
+        let refused = self.context.shared.upstream_refused.get() > announced.at;
+        let beat = self.context.upstream.beat;
         let silence = if refused { REFUSED_SILENCE.max(beat * 2) } else { SILENCE.max(beat * 4) };
         if now.since(announced.at) < silence {
             return;
@@ -172,7 +172,7 @@
         let done = |((workspace, unit), version): (&(Name, UnitId), &Offset)| {
             self.handover.done.contains(&(Arc::clone(workspace), *unit, *version))
         };
-        self.parts.shared.inflight.total() == 0 && self.handover.draining.iter().all(done)
+        self.context.shared.inflight.total() == 0 && self.handover.draining.iter().all(done)
     }
 
     /// Releases to the standbys when the log does not record that this member leaves.
@@ -212,7 +212,7 @@
         self.grounds.clear();
         self.closed = false;
         self.forget_roles();
-        self.parts.shared.lease.set(Time::ZERO);
+        self.context.shared.lease.set(Time::ZERO);
         self.dirty = true;
     }
 
--- a/acaciaringd/src/control/roles.rs
+++ b/acaciaringd/src/control/roles.rs
@@ -91,7 +91,7 @@
             self.roles.duties.remove(&place);
             self.roles.handovers.remove(&place);
             let role = if self.has_slot(&place) { Role::Merge } else { Role::Nothing };
-            self.parts.gate.dedup.take_up(now, &place.0, place.1, role);
+            self.context.gate.dedup.take_up(now, &place.0, place.1, role);
         }
     }
 
@@ -103,11 +103,11 @@
             Duty::Server => self.succession(&place, assignment),
         };
         match role {
-            Role::Heir(_) => self.parts.metrics.count(Counter::UnitsSwitched, 1),
-            Role::Successor => self.parts.metrics.count(Counter::UnitsTakenOver, 1),
+            Role::Heir(_) => self.context.metrics.count(Counter::UnitsSwitched, 1),
+            Role::Successor => self.context.metrics.count(Counter::UnitsTakenOver, 1),
             Role::Founder | Role::Split | Role::Merge | Role::Standby(_) | Role::Nothing => {}
         }
-        self.parts.gate.dedup.take_up(now, &place.0, place.1, role);
+        self.context.gate.dedup.take_up(now, &place.0, place.1, role);
         self.roles.duties.insert(place, duty);
     }
 
@@ -145,7 +145,7 @@
     pub(super) fn forget_roles(&mut self) {
         let now = crate::clock::now();
         for ((workspace, unit), _) in self.roles.duties.drain() {
-            self.parts.gate.dedup.take_up(now, &workspace, unit, Role::Nothing);
+            self.context.gate.dedup.take_up(now, &workspace, unit, Role::Nothing);
         }
         self.roles.inheritances.clear();
         self.roles.handovers.clear();
--- a/acaciaringd/src/control/snapshot.rs
+++ b/acaciaringd/src/control/snapshot.rs
@@ -54,9 +54,9 @@
         if self.snapshots.own != covered {
             return;
         }
-        let log = Arc::clone(&self.parts.log);
+        let log = Arc::clone(&self.context.log);
         // It may wait for the log service, for which the control thread must not.
-        self.parts.transport.runtime().spawn_blocking(move || log.trim(covered));
+        self.context.transport.runtime().spawn_blocking(move || log.trim(covered));
     }
 
     /// Writes a snapshot when one is due and it falls to this member.
@@ -71,7 +71,7 @@
             self.snapshots.covered = newest;
             self.snapshots.seen = now;
         }
-        let records = self.parts.records.saturating_add(STAGGER * u64::from(rank));
+        let records = self.context.snapshot_records.saturating_add(STAGGER * u64::from(rank));
         let age = AGE.saturating_add(STAND_IN.saturating_mul(rank));
         let empty = u64::try_from(self.snapshots.empty.len()).unwrap_or(u64::MAX);
         let due = snapshot::due(self.state.next().saturating_sub(empty), newest, records);
@@ -83,7 +83,7 @@
         self.snapshots.own = self.state.next();
         let chunks = snapshot::chunk(&self.state, rand::random(), CHUNK_SIZE);
         info!(next = self.state.next(), records = chunks.len(), "writing a snapshot");
-        self.parts.metrics.count(Counter::LogSnapshots, 1);
+        self.context.metrics.count(Counter::LogSnapshots, 1);
         for record in chunks {
             self.proposals.append(record);
         }
--- a/acaciaringd/src/control/stop.rs
+++ b/acaciaringd/src/control/stop.rs
@@ -31,7 +31,7 @@
         info!("graceful shutdown begins");
         let pausing = self.resumable();
         self.stopping.get_or_insert(Stopping { since, pausing, callerless: false });
-        self.parts.shared.stopping.store(true, Ordering::Release);
+        self.context.shared.stopping.store(true, Ordering::Release);
         self.report_leaving();
         if pausing {
             return;
@@ -57,8 +57,8 @@
         if self.identity.is_none() {
             return true;
         }
-        let inflight = self.parts.shared.inflight.total();
-        if now.since(stopping.since) >= self.parts.drain {
+        let inflight = self.context.shared.inflight.total();
+        if now.since(stopping.since) >= self.context.drain_timeout {
             warn!(inflight, "shutdown takes too long, ending it");
             return true;
         }
@@ -74,10 +74,10 @@
     /// lease lapses in it, and what the upstream holds, so its units would move or be served cold.
     fn rests(&self, inflight: usize) -> bool {
         // The closed view was published before the count was read, so no request has slipped in.
-        let rests = self.parts.shared.view().closed && inflight == 0;
+        let rests = self.context.shared.view().closed && inflight == 0;
         if rests {
             // Only the first word is taken.
-            let _ = self.parts.releasing.try_send(());
+            let _ = self.context.drained.try_send(());
         }
         rests
     }
--- a/acaciaringd/src/control/upstream_state.rs
+++ b/acaciaringd/src/control/upstream_state.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 struct Waiting {
     reply: oneshot::Sender<HeartbeatReply>,
-    room: usize,
+    max_ranges: usize,
     until: Time,
 }
 
@@ -111,7 +111,7 @@
         reply: oneshot::Sender<HeartbeatReply>,
     ) {
         let report = self.holding.way.report(now, &heartbeat);
-        let Heartbeat { announcement, sequence, room, .. } = heartbeat;
+        let Heartbeat { announcement, sequence, max_ranges, .. } = heartbeat;
         let (instance, born) = (Name::from(announcement.instance.as_str()), announcement.born);
         if report == Report::Late {
             info!(%instance, born, sequence, "late report of the upstream");
@@ -126,7 +126,7 @@
         }
         if self.attached_elsewhere(&instance) {
             self.announced = None;
-            self.link = None;
+            self.endpoint = None;
             self.detach(now);
         } else if announcement.phase == Phase::Draining {
             self.upstream_leaves(now);
@@ -137,7 +137,7 @@
         self.plan_when_due(now);
         // One report waits at a time; the sender of one that cannot be answered yet reports again.
         self.answer_report(now);
-        self.holding.waiting = Some(Waiting { reply, room, until: now + PATIENCE });
+        self.holding.waiting = Some(Waiting { reply, max_ranges, until: now + PATIENCE });
         self.answer_report(now);
     }
 
@@ -149,8 +149,8 @@
         if now < until && self.moving() {
             return;
         }
-        let Some(Waiting { reply, room, .. }) = self.holding.waiting.take() else { return };
-        let answer = HeartbeatReply { grants: self.grants(now, room) };
+        let Some(Waiting { reply, max_ranges, .. }) = self.holding.waiting.take() else { return };
+        let answer = HeartbeatReply { grants: self.grants(now, max_ranges) };
         debug!(ranges = answer.grants.as_ref().map(|(rows, _)| rows.len()), "report answered");
         // The sender may have gone away.
         let _ = reply.send(answer);
@@ -203,7 +203,7 @@
     }
 
     /// Returns what the upstream is to hold by the reply, `None` when the reply can grant nothing.
-    fn grants(&mut self, now: Time, room: usize) -> Option<(Vec<Granted>, Duration)> {
+    fn grants(&mut self, now: Time, max_ranges: usize) -> Option<(Vec<Granted>, Duration)> {
         if matches!(self.holding.way, Way::Called(_)) {
             return None;
         }
@@ -213,10 +213,10 @@
         }
         let workspace = Arc::clone(&attachment.workspace);
         let state = Arc::clone(&self.state);
-        let lease = self.parts.shared.lease.get();
+        let lease = self.context.shared.lease.get();
         let wanted = self.wanted(now, &state, state.service(&workspace)?);
         match &mut self.holding.way {
-            Way::Reported(holds) => holds.grant(now, lease, &wanted, room),
+            Way::Reported(holds) => holds.grant(now, lease, &wanted, max_ranges),
             Way::Called(_) => None,
         }
     }
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -24,7 +24,7 @@
 use crate::admin::MemberAdmin;
 use crate::appender::Appender;
 use crate::clock;
-use crate::control::{Control, Event, Parts};
+use crate::control::{Control, ControlContext, Event};
 use crate::declared::Declarations;
 use crate::gate::Gate;
 use crate::gauges;
@@ -35,7 +35,7 @@
 use crate::peer::{PeerError, Transport};
 use crate::pulse::Pulse;
 use crate::ration::Ration;
-use crate::read_pacer::Wanted;
+use crate::read_pacer::ReadPacer;
 use crate::reader;
 use crate::recent::Recent;
 use crate::router::{Lingerers, Outages, Router, Shares, Spans, Suspects};
@@ -190,28 +190,28 @@
         };
         let doors = edges.open(inside).context(EdgeSnafu)?;
 
-        let wanted = wanted(settings, &transport);
+        let read_pacer = read_pacer(settings, &transport);
         let (reads, appends) = relay::relays(&shared, &transport);
-        let (releasing, released) = bounded(1);
-        let parts = Parts {
-            place: options::place(
+        let (drained, released) = bounded(1);
+        let context = ControlContext {
+            location: options::location(
                 settings,
                 settings.listen.advertised.unwrap_or(transport.local_addr()),
                 doors.callers(),
             ),
             lease: options::lease_settings(&settings.lease, settings.upstream.grants),
-            drain: settings.limits.drain,
-            releasing,
-            interval: settings.balance.interval,
+            drain_timeout: settings.limits.drain,
+            drained,
+            balance_interval: settings.balance.interval,
             balance: options::balance_settings(settings),
-            records: u64::from(settings.snapshot.records),
+            snapshot_records: u64::from(settings.snapshot.records),
             shared: Arc::clone(&shared),
             gate,
             transport: transport.clone(),
             outbox,
-            appender: Appender::start(Arc::clone(&log), Arc::clone(&wanted), appends),
+            appender: Appender::start(Arc::clone(&log), Arc::clone(&read_pacer), appends),
             recent,
-            wanted: Arc::clone(&wanted),
+            read_pacer: Arc::clone(&read_pacer),
             events: events.clone(),
             metrics: metrics.clone(),
             log: Arc::clone(&log),
@@ -219,9 +219,9 @@
             outlet,
             upstream: settings.upstream.clone(),
         };
-        gauges::start(&parts.shared, &parts.gate, metrics);
-        reader::start(log, settings.log.wait, reads, wanted, events.clone());
-        let control = Control::start(parts, inbox);
+        gauges::start(&context.shared, &context.gate, metrics);
+        reader::start(log, settings.log.wait, reads, read_pacer, events.clone());
+        let control = Control::start(context, inbox);
         info!(http = %doors.callers(), peer = %transport.local_addr(), admin = %doors.admin(), "started");
         let drain = settings.limits.drain;
         Ok(Self { events, control, released, drain, doors, transport, _page: page })
@@ -278,10 +278,10 @@
 }
 
 /// Returns what is wanted of the log, with the pace of reads.
-fn wanted(settings: &Settings, transport: &Transport) -> Arc<Wanted> {
-    let wanted = Arc::new(Wanted::new(settings.log.rate.min(settings.log.reads)));
+fn read_pacer(settings: &Settings, transport: &Transport) -> Arc<ReadPacer> {
+    let pacer = Arc::new(ReadPacer::new(settings.log.rate.min(settings.log.reads)));
     // Who is refused may have joined by a record that was not read here yet.
-    let asked = Arc::clone(&wanted);
-    transport.on_refused(move || asked.ask());
-    wanted
+    let asked = Arc::clone(&pacer);
+    transport.on_refused(move || asked.request_read());
+    pacer
 }
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -11,7 +11,7 @@
 use acaciaring_core::state::HOT_MAX;
 use acaciaring_schema::settings::{Lease, Settings, UpstreamGrants};
 
-use crate::control::Place;
+use crate::control::Location;
 use crate::entry::EntrySettings;
 use crate::gate::GateSettings;
 use crate::peer::PeerSettings;
@@ -128,9 +128,9 @@
 }
 
 /// Returns where this process runs, as other members are told.
-pub(super) fn place(settings: &Settings, peer: SocketAddr, http: SocketAddr) -> Place {
+pub(super) fn location(settings: &Settings, peer: SocketAddr, http: SocketAddr) -> Location {
     let member = &settings.member;
-    Place {
+    Location {
         vm: member.vm.to_string(),
         data_centre: member.data_centre.to_string(),
         region: member.region.to_string(),
--- a/acaciaringd/src/daemon/relay.rs
+++ b/acaciaringd/src/daemon/relay.rs
@@ -6,7 +6,7 @@
 use acaciaring_core::Time;
 use acaciaring_schema::peer::{Append, Records, call, reply};
 
-use crate::appender::{self, Appended};
+use crate::appender::{self, AppendOutcome};
 use crate::clock;
 use crate::peer::Transport;
 use crate::reader;
@@ -25,15 +25,15 @@
 fn append_relay(shared: &Arc<Shared>, transport: &Transport) -> appender::Relay {
     let (shared, transport) = (Arc::clone(shared), transport.clone());
     Box::new(move |record| {
-        let Some(to) = shared.view().other(clock::now()) else { return Appended::No };
+        let Some(to) = shared.view().other(clock::now()) else { return AppendOutcome::NotAppended };
         let append = call::Body::Append(Append { record: record.to_vec() });
         match transport.blocking_call(to, append, wire::CALL) {
             Ok(reply::Body::Appended(appended)) if appended.offset > 0 => {
-                Appended::Yes(appended.offset)
+                AppendOutcome::Appended(appended.offset)
             }
-            Ok(reply::Body::Done(_)) => Appended::No,
-            Err(error) if !error.may_have_run() => Appended::No,
-            Ok(_) | Err(_) => Appended::Unknown,
+            Ok(reply::Body::Done(_)) => AppendOutcome::NotAppended,
+            Err(error) if !error.may_have_run() => AppendOutcome::NotAppended,
+            Ok(_) | Err(_) => AppendOutcome::Unknown,
         }
     })
 }
--- a/acaciaringd/src/declared.rs
+++ b/acaciaringd/src/declared.rs
@@ -111,7 +111,7 @@
     }
 
     /// Notes the version that a member has in force; a newer one is fetched from it.
-    pub(crate) fn heard(&self, from: SocketAddr, version: u64) {
+    pub(crate) fn observe_version(&self, from: SocketAddr, version: u64) {
         if version > self.version() {
             // Control has ended only when the process is about to exit.
             let _ = self.events.send(Event::Version(from, version));
--- a/acaciaringd/src/gate/forward.rs
+++ b/acaciaringd/src/gate/forward.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use crate::metrics::{Counter, Timer};
 use crate::upstream::{Fence, OutletCall};
-use crate::view::{Link, Shared};
+use crate::view::{Shared, UpstreamEndpoint};
 use crate::wire;
 
 /// Time left of the lease below which nothing is given to the upstream.
@@ -36,15 +36,15 @@
         let moved = self.moved(job, grant);
         let place = self.queue.enter(ticket, job.cancelled, moved).await?;
         let view = self.shared.view();
-        let link = view.link.as_ref().ok_or(Refusal::not_run(Reason::UpstreamDown))?;
-        if *link.workspace != *job.workspace {
+        let endpoint = view.endpoint.as_ref().ok_or(Refusal::not_run(Reason::UpstreamDown))?;
+        if *endpoint.workspace != *job.workspace {
             return Err(Refusal::not_run(Reason::UpstreamDown));
         }
-        let fence = grant.map(|grant| fence(&self.shared, link, grant)).transpose()?;
+        let fence = grant.map(|grant| fence(&self.shared, endpoint, grant)).transpose()?;
         if job.cancelled.is_set() {
             return Err(Refusal::not_run(Reason::Cancelled));
         }
-        let result = self.send(job, link, fence).await;
+        let result = self.send(job, endpoint, fence).await;
         place.finish(&result);
         result
     }
@@ -64,16 +64,16 @@
     async fn send(
         &self,
         job: &Job<'_>,
-        link: &Link,
+        endpoint: &UpstreamEndpoint,
         fence: Option<Fence>,
     ) -> Result<Answer, Refusal> {
-        let left = self.bound(job, link, fence.is_some());
+        let left = self.bound(job, endpoint, fence.is_some());
         if left.is_zero() {
             return Err(Refusal::not_run(Reason::Expired));
         }
         let request = job.request;
         let call = OutletCall {
-            address: link.address,
+            address: endpoint.address,
             method: request.method.clone(),
             path: request.path.clone(),
             headers: wire::headers(&request.headers),
@@ -83,7 +83,7 @@
             left,
             fence,
             trace: request.trace.clone(),
-            instance: Arc::clone(&link.instance),
+            instance: Arc::clone(&endpoint.instance),
         };
         let start = clock::now();
         let result = self.outlet.send(call, job.cancelled).await;
@@ -97,7 +97,7 @@
                 self.metrics.count(Counter::UpstreamFenced, 1);
             }
             Err(Refusal { reason: Reason::UpstreamDown, .. }) => {
-                self.shared.refused.set(clock::now());
+                self.shared.upstream_refused.set(clock::now());
             }
             _ => {}
         }
@@ -109,10 +109,10 @@
     /// An upstream that does not check fences could go on with a request after
     /// the lease has ended and the key has a new server, so its handler is bound
     /// by the lease as it stands.
-    fn bound(&self, job: &Job<'_>, link: &Link, owned: bool) -> Duration {
+    fn bound(&self, job: &Job<'_>, endpoint: &UpstreamEndpoint, owned: bool) -> Duration {
         let now = clock::now();
         let left = job.deadline.since(now);
-        if owned && !link.fenced { left.min(self.shared.lease.get().since(now)) } else { left }
+        if owned && !endpoint.fenced { left.min(self.shared.lease.get().since(now)) } else { left }
     }
 }
 
@@ -122,9 +122,9 @@
 /// wakes up after its lease has ended and the key has a new owner. A fenced
 /// upstream refuses by `until`; for one that does not check, this check
 /// narrows the window and does not close it.
-fn fence(shared: &Shared, link: &Link, grant: Grant) -> Result<Fence, Refusal> {
+fn fence(shared: &Shared, endpoint: &UpstreamEndpoint, grant: Grant) -> Result<Fence, Refusal> {
     let end = lease_end(shared, clock::now(), grant)?;
-    Ok(Fence { unit: grant.unit, token: grant.token, until: link.until(end) })
+    Ok(Fence { unit: grant.unit, token: grant.token, until: endpoint.until(end) })
 }
 
 /// Returns the end of the lease under which a right was found.
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -205,7 +205,7 @@
         let mine = || self.shared.view().permit(&job.workspace, grant.unit).is_some();
         if answer.as_ref().is_err_and(misplaced) && mine() {
             // Control has ended only when the process is about to exit.
-            let _ = self.events.send(Event::Misplaced(Arc::clone(&job.workspace), grant.unit));
+            let _ = self.events.send(Event::UnitDenied(Arc::clone(&job.workspace), grant.unit));
         }
         answer
     }
--- a/acaciaringd/src/heartbeat.rs
+++ b/acaciaringd/src/heartbeat.rs
@@ -22,7 +22,7 @@
     /// What it has released since its last report that was answered.
     pub freed: Vec<Freed>,
     /// Most ranges that the reply has room for.
-    pub room: usize,
+    pub max_ranges: usize,
 }
 
 /// What the upstream is to hold.
--- a/acaciaringd/src/read_pacer.rs
+++ b/acaciaringd/src/read_pacer.rs
@@ -10,14 +10,14 @@
 
 /// Pace of the reader, which wakes it from its rest when a record is needed.
 #[derive(Debug)]
-pub(crate) struct Wanted {
+pub(crate) struct ReadPacer {
     pace: Mutex<Pace>,
     changed: Condvar,
     /// Reads a second of all members together.
     rate: u32,
 }
 
-impl Wanted {
+impl ReadPacer {
     /// Begins with the first record.
     pub(crate) fn new(rate: u32) -> Self {
         Self { pace: Mutex::new(Pace::new()), changed: Condvar::new(), rate }
@@ -49,19 +49,19 @@
     }
 
     /// Wakes the reader for the records before an offset.
-    pub(crate) fn need(&self, end: Offset) {
+    pub(crate) fn request_before(&self, end: Offset) {
         self.pace.lock().need(end);
         self.changed.notify_all();
     }
 
     /// Wakes the reader for a record that may stand in the log.
-    pub(crate) fn ask(&self) {
+    pub(crate) fn request_read(&self) {
         self.pace.lock().ask();
         self.changed.notify_all();
     }
 
     /// Returns the rest between two reads.
-    pub(crate) fn rest(&self) -> Duration {
+    pub(crate) fn interval(&self) -> Duration {
         self.pace.lock().rest()
     }
 }
--- a/acaciaringd/src/reader.rs
+++ b/acaciaringd/src/reader.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use crate::control::Event;
 use crate::platform::LogService;
-use crate::read_pacer::Wanted;
+use crate::read_pacer::ReadPacer;
 use crate::vital;
 
 /// Records in one read.
@@ -38,11 +38,12 @@
     log: Arc<dyn LogService>,
     wait: Duration,
     relay: Relay,
-    wanted: Arc<Wanted>,
+    read_pacer: Arc<ReadPacer>,
     events: Sender<Event>,
 ) {
     let backoff = Backoff::new(PAUSE, LONGEST);
-    let reader = Reader { log, wait, relay, wanted, events, failing: false, begun: false, backoff };
+    let reader =
+        Reader { log, wait, relay, read_pacer, events, failing: false, begun: false, backoff };
     vital::spawn("log-reader", move || reader.run());
 }
 
@@ -51,7 +52,7 @@
     /// Time for which a read waits for a new record.
     wait: Duration,
     relay: Relay,
-    wanted: Arc<Wanted>,
+    read_pacer: Arc<ReadPacer>,
     events: Sender<Event>,
     failing: bool,
     /// True once a read has said where the log ends.
@@ -63,12 +64,12 @@
 impl Reader {
     fn run(mut self) {
         loop {
-            let from = self.wanted.wait();
+            let from = self.read_pacer.wait();
             let Some(batch) = self.read(from) else {
                 thread::sleep(self.backoff.pause());
                 continue;
             };
-            self.wanted.answered(clock::now());
+            self.read_pacer.answered(clock::now());
             if !self.deliver(batch) {
                 return;
             }
--- a/acaciaringd/src/router/silence.rs
+++ b/acaciaringd/src/router/silence.rs
@@ -76,7 +76,7 @@
 
     fn ended(&self, address: SocketAddr, start: Time, outcome: RequestOutcome) -> Try {
         if let RequestOutcome::Answer(answer) = &outcome {
-            self.declarations.heard(address, answer.declared);
+            self.declarations.observe_version(address, answer.declared);
         }
         self.metrics.time(Timer::Peer, clock::now().since(start));
         judge(outcome)
--- a/acaciaringd/src/view.rs
+++ b/acaciaringd/src/view.rs
@@ -17,7 +17,7 @@
 
 /// The upstream beside this member, as it last announced itself.
 #[derive(Debug, Clone)]
-pub(crate) struct Link {
+pub(crate) struct UpstreamEndpoint {
     /// Workspace that it serves.
     pub(crate) workspace: Arc<str>,
     /// Address for requests.
@@ -32,7 +32,7 @@
     pub(crate) instance: Arc<str>,
 }
 
-impl Link {
+impl UpstreamEndpoint {
     /// Returns a time on the upstream's clock that it reaches no later than `end` is reached here.
     ///
     /// The reading was taken before it was received, so the upstream's clock is
@@ -77,7 +77,7 @@
     /// Members whose lease is over for good and whose eviction is not yet in the log.
     pub(crate) expired: Arc<HashSet<MemberId>>,
     /// The upstream beside this member.
-    pub(crate) link: Option<Link>,
+    pub(crate) endpoint: Option<UpstreamEndpoint>,
     /// True while the gate takes no new requests.
     pub(crate) closed: bool,
 }
@@ -141,7 +141,7 @@
     /// End of this member's lease.
     pub(crate) lease: SharedTime,
     /// When the upstream last refused a connection.
-    pub(crate) refused: SharedTime,
+    pub(crate) upstream_refused: SharedTime,
     /// Requests in flight at the gate.
     pub(crate) inflight: Arc<Inflight>,
     /// True when the configuration is declared outside of the log.
