--- a/acaciaringd/src/appender.rs
+++ b/acaciaringd/src/appender.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns true while a try is under way whose outcome decides whether the record may have been appended.
-    pub(crate) fn trying(&self, id: &RecordId) -> bool {
+    pub(crate) fn attempt_in_progress(&self, id: &RecordId) -> bool {
         self.open.lock().get(id) == Some(&Tries::UnderWay)
     }
 
--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -20,35 +20,35 @@
 use crate::wire;
 
 /// Time between two reports of this member's load to owners that may move units to it.
-const REPORT: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Owners that are told of this member's load at a time.
-const REPORTS: usize = 12;
+const REPORTS_PER_ROUND: usize = 12;
 
 /// Weights of a service that no document describes.
-const EVEN: Weights = Weights { churn: 1_000, downtime: 1_000 };
+const DEFAULT_WEIGHTS: Weights = Weights { churn: 1_000, downtime: 1_000 };
 
 /// What this member knows and remembers for balance.
 #[derive(Debug, Default)]
 pub(super) struct Balance {
     loads: HashMap<MemberId, Load>,
     /// Mean times that requests take at other members' upstreams, where they are known.
-    services: HashMap<MemberId, Duration>,
+    service_times: HashMap<MemberId, Duration>,
     /// Members that have said that they are about to leave.
     leaving: HashSet<MemberId>,
     history: History,
-    planned: Time,
-    reported: Time,
+    last_plan: Time,
+    last_report: Time,
     /// Owners that were told since the first one was.
-    told: usize,
+    next_owner: usize,
 }
 
 impl Balance {
     /// Returns the next few owners to be told, all of them in turn.
-    fn turn(&mut self, owners: &[MemberId]) -> Vec<MemberId> {
-        let count = owners.len().min(REPORTS);
-        let start = self.told;
-        self.told = (start + count) % owners.len().max(1);
+    fn next_recipients(&mut self, owners: &[MemberId]) -> Vec<MemberId> {
+        let count = owners.len().min(REPORTS_PER_ROUND);
+        let start = self.next_owner;
+        self.next_owner = (start + count) % owners.len().max(1);
         owners.iter().copied().cycle().skip(start).take(count).collect()
     }
 }
@@ -59,12 +59,12 @@
     /// Beside an upstream that reports what it holds, moves are planned when a report has come: its
     /// reply can then leave out what moves.
     pub(super) fn balance(&mut self, now: Time) {
-        if now.since(self.balance.reported) >= self.report_interval() {
-            self.balance.reported = now;
+        if now.since(self.balance.last_report) >= self.report_interval() {
+            self.balance.last_report = now;
             self.report_load();
             self.report_imbalance(now);
         }
-        if !self.holding.reports {
+        if !self.upstream.has_reported {
             self.plan_when_due(now);
         }
     }
@@ -74,14 +74,18 @@
     /// Where moves are planned only with a report of the upstream, each plan gets fresh loads; where
     /// they are planned every few rounds, fresher loads would move more units.
     fn report_interval(&self) -> Duration {
-        if self.holding.reports { REPORT.min(self.context.balance_interval) } else { REPORT }
+        if self.upstream.has_reported {
+            REPORT_INTERVAL.min(self.context.balance_interval)
+        } else {
+            REPORT_INTERVAL
+        }
     }
 
     /// Proposes moves of this member's units, if it is time for it.
     pub(super) fn plan_when_due(&mut self, now: Time) {
-        let due = now.since(self.balance.planned) >= self.context.balance_interval;
-        if due && !self.retiring() && !self.pausing() && self.context.balance.least_moves > 0 {
-            self.balance.planned = now;
+        let due = now.since(self.balance.last_plan) >= self.context.balance_interval;
+        if due && !self.retiring() && !self.restarting() && self.context.balance.least_moves > 0 {
+            self.balance.last_plan = now;
             self.plan(now);
         }
     }
@@ -99,7 +103,7 @@
         let service = self.context.gate.mean_time().as_micros();
         let service = u32::try_from(service).unwrap_or(0);
         let rate = self.context.gate.rate();
-        let leaving = self.pausing() || identity.retiring.is_some();
+        let leaving = self.restarting() || identity.retiring.is_some();
         let loads = Loads { member: me.0, rate, busy, capacity, service, leaving };
         let datagram = Datagram { body: Some(datagram::Body::Loads(loads)) };
         let units = self.state.services().flat_map(Service::units);
@@ -109,8 +113,8 @@
             .collect();
         owners.sort_unstable();
         owners.dedup();
-        let few = owners.len() <= REPORTS;
-        for owner in self.balance.turn(&owners) {
+        let few = owners.len() <= REPORTS_PER_ROUND;
+        for owner in self.balance.next_recipients(&owners) {
             let Some(to) = self.state.member(owner).and_then(peer_address) else { continue };
             if few || self.context.transport.connected(to) {
                 self.context.transport.send(to, &datagram, false);
@@ -125,15 +129,15 @@
     /// one whose process is about to be started again: it takes no more requests, so that it looks
     /// idle, and what moved to it would have no server until the next process has joined.
     pub(super) fn report_leaving(&mut self) {
-        self.balance.reported = Time::ZERO;
-        self.duties = Time::ZERO;
+        self.balance.last_report = Time::ZERO;
+        self.last_maintenance = Time::ZERO;
     }
 
     /// Passes on what this leaving member serves while it waits for other units of its own.
     ///
     /// Guards against keys without server: the upstream takes no more requests, and a unit on its
     /// way here may take a second or more, for which all others would wait.
-    pub(super) fn pass_on_served(&mut self, now: Time) {
+    pub(super) fn switch_over_served(&mut self, now: Time) {
         let Some(me) = self.identity.as_ref().map(|identity| identity.me) else { return };
         let state = Arc::clone(&self.state);
         let stays = |id: &MemberId| {
@@ -185,20 +189,20 @@
         }
         if loads.service > 0 {
             let service = Duration::from_micros(loads.service.into());
-            self.balance.services.insert(member, service);
+            self.balance.service_times.insert(member, service);
         }
         let state = &self.state;
         self.balance.loads.retain(|id, _| state.lives(*id));
         self.balance.leaving.retain(|id| state.lives(*id));
         let loads = &self.balance.loads;
-        self.balance.services.retain(|id, _| loads.contains_key(id));
+        self.balance.service_times.retain(|id, _| loads.contains_key(id));
     }
 
     /// Notes the switchovers that a batch of records has brought.
     ///
     /// A first assignment or the loss of an owner is no move: the unit need not
     /// rest after it.
-    pub(super) fn note_moves(&mut self, now: Time, before: &State) {
+    pub(super) fn track_moves(&mut self, now: Time, before: &State) {
         let Some(workspace) = self.own_workspace() else { return };
         let (Some(old), Some(new)) = (before.service(&workspace), self.state.service(&workspace))
         else {
@@ -236,7 +240,7 @@
         let me = self.identity.as_ref()?.me;
         let service = self.state.service(workspace)?;
         let route = self.state.routes().get(workspace);
-        let weights = route.map_or(EVEN, |route| route.weights);
+        let weights = route.map_or(DEFAULT_WEIGHTS, |route| route.weights);
         let mut members = BTreeMap::new();
         for member in self.state.members_of(workspace).filter(|member| member.alive()) {
             let load = if member.id == me {
@@ -273,11 +277,11 @@
     /// in speed by more than two times, and the slow ones would be full while the others idle.
     fn speed(&self, member: MemberId, me: MemberId) -> f64 {
         let own = self.context.gate.mean_time();
-        let others = self.balance.services.values().copied();
+        let others = self.balance.service_times.values().copied();
         let known: Vec<f64> = others.chain([own]).map(|time| time.as_secs_f64()).collect();
         let count = u32::try_from(known.len()).map_or(1.0, f64::from);
         let mean = known.iter().sum::<f64>() / count;
-        let time = if member == me { Some(&own) } else { self.balance.services.get(&member) };
+        let time = if member == me { Some(&own) } else { self.balance.service_times.get(&member) };
         time.filter(|time| !time.is_zero()).map_or(1.0, |time| mean / time.as_secs_f64())
     }
 
@@ -289,7 +293,7 @@
         let Some(identity) = &self.identity else { return Vec::new() };
         let serving = |unit: &UnitId| identity.rights.serving(workspace, *unit);
         let units: Vec<UnitId> = plan.switchovers.iter().copied().filter(serving).collect();
-        let messages = self.units(workspace, &units);
+        let messages = self.unit_messages(workspace, &units);
         if messages.is_empty() {
             return Vec::new();
         }
@@ -315,7 +319,7 @@
         // A unit that was taken over may still be held by the upstream beside this member.
         let units: Vec<UnitId> =
             given.filter(|unit| !self.upstream_holds(now, workspace, *unit)).collect();
-        let messages = self.units(workspace, &units);
+        let messages = self.unit_messages(workspace, &units);
         if messages.is_empty() {
             return;
         }
@@ -340,14 +344,14 @@
     }
 
     fn propose_splits(&mut self, now: Time, workspace: &Name, plan: &Plan) {
-        let messages = self.slots_of(workspace, &plan.splits);
+        let messages = self.key_messages(workspace, &plan.splits);
         let body =
             |member, workspace, units| record::Body::Split(Split { member, workspace, units });
         self.propose_change(now, Purpose::Split(Arc::clone(workspace)), workspace, messages, body);
     }
 
     fn propose_merges(&mut self, now: Time, workspace: &Name, plan: &Plan) {
-        let messages = self.units(workspace, &plan.merges);
+        let messages = self.unit_messages(workspace, &plan.merges);
         let body =
             |member, workspace, units| record::Body::Merge(Merge { member, workspace, units });
         self.propose_change(now, Purpose::Merge(Arc::clone(workspace)), workspace, messages, body);
@@ -379,14 +383,14 @@
     }
 
     /// Returns units with their versions.
-    fn units(&self, workspace: &Name, units: &[UnitId]) -> Vec<Unit> {
+    fn unit_messages(&self, workspace: &Name, units: &[UnitId]) -> Vec<Unit> {
         let service = self.state.service(workspace);
         let version = |unit: &UnitId| Some(service?.assignment(*unit)?.version);
         units.iter().filter_map(|unit| Some(wire::unit(*unit, version(unit)?))).collect()
     }
 
     /// Returns keys that are not yet units, with the versions of their slots.
-    fn slots_of(&self, workspace: &Name, keys: &[UnitId]) -> Vec<Unit> {
+    fn key_messages(&self, workspace: &Name, keys: &[UnitId]) -> Vec<Unit> {
         let service = self.state.service(workspace);
         let version = |unit: &UnitId| Some(service?.assignment(UnitId::slot(unit.slot))?.version);
         keys.iter().filter_map(|unit| Some(wire::unit(*unit, version(unit)?))).collect()
--- a/acaciaringd/src/control/catch_up.rs
+++ b/acaciaringd/src/control/catch_up.rs
@@ -12,19 +12,19 @@
 use crate::wire;
 
 /// Time for which the log service itself may bring the records, beyond the rest between two reads.
-const GRACE: Duration = Duration::from_millis(300);
+const LOG_GRACE: Duration = Duration::from_millis(300);
 
 /// Time between two questions for the declared configuration.
-const PAUSE: Duration = Duration::from_millis(100);
+const QUERY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Records asked for at once.
-const LIMIT: u32 = 512;
+const MAX_RECORDS: u32 = 512;
 
 impl Control {
     /// Has the log read up to a record that a message of another member depends on.
     ///
     /// Without it what the message brings would wait for the pace of the reads.
-    pub(super) fn depend(&self, record: Offset) {
+    pub(super) fn require_record(&self, record: Offset) {
         if record >= self.state.next() {
             self.context.read_pacer.request_before(record.saturating_add(1));
         }
@@ -37,13 +37,13 @@
     /// Records carry their offsets, so a gap is seen and never skipped.
     pub(super) fn catch_up(&mut self, now: Time, from: SocketAddr, applied: Offset) {
         let next = self.state.next();
-        let grace = GRACE + self.context.read_pacer.interval();
-        let quiet =
-            now.since(self.progress.folded) >= grace && now.since(self.progress.asked) >= GRACE;
+        let grace = LOG_GRACE + self.context.read_pacer.interval();
+        let quiet = now.since(self.progress.last_folded) >= grace
+            && now.since(self.progress.last_queried) >= LOG_GRACE;
         if applied <= next || !quiet {
             return;
         }
-        self.progress.asked = now;
+        self.progress.last_queried = now;
         debug!(%from, applied, next, "another member is ahead, asking it for records");
         let events = self.context.events.clone();
         let done = move |reply: Option<reply::Body>| {
@@ -54,7 +54,7 @@
             // Control may have ended in the meantime.
             let _ = events.send(Event::Relayed(batch));
         };
-        let records = call::Body::Records(Records { from: next.max(1), max: LIMIT });
+        let records = call::Body::Records(Records { from: next.max(1), max: MAX_RECORDS });
         self.context.outbox.call(from, records, wire::CALL, Box::new(done));
     }
 
@@ -62,12 +62,12 @@
     ///
     /// Guards against a member that cannot read where the configuration is declared while
     /// others can: it would go on by an old one.
-    pub(super) fn follow(&mut self, now: Time, from: SocketAddr, version: u64) {
+    pub(super) fn fetch_declaration(&mut self, now: Time, from: SocketAddr, version: u64) {
         let declarations = &self.context.declarations;
-        if version <= declarations.version() || now.since(self.followed) < PAUSE {
+        if version <= declarations.version() || now.since(self.config_queried) < QUERY_INTERVAL {
             return;
         }
-        self.followed = now;
+        self.config_queried = now;
         debug!(%from, version, "another member has a newer configuration, asking it");
         let declarations = Arc::clone(declarations);
         let done = move |reply: Option<reply::Body>| {
--- a/acaciaringd/src/control/event.rs
+++ b/acaciaringd/src/control/event.rs
@@ -41,11 +41,11 @@
     /// The upstream has refused a request for a unit that it was given.
     UnitDenied(Name, UnitId),
     /// What came of an order to the upstream.
-    Ordered(u64, Answer),
+    OrderAnswered(u64, Answer),
     /// The upstream is leaving and reports no more; it is told once nothing new is given to it.
     UpstreamLeaves(Name, oneshot::Sender<()>),
     /// A member has said in passing that it has this version of the declared configuration.
-    Version(SocketAddr, u64),
+    DeclaredVersion(SocketAddr, u64),
     /// A newer configuration is declared.
     Declared(Arc<Declared>),
     /// The process was told to stop, and when.
--- a/acaciaringd/src/control/eviction.rs
+++ b/acaciaringd/src/control/eviction.rs
@@ -12,41 +12,41 @@
 use super::Control;
 use super::identity::Identity;
 use super::proposal::Purpose;
-use super::vote_recipients::concerned;
+use super::vote_recipients::vote_recipients;
 
 /// Delay of an eviction per rank, so that the members with a proof do not all append it.
-const STAGGER: Duration = Duration::from_millis(100);
+const RANK_DELAY: Duration = Duration::from_millis(100);
 
 /// Why a member may be evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Ground {
+pub(super) enum EvictionReason {
     /// Votes prove that its lease is over for good.
     Proof,
     /// A later process has its VM and address.
     Successor,
     /// It has no lessors, so it never had a lease.
-    Bare,
+    NoLessors,
 }
 
 /// Grounds for evictions, and since when each has lasted without a break.
 #[derive(Debug, Default)]
-pub(super) struct Grounds(HashMap<MemberId, (Ground, Time)>);
+pub(super) struct EvictionReasons(HashMap<MemberId, (EvictionReason, Time)>);
 
-impl Grounds {
+impl EvictionReasons {
     /// Notes the present ground of a member and returns since when it has lasted.
     ///
     /// Guards against a wait that was over before it began: a member without lessors at the start
     /// of the day gets some, and hours later its process starts anew beside a living upstream.
     /// Counted from the first ground, the eviction for the second came at once, and another
     /// upstream was given what this one still held.
-    fn since(&mut self, now: Time, member: MemberId, ground: Option<Ground>) -> Time {
-        let Some(ground) = ground else {
+    fn since(&mut self, now: Time, member: MemberId, reason: Option<EvictionReason>) -> Time {
+        let Some(reason) = reason else {
             self.0.remove(&member);
             return now;
         };
-        let known = self.0.entry(member).or_insert((ground, now));
-        if known.0 != ground {
-            *known = (ground, now);
+        let known = self.0.entry(member).or_insert((reason, now));
+        if known.0 != reason {
+            *known = (reason, now);
         }
         known.1
     }
@@ -71,11 +71,12 @@
             if member.phase == Phase::Dead || member.id == identity.me {
                 continue;
             }
-            let found = self.ground(now, identity, member);
-            let since = self.grounds.since(now, member.id, found.as_ref().map(|found| found.0));
-            let Some((ground, evict)) = found else { continue };
-            let wait = self.wait(ground) + STAGGER * self.rank(member);
-            if now.since(since) >= wait {
+            let found = self.eviction_reason(now, identity, member);
+            let since =
+                self.eviction_reasons.since(now, member.id, found.as_ref().map(|found| found.0));
+            let Some((reason, evict)) = found else { continue };
+            let delay = self.eviction_delay(reason) + RANK_DELAY * self.rank(member);
+            if now.since(since) >= delay {
                 proposals.push(evict);
             }
         }
@@ -88,25 +89,30 @@
     }
 
     /// Returns an eviction of a member, if there is ground for one.
-    fn ground(&self, now: Time, identity: &Identity, member: &Member) -> Option<(Ground, Evict)> {
+    fn eviction_reason(
+        &self,
+        now: Time,
+        identity: &Identity,
+        member: &Member,
+    ) -> Option<(EvictionReason, Evict)> {
         if let Some(proof) = identity.tally.proof(now, member) {
-            return Some((Ground::Proof, eviction(member, &proof)));
+            return Some((EvictionReason::Proof, eviction(member, &proof)));
         }
         if let Some(successor) = self.successor(member) {
             let evict = Evict { successor: successor.0, ..eviction(member, &no_proof(member)) };
-            return Some((Ground::Successor, evict));
+            return Some((EvictionReason::Successor, evict));
         }
-        let bare = member.lessors.is_empty();
-        bare.then(|| (Ground::Bare, eviction(member, &no_proof(member))))
+        let no_lessors = member.lessors.is_empty();
+        no_lessors.then(|| (EvictionReason::NoLessors, eviction(member, &no_proof(member))))
     }
 
     /// Returns for how long a ground has to last before a member is evicted for it.
-    fn wait(&self, ground: Ground) -> Duration {
-        match ground {
-            Ground::Proof => Duration::ZERO,
+    fn eviction_delay(&self, reason: EvictionReason) -> Duration {
+        match reason {
+            EvictionReason::Proof => Duration::ZERO,
             // Its last renewal was granted before the successor took its address.
-            Ground::Successor => self.context.lease.term * 2,
-            Ground::Bare => self.context.lease.abandon,
+            EvictionReason::Successor => self.context.lease.term * 2,
+            EvictionReason::NoLessors => self.context.lease.abandon,
         }
     }
 
@@ -128,10 +134,10 @@
     /// Returns this member's place among those that learn of an expired lease.
     fn rank(&self, member: &Member) -> u32 {
         let Some(identity) = &self.identity else { return u32::MAX >> 8 };
-        let concerned = concerned(&self.state, member.id);
-        let place = concerned.into_iter().position(|id| id == identity.me);
-        let place = place.or_else(|| self.state.snapshot_rank(identity.me));
-        place.map_or(u32::MAX >> 8, |place| u32::try_from(place).unwrap_or(u32::MAX >> 8))
+        let recipients = vote_recipients(&self.state, member.id);
+        let rank = recipients.into_iter().position(|id| id == identity.me);
+        let rank = rank.or_else(|| self.state.snapshot_rank(identity.me));
+        rank.map_or(u32::MAX >> 8, |rank| u32::try_from(rank).unwrap_or(u32::MAX >> 8))
     }
 }
 
--- a/acaciaringd/src/control/eviction/tests.rs
+++ b/acaciaringd/src/control/eviction/tests.rs
@@ -9,13 +9,13 @@
 /// former process must begin then: counted from the first moment it was over at once, and two
 /// upstreams held the keys.
 #[test]
-fn a_wait_begins_with_its_own_ground() {
-    let mut grounds = Grounds::default();
+fn eviction_delay_starts_with_its_own_reason() {
+    let mut reasons = EvictionReasons::default();
     let at = Time::from_millis;
-    assert_eq!(grounds.since(at(0), MEMBER, Some(Ground::Bare)), at(0));
-    assert_eq!(grounds.since(at(100), MEMBER, Some(Ground::Bare)), at(0));
-    grounds.since(at(200), MEMBER, None);
-    assert_eq!(grounds.since(at(9000), MEMBER, Some(Ground::Successor)), at(9000));
-    assert_eq!(grounds.since(at(9500), MEMBER, Some(Ground::Successor)), at(9000));
-    assert_eq!(grounds.since(at(9600), MEMBER, Some(Ground::Proof)), at(9600));
+    assert_eq!(reasons.since(at(0), MEMBER, Some(EvictionReason::NoLessors)), at(0));
+    assert_eq!(reasons.since(at(100), MEMBER, Some(EvictionReason::NoLessors)), at(0));
+    reasons.since(at(200), MEMBER, None);
+    assert_eq!(reasons.since(at(9000), MEMBER, Some(EvictionReason::Successor)), at(9000));
+    assert_eq!(reasons.since(at(9500), MEMBER, Some(EvictionReason::Successor)), at(9000));
+    assert_eq!(reasons.since(at(9600), MEMBER, Some(EvictionReason::Proof)), at(9600));
 }
--- a/acaciaringd/src/control/fold.rs
+++ b/acaciaringd/src/control/fold.rs
@@ -15,26 +15,26 @@
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     /// When records were last folded.
-    pub(super) folded: Time,
+    pub(super) last_folded: Time,
     /// When another member was last asked for records.
-    pub(super) asked: Time,
+    pub(super) last_queried: Time,
     /// True once the log was folded to its end.
-    pub(super) caught: bool,
+    pub(super) caught_up: bool,
 }
 
 impl Control {
     /// Folds records and learns what became of own proposals.
-    pub(super) fn batch(&mut self, now: Time, batch: &Batch) {
+    pub(super) fn on_batch(&mut self, now: Time, batch: &Batch) {
         let before = self.replica.state().next();
         self.context.recent.keep(batch);
         match self.fold(batch) {
             Ok(folded) => {
-                self.snapshots.note(&folded);
+                self.snapshots.track_empty(&folded);
                 for record in folded {
                     let proposal =
                         record.id.and_then(|id| self.proposals.settle(&id, &record.outcome));
                     if let Some(proposal) = proposal {
-                        self.settled(&proposal, &record);
+                        self.on_settled(&proposal, &record);
                     }
                 }
             }
@@ -44,12 +44,12 @@
         let members = state.members().filter(|member| member.alive()).count();
         self.context.read_pacer.folded(self.replica.wanted(), batch.next, members);
         // The first member of a new system finds no record; it would wait for one for ever.
-        self.progress.caught |= state.next().max(1) >= batch.next;
+        self.progress.caught_up |= state.next().max(1) >= batch.next;
         if state.next() != before {
-            self.progress.folded = now;
+            self.progress.last_folded = now;
             let before = mem::replace(&mut self.state, Arc::new(state.clone()));
-            self.folded(now);
-            self.note_moves(now, &before);
+            self.on_folded(now);
+            self.track_moves(now, &before);
         }
     }
 
@@ -57,15 +57,15 @@
     fn fold(&mut self, batch: &Batch) -> Result<Vec<Folded>, ReplicaError> {
         let mut folded = Vec::new();
         let mut rest = batch.clone();
-        while let Some(place) = rest.entries.iter().position(|entry| is_assign(entry)) {
-            let tail = rest.entries.split_off(place);
+        while let Some(index) = rest.entries.iter().position(|entry| is_assign(entry)) {
+            let tail = rest.entries.split_off(index);
             let head = Batch { entries: mem::take(&mut rest.entries), ..rest };
             folded.extend(self.replica.offer(&head)?);
-            let offset = rest.start + place as u64;
+            let offset = rest.start + index as u64;
             let assign = Batch { start: offset, entries: tail[..1].to_vec(), ..rest };
-            let before = self.fresh_units();
+            let before = self.unserved_units();
             folded.extend(self.replica.offer(&assign)?);
-            self.note_founded(before);
+            self.track_founded(before);
             rest = Batch { start: offset + 1, entries: tail[1..].to_vec(), ..rest };
         }
         folded.extend(self.replica.offer(&rest)?);
--- a/acaciaringd/src/control/grant_mode.rs
+++ b/acaciaringd/src/control/grant_mode.rs
@@ -12,26 +12,26 @@
 
 /// What is known of what the upstream holds, by the way in which it is told.
 #[derive(Debug)]
-pub(super) enum Way {
+pub(super) enum GrantMode {
     /// In the replies to its reports, which say what it holds.
-    Reported(Holds),
+    Heartbeat(Holds),
     /// By calls to it; its reports say nothing of it.
-    Called(Orders),
+    Call(Orders),
 }
 
-impl Way {
+impl GrantMode {
     pub(super) fn new(now: Time, grants: UpstreamGrants, hold: Duration) -> Self {
         match grants {
-            UpstreamGrants::Heartbeat => Self::Reported(Holds::new(now, hold)),
-            UpstreamGrants::Call => Self::Called(Orders::new(now, hold)),
+            UpstreamGrants::Heartbeat => Self::Heartbeat(Holds::new(now, hold)),
+            UpstreamGrants::Call => Self::Call(Orders::new(now, hold)),
         }
     }
 
     /// Returns the present start of the upstream.
     pub(super) const fn start(&self) -> Option<&Start> {
         match self {
-            Self::Reported(holds) => holds.start(),
-            Self::Called(orders) => orders.start(),
+            Self::Heartbeat(holds) => holds.start(),
+            Self::Call(orders) => orders.start(),
         }
     }
 
@@ -41,11 +41,11 @@
         let start = Start { instance, born: announcement.born };
         let sequence = heartbeat.sequence;
         match self {
-            Self::Reported(holds) => {
+            Self::Heartbeat(holds) => {
                 let (held, freed) = (heartbeat.held.clone(), heartbeat.freed.clone());
                 holds.report(now, &start, sequence, held, freed)
             }
-            Self::Called(orders) => orders.report(now, &start, sequence),
+            Self::Call(orders) => orders.report(now, &start, sequence),
         }
     }
 
@@ -58,40 +58,40 @@
         keys: impl FnOnce() -> Vec<RangeInclusive<u32>>,
     ) -> bool {
         match self {
-            Self::Reported(holds) => holds.serves(now, unit, token),
-            Self::Called(orders) => orders.serves(now, &keys(), token),
+            Self::Heartbeat(holds) => holds.serves(now, unit, token),
+            Self::Call(orders) => orders.serves(now, &keys(), token),
         }
     }
 
     /// Returns true while the upstream may hold keys of a unit.
     pub(super) fn may_hold(&self, now: Time, unit: UnitId, keys: &[RangeInclusive<u32>]) -> bool {
         match self {
-            Self::Reported(holds) => holds.may_hold(now, unit, keys),
-            Self::Called(orders) => orders.may_hold(now, keys),
+            Self::Heartbeat(holds) => holds.may_hold(now, unit, keys),
+            Self::Call(orders) => orders.may_hold(now, keys),
         }
     }
 
     /// Returns true while the upstream may hold anything.
     pub(super) fn may_hold_any(&self, now: Time) -> bool {
         match self {
-            Self::Reported(holds) => holds.may_hold_any(now),
-            Self::Called(orders) => orders.may_hold_any(now),
+            Self::Heartbeat(holds) => holds.may_hold_any(now),
+            Self::Call(orders) => orders.may_hold_any(now),
         }
     }
 
     /// Notes that the upstream has refused a request for a unit that it should hold.
     pub(super) fn deny(&mut self, unit: UnitId, keys: &[RangeInclusive<u32>]) {
         match self {
-            Self::Reported(holds) => holds.deny(unit),
-            Self::Called(orders) => orders.deny(keys),
+            Self::Heartbeat(holds) => holds.deny(unit),
+            Self::Call(orders) => orders.deny(keys),
         }
     }
 
     /// Returns what the upstream gave out when it released keys, empty when it gave nothing.
     pub(super) fn handover(&self, keys: &[RangeInclusive<u32>]) -> Name {
         match self {
-            Self::Reported(holds) => holds.handover(keys),
-            Self::Called(orders) => orders.handover(keys),
+            Self::Heartbeat(holds) => holds.handover(keys),
+            Self::Call(orders) => orders.handover(keys),
         }
     }
 }
--- a/acaciaringd/src/control/handover.rs
+++ b/acaciaringd/src/control/handover.rs
@@ -15,10 +15,10 @@
 use crate::wire;
 
 /// Time after which a release that was not acknowledged is sent again.
-const AGAIN: Duration = Duration::from_millis(300);
+const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
 /// A unit of a workspace that goes to a new server, with the version of the release.
-type Parcel = (Name, UnitId, Offset);
+type UnitRelease = (Name, UnitId, Offset);
 
 /// Units that this member is to release, and how far it has come.
 #[derive(Debug, Default)]
@@ -26,15 +26,15 @@
     /// Units to release, with the version under which they are released.
     pub(super) draining: HashMap<(Name, UnitId), Offset>,
     /// Releases that were sent and when.
-    pub(super) sent: HashMap<Parcel, Time>,
+    pub(super) sent: HashMap<UnitRelease, Time>,
     /// Releases that the next server has acknowledged.
-    pub(super) done: HashSet<Parcel>,
+    pub(super) acknowledged: HashSet<UnitRelease>,
     /// Releases that are still to be made.
     ///
     /// The log names a former owner until the unit moves again, so most of what is to be released
     /// was released long ago. Looking through all of it in each round took a member with many
     /// moves a fiftieth of its processor.
-    open: Vec<Parcel>,
+    pending: Vec<UnitRelease>,
 }
 
 impl Control {
@@ -70,36 +70,36 @@
                 let former = !owned && [assignment.prior, assignment.rival].contains(&me);
                 let closing = self.closed && assignment.owner == me && assignment.standby.is_some();
                 if former || closing {
-                    let place = (Arc::clone(&service.workspace), unit);
-                    self.handover.draining.insert(place, assignment.version);
+                    let unit_key = (Arc::clone(&service.workspace), unit);
+                    self.handover.draining.insert(unit_key, assignment.version);
                 }
             }
         }
         let draining = &self.handover.draining;
-        let current = |(workspace, unit, version): &Parcel| {
+        let current = |(workspace, unit, version): &UnitRelease| {
             draining.get(&(Arc::clone(workspace), *unit)) == Some(version)
         };
-        self.handover.done.retain(current);
-        self.handover.sent.retain(|parcel, _| current(parcel));
-        let parcels = draining.iter().map(|((w, unit), version)| (Arc::clone(w), *unit, *version));
-        self.handover.open =
-            parcels.filter(|parcel| !self.handover.done.contains(parcel)).collect();
+        self.handover.acknowledged.retain(current);
+        self.handover.sent.retain(|release, _| current(release));
+        let releases = draining.iter().map(|((w, unit), version)| (Arc::clone(w), *unit, *version));
+        self.handover.pending =
+            releases.filter(|release| !self.handover.acknowledged.contains(release)).collect();
     }
 
     /// Releases units that have nothing in flight any more.
     ///
     /// The view without the permit is published before the requests in flight
     /// are counted, see [`crate::inflight::Inflight`].
-    pub(super) fn hand_over(&mut self, now: Time) {
-        let parcels = self.handover.open.clone();
-        let mut ready: HashMap<(Name, MemberId), Vec<Parcel>> = HashMap::new();
-        for parcel in parcels {
-            for to in self.release(now, &parcel) {
-                ready.entry((Arc::clone(&parcel.0), to)).or_default().push(parcel.clone());
+    pub(super) fn release_units(&mut self, now: Time) {
+        let releases = self.handover.pending.clone();
+        let mut ready: HashMap<(Name, MemberId), Vec<UnitRelease>> = HashMap::new();
+        for release in releases {
+            for to in self.release(now, &release) {
+                ready.entry((Arc::clone(&release.0), to)).or_default().push(release.clone());
             }
         }
-        for ((workspace, to), parcels) in ready {
-            self.send_release(&workspace, to, &parcels);
+        for ((workspace, to), releases) in ready {
+            self.send_release(&workspace, to, &releases);
         }
     }
 
@@ -107,10 +107,10 @@
     ///
     /// The standby of the new owner is told too: it may have to take over from
     /// one that dies before it serves.
-    fn release(&mut self, now: Time, parcel: &Parcel) -> Vec<MemberId> {
-        let (workspace, unit, _) = parcel;
-        let sent = self.handover.sent.get(parcel);
-        if sent.is_some_and(|sent| now.since(*sent) < AGAIN) {
+    fn release(&mut self, now: Time, release: &UnitRelease) -> Vec<MemberId> {
+        let (workspace, unit, _) = release;
+        let sent = self.handover.sent.get(release);
+        if sent.is_some_and(|sent| now.since(*sent) < RESEND_INTERVAL) {
             return Vec::new();
         }
         let Some(service) = self.state.service(workspace) else { return Vec::new() };
@@ -127,18 +127,18 @@
             return Vec::new();
         }
         debug!(%unit, ?assignment, "unit is released");
-        self.handover.sent.insert(parcel.clone(), now);
-        let heirs = [assignment.owner, assignment.standby];
-        heirs.into_iter().flatten().filter(|heir| *heir != identity.me).collect()
+        self.handover.sent.insert(release.clone(), now);
+        let recipients = [assignment.owner, assignment.standby];
+        recipients.into_iter().flatten().filter(|recipient| *recipient != identity.me).collect()
     }
 
-    fn send_release(&self, workspace: &Name, to: MemberId, parcels: &[Parcel]) {
+    fn send_release(&self, workspace: &Name, to: MemberId, releases: &[UnitRelease]) {
         let Some(identity) = &self.identity else { return };
         let Some(address) = self.address(to) else { return };
         let units: Vec<(UnitId, Offset)> =
-            parcels.iter().map(|(_, unit, version)| (*unit, *version)).collect();
+            releases.iter().map(|(_, unit, version)| (*unit, *version)).collect();
         let now = clock::now();
-        let (dedup, blind) = self.context.gate.dedup.export(now, workspace, &ids(&units));
+        let (dedup, blind) = self.context.gate.dedup.export(now, workspace, &unit_ids(&units));
         let release = Release {
             member: identity.me.0,
             workspace: workspace.to_string(),
@@ -149,7 +149,7 @@
         };
         debug!(%workspace, %to, units = units.len(), "releasing");
         let events = self.context.events.clone();
-        let units = self.inherited(workspace, to, units);
+        let units = self.next_served(workspace, to, units);
         let workspace = Arc::clone(workspace);
         let done = move |reply: Option<reply::Body>| {
             if wire::accepted(reply.as_ref()) {
@@ -165,7 +165,7 @@
         let Some(service) = self.state.service(workspace).filter(|service| service.founded) else {
             return Vec::new();
         };
-        let handover = |unit| self.holding.way.handover(&service.numbers(unit)).to_string();
+        let handover = |unit| self.upstream.mode.handover(&service.numbers(unit)).to_string();
         units.iter().map(|(unit, _)| handover(*unit)).collect()
     }
 
@@ -174,7 +174,7 @@
     /// A message carries units of both kinds, those that the member serves next
     /// and those for which it stands by. Only the first are done with its reply;
     /// were the message judged as a whole, a mixed one would be sent for ever.
-    fn inherited(
+    fn next_served(
         &self,
         workspace: &Name,
         member: MemberId,
@@ -182,25 +182,25 @@
     ) -> Vec<(UnitId, Offset)> {
         let me = self.identity.as_ref().map(|identity| identity.me);
         let service = self.state.service(workspace);
-        let inherits = |(unit, _): &(UnitId, Offset)| {
+        let serves_next = |(unit, _): &(UnitId, Offset)| {
             let assignment = service.and_then(|service| service.assignment(*unit));
             assignment.is_some_and(|a| a.owner == Some(member) || a.owner == me)
         };
-        units.into_iter().filter(inherits).collect()
+        units.into_iter().filter(serves_next).collect()
     }
 
     /// Notes that the new server of units knows of their release.
     pub(super) fn on_release_done(&mut self, workspace: &Name, units: &[(UnitId, Offset)]) {
         for (unit, version) in units {
-            self.handover.done.insert((Arc::clone(workspace), *unit, *version));
+            self.handover.acknowledged.insert((Arc::clone(workspace), *unit, *version));
         }
-        let done = &self.handover.done;
-        self.handover.open.retain(|parcel| !done.contains(parcel));
+        let acknowledged = &self.handover.acknowledged;
+        self.handover.pending.retain(|release| !acknowledged.contains(release));
     }
 
     /// Takes in a release by another member, with what it remembers of the units.
     pub(super) fn on_release(&mut self, release: &Release) {
-        self.depend(release.units.iter().map(|unit| unit.version).max().unwrap_or(0));
+        self.require_record(release.units.iter().map(|unit| unit.version).max().unwrap_or(0));
         let Some(identity) = &mut self.identity else { return };
         let from = MemberId(release.member);
         let workspace = Name::from(release.workspace.as_str());
@@ -211,8 +211,8 @@
         self.inherit(from, &workspace, release);
         let handovers = release.units.iter().zip(&release.handovers);
         for (unit, handover) in handovers.filter(|(_, handover)| !handover.is_empty()) {
-            let place = (Arc::clone(&workspace), wire::unit_id(unit));
-            self.roles.handovers.insert(place, Name::from(handover.as_str()));
+            let unit_key = (Arc::clone(&workspace), wire::unit_id(unit));
+            self.roles.handovers.insert(unit_key, Name::from(handover.as_str()));
         }
         self.dirty = true;
     }
@@ -231,6 +231,6 @@
     }
 }
 
-fn ids(units: &[(UnitId, Offset)]) -> Vec<UnitId> {
+fn unit_ids(units: &[(UnitId, Offset)]) -> Vec<UnitId> {
     units.iter().map(|(unit, _)| *unit).collect()
 }
--- a/acaciaringd/src/control/identity.rs
+++ b/acaciaringd/src/control/identity.rs
@@ -15,16 +15,16 @@
     pub(crate) tally: Tally,
     pub(crate) rights: Rights,
     /// Why this identity is on its way out, if it is.
-    pub(crate) retiring: Option<Retiring>,
+    pub(crate) retiring: Option<EndReason>,
     /// Since when it is on its way out.
-    pub(crate) since: Time,
+    pub(crate) retiring_since: Time,
     /// True while the lease was held when it was last looked at.
-    pub(crate) leased: bool,
+    pub(crate) was_leased: bool,
 }
 
 /// Why a member gives up its identity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Retiring {
+pub(crate) enum EndReason {
     /// The process was told to stop.
     Stop,
     /// The upstream is leaving or lost.
@@ -43,8 +43,8 @@
             tally: Tally::new(settings),
             rights: Rights::new(),
             retiring: None,
-            since: start,
-            leased: false,
+            retiring_since: start,
+            was_leased: false,
         }
     }
 
@@ -75,20 +75,20 @@
     /// One that is given up for its lost lease must not get it back: its `Exit` lets the standbys
     /// serve as soon as they read it.
     pub(crate) fn renews(&self) -> bool {
-        self.retiring != Some(Retiring::Lease)
+        self.retiring != Some(EndReason::Lease)
     }
 
     /// Begins the end of this identity; a stop of the process replaces other reasons but a lost lease.
     ///
     /// Returns true when the end had not begun before.
-    pub(crate) fn retire(&mut self, now: Time, reason: Retiring) -> bool {
+    pub(crate) fn retire(&mut self, now: Time, reason: EndReason) -> bool {
         let begins = self.retiring.is_none();
         match self.retiring {
             None => {
                 self.retiring = Some(reason);
-                self.since = now;
+                self.retiring_since = now;
             }
-            Some(Retiring::Upstream) if reason == Retiring::Stop => self.retiring = Some(reason),
+            Some(EndReason::Upstream) if reason == EndReason::Stop => self.retiring = Some(reason),
             Some(_) => {}
         }
         begins
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -11,28 +11,28 @@
 use tracing::{info, warn};
 
 use super::Control;
-use super::identity::Retiring;
-use super::vote_recipients::concerned;
+use super::identity::EndReason;
+use super::vote_recipients::vote_recipients;
 use crate::metrics::Counter;
 use crate::view::peer_address;
 use crate::wire;
 
 /// Time between two sendings of the same votes, while they are new.
-const AGAIN: Duration = Duration::from_millis(400);
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The same once they are old, for example while the log is down and no eviction is recorded.
-const LATER: Duration = Duration::from_secs(5);
+const OLD_RESEND_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Age from which a vote is old.
-const OLD: Duration = Duration::from_secs(2);
+const OLD_VOTE_AGE: Duration = Duration::from_secs(2);
 
 /// Votes of this member about others.
 #[derive(Debug, Default)]
 pub(super) struct Voting {
     /// When votes were last sent.
-    sent: Time,
+    last_sent: Time,
     /// When a new one was last cast.
-    cast: Time,
+    last_cast: Time,
 }
 
 impl Control {
@@ -80,20 +80,20 @@
     fn count_loss(&mut self, now: Time) {
         let held = self.context.shared.lease.get() > now;
         let Some(identity) = &mut self.identity else { return };
-        let meant = matches!(identity.retiring, Some(Retiring::Stop | Retiring::Upstream));
-        if identity.leased && !held && !meant {
+        let meant = matches!(identity.retiring, Some(EndReason::Stop | EndReason::Upstream));
+        if identity.was_leased && !held && !meant {
             self.context.metrics.count(Counter::LeaseLost, 1);
         }
-        identity.leased = held;
+        identity.was_leased = held;
     }
 
     /// Handles a datagram of another member.
-    pub(super) fn datagram(&mut self, now: Time, from: SocketAddr, datagram: Datagram) {
+    pub(super) fn on_datagram(&mut self, now: Time, from: SocketAddr, datagram: Datagram) {
         match datagram.body {
             Some(datagram::Body::Renew(renew)) => self.on_renew(now, from, &renew),
             Some(datagram::Body::Grant(grant)) => {
                 self.catch_up(now, from, grant.applied);
-                self.follow(now, from, grant.declared);
+                self.fetch_declaration(now, from, grant.declared);
                 self.on_grant(now, &grant);
             }
             Some(datagram::Body::Loads(loads)) => self.on_loads(now, &loads),
@@ -103,8 +103,8 @@
 
     fn on_renew(&mut self, now: Time, from: SocketAddr, renew: &Renew) {
         self.catch_up(now, from, renew.applied);
-        self.follow(now, from, renew.declared);
-        self.depend(renew.version);
+        self.fetch_declaration(now, from, renew.declared);
+        self.require_record(renew.version);
         let Some(identity) = &mut self.identity else { return };
         if renew.lessor != identity.me.0 {
             return;
@@ -151,7 +151,7 @@
     }
 
     /// Keeps holder, lessor and tally in step with the folded members.
-    pub(super) fn learn_members(&mut self, now: Time) {
+    pub(super) fn update_members(&mut self, now: Time) {
         let state = std::sync::Arc::clone(&self.state);
         let Some(identity) = &mut self.identity else { return };
         let me = identity.me;
@@ -163,11 +163,11 @@
                 if !member.lessors.is_empty() {
                     identity.tally.died(now, member.id);
                 }
-                self.grounds.forget(member.id);
+                self.eviction_reasons.forget(member.id);
                 continue;
             }
             if member.id == me {
-                if idle(&state, me) {
+                if is_unassigned(&state, me) {
                     identity.holder.reset(member.version, &member.lessors);
                 } else {
                     identity.holder.install(member.version, &member.lessors, |id| state.lives(id));
@@ -196,11 +196,15 @@
         self.dirty |= !votes.is_empty();
         if !votes.is_empty() {
             self.context.metrics.count(Counter::LeaseVotes, votes.len() as u64);
-            self.voting.cast = now;
+            self.voting.last_cast = now;
         }
-        let pause = if now.since(self.voting.cast) < OLD { AGAIN } else { LATER };
-        if now.since(self.voting.sent) >= pause {
-            self.voting.sent = now;
+        let pause = if now.since(self.voting.last_cast) < OLD_VOTE_AGE {
+            RESEND_INTERVAL
+        } else {
+            OLD_RESEND_INTERVAL
+        };
+        if now.since(self.voting.last_sent) >= pause {
+            self.voting.last_sent = now;
             votes = identity.lessor.votes().collect();
         }
         for vote in votes {
@@ -213,7 +217,7 @@
         let Some(identity) = &self.identity else { return };
         let message =
             log::Vote { lessor: identity.me.0, member: vote.member.0, version: vote.version };
-        for member in concerned(&self.state, vote.member) {
+        for member in vote_recipients(&self.state, vote.member) {
             let address = self.state.member(member).and_then(peer_address);
             if let Some(to) = address.filter(|_| member != identity.me) {
                 let call = call::Body::Vote(message);
@@ -223,8 +227,8 @@
     }
 
     /// Takes in a vote of another lessor.
-    pub(super) fn vote(&mut self, vote: log::Vote) {
-        self.depend(vote.version);
+    pub(super) fn on_vote(&mut self, vote: log::Vote) {
+        self.require_record(vote.version);
         let Some(identity) = &mut self.identity else { return };
         if vote.member == identity.me.0 {
             info!(lessor = vote.lessor, "a lessor has voted on this member");
@@ -236,7 +240,7 @@
 }
 
 /// Returns true when the log names a member as owner, standby or prior of nothing.
-pub(super) fn idle(state: &State, member: MemberId) -> bool {
+pub(super) fn is_unassigned(state: &State, member: MemberId) -> bool {
     if state.owned(member) > 0 || state.standing_by(member) > 0 {
         return false;
     }
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -40,18 +40,18 @@
 
 use self::balance::Balance;
 pub(crate) use self::event::{Event, PublishReply};
-use self::eviction::Grounds;
+use self::eviction::EvictionReasons;
 use self::fold::Progress;
 use self::handover::Handover;
 use self::identity::Identity;
 use self::lease::Voting;
 use self::proposal::{Proposals, Purpose};
-use self::publish::Answers;
+use self::publish::PublishReplies;
 use self::replication::Replication;
 use self::roles::Roles;
 use self::snapshot::Snapshots;
 use self::stop::Stopping;
-use self::upstream_state::Holding;
+use self::upstream_state::UpstreamState;
 use crate::announce::Announcement;
 use crate::appender::Appender;
 use crate::clock;
@@ -68,16 +68,16 @@
 use crate::vital;
 
 /// Longest time between two rounds of the control thread.
-const ROUND: Duration = Duration::from_millis(50);
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Further events that are handled before a round.
 ///
 /// Guards against a member that falls behind: a round looks at all units, and answers to orders and
 /// releases come by the dozen. With a round for each, orders waited until their grants had lapsed.
-const EVENTS: usize = 64;
+const EVENTS_PER_ROUND: usize = 64;
 
 /// Time between two rounds of slow duties: proposals, lessors, placement.
-const DUTIES: Duration = Duration::from_millis(200);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Place of this process, from its settings.
 #[derive(Debug, Clone, Default)]
@@ -142,21 +142,21 @@
     replica: Replica,
     proposals: Proposals,
     /// Answers to recent publishes through this member.
-    answers: Answers,
+    publish_replies: PublishReplies,
     identity: Option<Identity>,
     joining: Option<Joining>,
     announced: Option<Announced>,
     endpoint: Option<UpstreamEndpoint>,
-    holding: Holding,
+    upstream: UpstreamState,
     /// Declared configuration in force.
     declared: Option<Arc<Declared>>,
     /// When another member was last asked for the declared configuration.
-    followed: Time,
+    config_queried: Time,
     roles: Roles,
     replication: Replication,
     handover: Handover,
     /// Grounds for evictions of other members.
-    grounds: Grounds,
+    eviction_reasons: EvictionReasons,
     /// When a workspace was first seen with slots that have no owner.
     vacant: HashMap<Name, Time>,
     balance: Balance,
@@ -165,7 +165,7 @@
     snapshots: Snapshots,
     voting: Voting,
     /// When the slow duties were last done.
-    duties: Time,
+    last_maintenance: Time,
     stopping: Option<Stopping>,
     /// True when rights must be computed anew.
     dirty: bool,
@@ -184,30 +184,31 @@
 
     fn new(context: ControlContext) -> Self {
         let proposals = Proposals::new(context.appender.clone());
-        let holding = Holding::new(clock::now(), context.upstream.grants, context.upstream.hold);
+        let upstream =
+            UpstreamState::new(clock::now(), context.upstream.grants, context.upstream.hold);
         Self {
             proposals,
-            answers: Answers::default(),
+            publish_replies: PublishReplies::default(),
             context,
             replica: Replica::default(),
             identity: None,
             joining: None,
             announced: None,
             endpoint: None,
-            holding,
+            upstream,
             declared: None,
-            followed: Time::ZERO,
+            config_queried: Time::ZERO,
             roles: Roles::default(),
             replication: Replication::default(),
             handover: Handover::default(),
-            grounds: Grounds::default(),
+            eviction_reasons: EvictionReasons::default(),
             vacant: HashMap::new(),
             balance: Balance::default(),
             state: Arc::default(),
             progress: Progress::default(),
             snapshots: Snapshots::new(clock::now()),
             voting: Voting::default(),
-            duties: Time::ZERO,
+            last_maintenance: Time::ZERO,
             stopping: None,
             dirty: true,
             closed: false,
@@ -222,7 +223,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            for event in events.try_iter().take(EVENTS) {
+            for event in events.try_iter().take(EVENTS_PER_ROUND) {
                 self.handle(clock::now(), event);
             }
             let now = clock::now();
@@ -235,32 +236,32 @@
 
     fn pause(&self, now: Time) -> Duration {
         let renewal = self.identity.as_ref().map(|identity| identity.holder.next_due(now));
-        let next = [renewal, self.holding.next(now)].into_iter().flatten().min();
-        next.map_or(ROUND, |next| next.since(now).min(ROUND))
+        let next = [renewal, self.upstream.next_change(now)].into_iter().flatten().min();
+        next.map_or(MAX_ROUND_INTERVAL, |next| next.since(now).min(MAX_ROUND_INTERVAL))
     }
 
     fn handle(&mut self, now: Time, event: Event) {
         match event {
             Event::Batch(batch, done) => {
-                self.batch(now, &batch);
+                self.on_batch(now, &batch);
                 // The reader may have ended with the process.
                 let _ = done.send(());
             }
             // What the log service itself has brought in the meantime is not wanted.
             Event::Relayed(batch) if batch.next < self.replica.wanted() => {}
-            Event::Relayed(batch) => self.batch(now, &batch),
-            Event::Datagram(from, datagram) => self.datagram(now, from, datagram),
-            Event::Vote(vote) => self.vote(vote),
+            Event::Relayed(batch) => self.on_batch(now, &batch),
+            Event::Datagram(from, datagram) => self.on_datagram(now, from, datagram),
+            Event::Vote(vote) => self.on_vote(vote),
             Event::Released(release) => self.on_release(&release),
             Event::ReleaseDone { workspace, units } => self.on_release_done(&workspace, &units),
             Event::SyncDone { workspace, units, standby } => {
                 self.on_sync_done(&workspace, &units, MemberId(standby));
             }
-            Event::Announced(announcement) => self.announce(now, announcement),
+            Event::Announced(announcement) => self.on_announcement(now, announcement),
             Event::Publish(id, publish, reply) => self.publish(now, id, publish, &reply),
-            Event::Heartbeat(heartbeat, reply) => self.heartbeat(now, heartbeat, reply),
+            Event::Heartbeat(heartbeat, reply) => self.on_heartbeat(now, heartbeat, reply),
             Event::UnitDenied(workspace, unit) => {
-                self.misplaced(&workspace, unit);
+                self.on_unit_denied(&workspace, unit);
             }
             Event::UpstreamLeaves(instance, reply) => {
                 self.on_upstream_leaves(now, &instance);
@@ -268,8 +269,8 @@
                 // The sender may have gone away.
                 let _ = reply.send(());
             }
-            Event::Ordered(number, answer) => self.on_ordered(now, number, &answer),
-            Event::Version(from, version) => self.follow(now, from, version),
+            Event::OrderAnswered(number, answer) => self.on_order_answered(now, number, &answer),
+            Event::DeclaredVersion(from, version) => self.fetch_declaration(now, from, version),
             Event::Declared(declared) => {
                 self.declared = Some(declared);
                 self.dirty = true;
@@ -280,31 +281,31 @@
     }
 
     /// Takes over what the folded state says.
-    fn folded(&mut self, now: Time) {
+    fn on_folded(&mut self, now: Time) {
         self.dirty = true;
         // What the records call for, for example a new standby to be told, is done at once.
-        self.duties = Time::ZERO;
+        self.last_maintenance = Time::ZERO;
         self.find_identity();
         self.trust_members();
-        self.learn_members(now);
+        self.update_members(now);
         self.find_draining();
     }
 
     fn round(&mut self, now: Time) {
-        self.dirty |= self.holding.is_stale(now);
-        self.dirty |= self.paused(now) && !self.context.shared.view().closed;
+        self.dirty |= self.upstream.is_stale(now);
+        self.dirty |= self.closed_for_restart(now) && !self.context.shared.view().closed;
         self.renew(now);
         self.cast_votes(now);
         self.refresh(now);
-        self.give_orders(now);
-        self.hand_over(now);
-        self.answer_report(now);
-        if now.since(self.duties) >= DUTIES {
-            self.duties = now;
+        self.send_orders(now);
+        self.release_units(now);
+        self.answer_heartbeat(now);
+        if now.since(self.last_maintenance) >= MAINTENANCE_INTERVAL {
+            self.last_maintenance = now;
             self.proposals.expire(now);
             self.join(now);
             self.evict(now);
-            self.place(now);
+            self.propose_placement(now);
             self.replicate(now);
             self.retire(now);
             self.balance(now);
@@ -314,7 +315,7 @@
 
     /// Appends a `Join` once the log is folded to its end.
     fn join(&mut self, now: Time) {
-        if self.identity.is_some() || !self.progress.caught || self.stopping.is_some() {
+        if self.identity.is_some() || !self.progress.caught_up || self.stopping.is_some() {
             return;
         }
         let joining = *self
@@ -354,10 +355,10 @@
         }
         self.dirty = false;
         let mut permits = self.permits(now);
-        self.want(&permits);
-        self.hold_back(now, &mut permits);
+        self.update_orders(&permits);
+        self.withhold_permits(now, &mut permits);
         let permits = Arc::new(permits);
-        self.take_up_roles(now, &permits);
+        self.update_roles(now, &permits);
         self.prune_synced();
         let view = View {
             me: self.identity.as_ref().map(|identity| identity.me),
@@ -367,7 +368,10 @@
             synced: Arc::new(self.replication.synced.clone()),
             expired: Arc::new(self.expired(now)),
             endpoint: self.endpoint.clone(),
-            closed: self.closed || self.leaving() || self.holding.closed(now) || self.paused(now),
+            closed: self.closed
+                || self.leaving()
+                || self.upstream.closed(now)
+                || self.closed_for_restart(now),
         };
         self.context.shared.publish(view);
         if self.declared.is_some() {
--- a/acaciaringd/src/control/orders.rs
+++ b/acaciaringd/src/control/orders.rs
@@ -8,24 +8,24 @@
 use acaciaring_core::{Name, Time, UnitId};
 use tracing::{debug, info, warn};
 
-use super::grant_mode::Way;
+use super::grant_mode::GrantMode;
 use super::{Control, Event};
 use crate::upstream::OrderCall;
 use crate::view::{Permit, Permits};
 
 impl Control {
     /// Takes over which units the upstream is to hold, by the rights of this member.
-    pub(super) fn want(&mut self, permits: &Permits) {
-        if !matches!(self.holding.way, Way::Called(_)) {
+    pub(super) fn update_orders(&mut self, permits: &Permits) {
+        if !matches!(self.upstream.mode, GrantMode::Call(_)) {
             return;
         }
-        let wanted = self.wanted_by(permits);
-        if let Way::Called(orders) = &mut self.holding.way {
+        let wanted = self.wanted_units(permits);
+        if let GrantMode::Call(orders) = &mut self.upstream.mode {
             orders.want(&wanted);
         }
     }
 
-    fn wanted_by(&self, permits: &Permits) -> Vec<Wanted> {
+    fn wanted_units(&self, permits: &Permits) -> Vec<Wanted> {
         let attachment =
             self.attachment().filter(|attachment| self.is_attached_upstream(attachment));
         let Some(attachment) = attachment else { return Vec::new() };
@@ -38,8 +38,8 @@
         for (unit, permit) in units {
             let Permit::Serve { token, .. } = *permit else { continue };
             let keys = service.numbers(*unit);
-            let place = (Arc::clone(workspace), *unit);
-            let handover = self.roles.handovers.get(&place);
+            let unit_key = (Arc::clone(workspace), *unit);
+            let handover = self.roles.handovers.get(&unit_key);
             let handover = handover.map_or_else(|| Name::from(""), Arc::clone);
             wanted.push(Wanted { unit: *unit, token, keys, handover });
         }
@@ -50,9 +50,10 @@
     ///
     /// The view without what is to be released is published before the requests in flight are
     /// counted, see [`crate::inflight::Inflight`].
-    pub(super) fn give_orders(&mut self, now: Time) {
+    pub(super) fn send_orders(&mut self, now: Time) {
         let lease = self.context.shared.lease.get();
-        let (Some(endpoint), Way::Called(orders)) = (&self.endpoint, &mut self.holding.way) else {
+        let (Some(endpoint), GrantMode::Call(orders)) = (&self.endpoint, &mut self.upstream.mode)
+        else {
             return;
         };
         let inflight = &self.context.shared.inflight;
@@ -72,14 +73,14 @@
             self.context.transport.runtime().spawn(async move {
                 let answer = outlet.order(call).await;
                 // Control may have ended in the meantime.
-                let _ = events.send(Event::Ordered(number, answer));
+                let _ = events.send(Event::OrderAnswered(number, answer));
             });
         }
     }
 
     /// Takes in what came of an order.
-    pub(super) fn on_ordered(&mut self, now: Time, number: u64, answer: &Answer) {
-        let Way::Called(orders) = &mut self.holding.way else { return };
+    pub(super) fn on_order_answered(&mut self, now: Time, number: u64, answer: &Answer) {
+        let GrantMode::Call(orders) = &mut self.upstream.mode else { return };
         let Some(settled) = orders.settle(now, number, answer) else { return };
         log(&settled, answer);
         self.dirty |= settled.changed;
@@ -90,11 +91,11 @@
     }
 
     /// Notes that the upstream has refused a request for a unit that it should hold.
-    pub(super) fn misplaced(&mut self, workspace: &Name, unit: UnitId) {
+    pub(super) fn on_unit_denied(&mut self, workspace: &Name, unit: UnitId) {
         info!(%workspace, %unit, "the upstream does not hold what it was given");
         let service = self.state.service(workspace);
         let keys = service.map(|service| service.numbers(unit)).unwrap_or_default();
-        self.holding.way.deny(unit, &keys);
+        self.upstream.mode.deny(unit, &keys);
         self.dirty = true;
     }
 }
--- a/acaciaringd/src/control/placement.rs
+++ b/acaciaringd/src/control/placement.rs
@@ -10,7 +10,7 @@
 use acaciaring_schema::log::{Assign, Attach, Lessors, record};
 use tracing::info;
 
-use super::lease::idle;
+use super::lease::is_unassigned;
 use super::proposal::{Proposal, Purpose};
 use super::{Announced, Control};
 use crate::announce::{Announcement, Phase};
@@ -19,20 +19,20 @@
 use crate::view::UpstreamEndpoint;
 
 /// Time for which members may join before slots without owner are assigned.
-const SETTLE: Duration = Duration::from_secs(1);
+const ASSIGN_DELAY: Duration = Duration::from_secs(1);
 
 /// Slots of a declared service.
 ///
 /// With 16 numbers each, a few busy neighbours fall into several slots; more would cost each
 /// member time at every record.
-const SLOTS: u32 = 4096;
+const DECLARED_SLOTS: u32 = 4096;
 
 /// Delay of an assignment per rank, so that not all members append it.
-const STAGGER: Duration = Duration::from_millis(300);
+const RANK_DELAY: Duration = Duration::from_millis(300);
 
 impl Control {
     /// Proposes what this member lacks: an attachment, better lessors, owners for slots.
-    pub(super) fn place(&mut self, now: Time) {
+    pub(super) fn propose_placement(&mut self, now: Time) {
         self.leave_without_log(now);
         if self.retiring() {
             return;
@@ -43,7 +43,7 @@
     }
 
     /// Takes in an announcement of the upstream beside this member.
-    pub(super) fn announce(&mut self, now: Time, announcement: Announcement) {
+    pub(super) fn on_announcement(&mut self, now: Time, announcement: Announcement) {
         if announcement.phase == Phase::Draining {
             if self.endpoint.is_some() {
                 info!("the upstream is leaving");
@@ -106,8 +106,8 @@
             return;
         }
         let holds = identity.holder.holds(now);
-        let choosy = !holds && idle(&self.state, identity.me);
-        let silent = if choosy { identity.holder.silent() } else { Vec::new() };
+        let skips_silent = !holds && is_unassigned(&self.state, identity.me);
+        let silent = if skips_silent { identity.holder.silent() } else { Vec::new() };
         let Some(lessors) = self.state.better_lessors_but(member, &silent) else {
             return identity.holder.prepare(&[]);
         };
@@ -137,7 +137,7 @@
         self.vacant.retain(|workspace, _| vacant.contains(workspace));
         for workspace in vacant {
             let since = *self.vacant.entry(Arc::clone(&workspace)).or_insert(now);
-            if now.since(since) < SETTLE + STAGGER * rank {
+            if now.since(since) < ASSIGN_DELAY + RANK_DELAY * rank {
                 continue;
             }
             let slots = self.slots(&workspace);
@@ -161,7 +161,7 @@
     /// Returns the count of slots into which a declared service is divided, 0 for others.
     fn slots(&self, workspace: &Name) -> u32 {
         let keyed = |declared: &Arc<Declared>| declared.keyed.contains(workspace);
-        if self.declared.as_ref().is_some_and(keyed) { SLOTS } else { 0 }
+        if self.declared.as_ref().is_some_and(keyed) { DECLARED_SLOTS } else { 0 }
     }
 
     fn assignable(&self, service: &Service) -> bool {
@@ -189,7 +189,7 @@
     }
 
     /// Learns what became of an own proposal.
-    pub(super) fn settled(&mut self, proposal: &Proposal, record: &Folded) {
+    pub(super) fn on_settled(&mut self, proposal: &Proposal, record: &Folded) {
         let applied = matches!(record.outcome, Outcome::Applied);
         if !applied {
             info!(purpose = ?proposal.purpose, outcome = ?record.outcome, "proposal was not applied");
--- a/acaciaringd/src/control/proposal.rs
+++ b/acaciaringd/src/control/proposal.rs
@@ -16,13 +16,13 @@
 ///
 /// Only proposals that name a version, or that are idempotent, are dropped this
 /// way: the first to be folded makes the others stale.
-const LIFE: Duration = Duration::from_secs(5);
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Further time for the outcome of a try that is under way, so that the operator gets a final answer.
-const LAST: Duration = Duration::from_secs(2);
+const ATTEMPT_GRACE: Duration = Duration::from_secs(2);
 
 /// Records in doubt that are kept.
-const DOUBTS: usize = 256;
+const MAX_IN_DOUBT: usize = 256;
 
 /// What a proposal is for; at most one of each is open.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -57,16 +57,16 @@
 pub(crate) struct Proposals {
     appender: Appender,
     open: HashMap<RecordId, Proposal>,
-    doubts: Doubts,
+    in_doubt: InDoubt,
 }
 
 /// Records that were given up although they may have been appended.
 #[derive(Debug, Default)]
-struct Doubts(VecDeque<RecordId>);
+struct InDoubt(VecDeque<RecordId>);
 
 impl Proposals {
     pub(crate) fn new(appender: Appender) -> Self {
-        Self { appender, open: HashMap::new(), doubts: Doubts::default() }
+        Self { appender, open: HashMap::new(), in_doubt: InDoubt::default() }
     }
 
     /// Returns true while a proposal for the purpose is open.
@@ -118,11 +118,11 @@
 
     /// Returns true when an earlier proposal with this id may have been appended.
     pub(crate) fn in_doubt(&self, id: &RecordId) -> bool {
-        self.doubts.0.contains(id)
+        self.in_doubt.0.contains(id)
     }
 
     /// Gives an open proposal another to answer to; returns false when there is none.
-    pub(crate) fn answer_to(&mut self, id: &RecordId, reply: &Sender<PublishReply>) -> bool {
+    pub(crate) fn set_reply(&mut self, id: &RecordId, reply: &Sender<PublishReply>) -> bool {
         let proposal = self.open.get_mut(id);
         proposal.is_some_and(|proposal| {
             proposal.reply = Some(reply.clone());
@@ -144,15 +144,16 @@
     /// A record whose role was renounced stays: its outcome must be known before
     /// the role may be used again. So does a join, which must not be folded twice.
     pub(crate) fn expire(&mut self, now: Time) {
-        let (appender, doubts) = (&self.appender, &mut self.doubts);
+        let (appender, in_doubt) = (&self.appender, &mut self.in_doubt);
         self.open.retain(|id, proposal| {
             let keep = proposal.purpose == Purpose::Join
                 || !proposal.renounced.is_empty()
                 || !proposal.changed.is_empty()
-                || now.since(proposal.since) < LIFE
-                || (appender.trying(id) && now.since(proposal.since) < LIFE + LAST);
+                || now.since(proposal.since) < PROPOSAL_TIMEOUT
+                || (appender.attempt_in_progress(id)
+                    && now.since(proposal.since) < PROPOSAL_TIMEOUT + ATTEMPT_GRACE);
             if !keep {
-                doubts.abandon(appender, id, proposal);
+                in_doubt.abandon(appender, id, proposal);
             }
             keep
         });
@@ -161,17 +162,17 @@
     /// Forgets all proposals of an identity that was given up.
     pub(crate) fn clear(&mut self) {
         for (id, proposal) in self.open.drain() {
-            self.doubts.abandon(&self.appender, &id, &proposal);
+            self.in_doubt.abandon(&self.appender, &id, &proposal);
         }
     }
 }
 
-impl Doubts {
+impl InDoubt {
     /// Ends the tries of a proposal; an operator hears of it only if nothing was or will be appended.
     fn abandon(&mut self, appender: &Appender, id: &RecordId, proposal: &Proposal) {
-        let tried = appender.settle(id);
+        let may_exist = appender.settle(id);
         let Some(reply) = &proposal.reply else { return };
-        if tried {
+        if may_exist {
             self.add(*id);
         } else if !self.0.contains(id) {
             // The operator may have gone away.
@@ -180,7 +181,7 @@
     }
 
     fn add(&mut self, id: RecordId) {
-        if self.0.len() == DOUBTS {
+        if self.0.len() == MAX_IN_DOUBT {
             self.0.pop_front();
         }
         self.0.push_back(id);
--- a/acaciaringd/src/control/publish.rs
+++ b/acaciaringd/src/control/publish.rs
@@ -12,24 +12,24 @@
 use super::proposal::{Proposal, Purpose};
 
 /// Answers that are kept for a repeat.
-const KEPT: usize = 256;
+const MAX_REPLIES: usize = 256;
 
 /// Answers to recent publishes, so that a repeat with the same id gets the same one.
 #[derive(Debug, Default)]
-pub(super) struct Answers {
-    kept: VecDeque<(RecordId, PublishReply)>,
+pub(super) struct PublishReplies {
+    replies: VecDeque<(RecordId, PublishReply)>,
 }
 
-impl Answers {
+impl PublishReplies {
     fn find(&self, id: &RecordId) -> Option<&PublishReply> {
-        self.kept.iter().find(|(other, _)| other == id).map(|(_, reply)| reply)
+        self.replies.iter().find(|(other, _)| other == id).map(|(_, reply)| reply)
     }
 
-    fn keep(&mut self, id: RecordId, reply: PublishReply) {
-        if self.kept.len() == KEPT {
-            self.kept.pop_front();
+    fn insert(&mut self, id: RecordId, reply: PublishReply) {
+        if self.replies.len() == MAX_REPLIES {
+            self.replies.pop_front();
         }
-        self.kept.push_back((id, reply));
+        self.replies.push_back((id, reply));
     }
 }
 
@@ -42,12 +42,12 @@
         publish: Publish,
         reply: &Sender<PublishReply>,
     ) {
-        if let Some(answer) = self.settled_answer(&id) {
+        if let Some(answer) = self.known_reply(&id) {
             // The operator may have gone away.
             let _ = reply.send(answer);
             return;
         }
-        if self.proposals.answer_to(&id, reply) {
+        if self.proposals.set_reply(&id, reply) {
             return;
         }
         let proposal = Proposal {
@@ -64,8 +64,8 @@
         }
     }
 
-    fn settled_answer(&self, id: &RecordId) -> Option<PublishReply> {
-        let known = self.answers.find(id).cloned();
+    fn known_reply(&self, id: &RecordId) -> Option<PublishReply> {
+        let known = self.publish_replies.find(id).cloned();
         known.or_else(|| self.state.remembers(id).then_some(PublishReply::Before))
     }
 
@@ -78,6 +78,6 @@
             // The operator may have gone away.
             let _ = reply.send(answer.clone());
         }
-        self.answers.keep(id, answer);
+        self.publish_replies.insert(id, answer);
     }
 }
--- a/acaciaringd/src/control/replication.rs
+++ b/acaciaringd/src/control/replication.rs
@@ -14,7 +14,7 @@
 use crate::wire;
 
 /// Time after which a sync that was not acknowledged is sent again.
-const AGAIN: Duration = Duration::from_millis(500);
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the standbys of this member's units know.
 #[derive(Debug, Default)]
@@ -33,11 +33,16 @@
     pub(super) fn replicate(&mut self, now: Time) {
         let mut batches: HashMap<(Name, MemberId), Vec<UnitId>> = HashMap::new();
         for (workspace, unit, standby) in self.unsynced() {
-            let place = (Arc::clone(&workspace), unit);
-            if self.replication.sent.get(&place).is_some_and(|sent| now.since(*sent) < AGAIN) {
+            let unit_key = (Arc::clone(&workspace), unit);
+            if self
+                .replication
+                .sent
+                .get(&unit_key)
+                .is_some_and(|sent| now.since(*sent) < RESEND_INTERVAL)
+            {
                 continue;
             }
-            self.replication.sent.insert(place, now);
+            self.replication.sent.insert(unit_key, now);
             batches.entry((workspace, standby)).or_default().push(unit);
         }
         for ((workspace, standby), units) in batches {
@@ -57,12 +62,12 @@
             for (unit, permit) in units {
                 let standby =
                     view.assignment(workspace, *unit).and_then(|assignment| assignment.standby);
-                let place = (Arc::clone(workspace), *unit);
+                let unit_key = (Arc::clone(workspace), *unit);
                 let Some(standby) = standby.filter(|standby| Some(*standby) != view.me) else {
                     continue;
                 };
                 if matches!(permit, Permit::Serve { .. })
-                    && self.replication.synced.get(&place) != Some(&standby)
+                    && self.replication.synced.get(&unit_key) != Some(&standby)
                 {
                     found.push((Arc::clone(workspace), *unit, standby));
                 }
@@ -97,9 +102,9 @@
     /// Notes that a standby knows what this member remembers of units.
     pub(super) fn on_sync_done(&mut self, workspace: &Name, units: &[UnitId], standby: MemberId) {
         for unit in units {
-            let place = (Arc::clone(workspace), *unit);
-            self.replication.sent.remove(&place);
-            self.replication.synced.insert(place, standby);
+            let unit_key = (Arc::clone(workspace), *unit);
+            self.replication.sent.remove(&unit_key);
+            self.replication.synced.insert(unit_key, standby);
         }
         self.dirty = true;
     }
--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -10,18 +10,18 @@
 
 use super::Control;
 use super::handover::Handover;
-use super::identity::Retiring;
+use super::identity::EndReason;
 use super::proposal::{Proposal, Purpose};
 use super::replication::Replication;
 
 /// Time without announcement after which the upstream counts as lost.
-const SILENCE: Duration = Duration::from_secs(3);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The same when the upstream has refused a connection since: its process is gone.
-const REFUSED_SILENCE: Duration = Duration::from_millis(700);
+const REFUSED_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Time after which a stop no longer waits for the log and releases without it.
-const LOG: Duration = Duration::from_secs(2);
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Control {
     /// Drives the end of this identity, if it has begun.
@@ -32,12 +32,12 @@
         let me = identity.me;
         let Some(retiring) = identity.retiring else { return };
         match self.state.member(me).map(|member| member.phase) {
-            Some(Phase::Alive) if retiring == Retiring::Lease && self.resumes() => {
-                self.start_over();
+            Some(Phase::Alive) if retiring == EndReason::Lease && self.reattaches() => {
+                self.replace_identity();
             }
-            Some(Phase::Alive) if retiring == Retiring::Lease => self.exit(now),
+            Some(Phase::Alive) if retiring == EndReason::Lease => self.exit(now),
             Some(Phase::Alive) => self.leave(now),
-            Some(Phase::Leaving) if self.releasing(now) || self.vouching(now) => {}
+            Some(Phase::Leaving) if self.releasing(now) || self.has_live_grants(now) => {}
             Some(Phase::Leaving) => self.exit(now),
             Some(Phase::Dead) | None => self.end_identity(),
         }
@@ -48,16 +48,17 @@
     /// One that was never attached is replaced by nothing, so it says itself that it has ended. Else
     /// those that chose it as lessor would wait for its eviction: after a start of all machines
     /// together one had no lease for seven seconds.
-    fn resumes(&self) -> bool {
-        self.holding.reports && self.attachment().is_some()
+    fn reattaches(&self) -> bool {
+        self.upstream.has_reported && self.attachment().is_some()
     }
 
     fn watch_upstream(&mut self, now: Time) {
         let Some(announced) = &self.announced else { return };
         let refused = self.context.shared.upstream_refused.get() > announced.at;
         let beat = self.context.upstream.beat;
-        let silence = if refused { REFUSED_SILENCE.max(beat * 2) } else { SILENCE.max(beat * 4) };
-        if now.since(announced.at) < silence {
+        let timeout =
+            if refused { REFUSED_TIMEOUT.max(beat * 2) } else { ANNOUNCE_TIMEOUT.max(beat * 4) };
+        if now.since(announced.at) < timeout {
             return;
         }
         warn!(refused, "the upstream has not announced itself, taking it out");
@@ -69,7 +70,7 @@
     pub(super) fn detach(&mut self, now: Time) {
         let attached = self.attachment().is_some();
         let identity = self.identity.as_mut().filter(|_| attached);
-        if identity.is_some_and(|identity| identity.retire(now, Retiring::Upstream)) {
+        if identity.is_some_and(|identity| identity.retire(now, EndReason::Upstream)) {
             self.report_leaving();
         }
     }
@@ -86,7 +87,7 @@
         let lost = holder.refused() || holder.abandoned(now) || holder.orphaned(now, alive);
         if identity.retiring.is_none() && (dead || lost) {
             warn!(member = %identity.me, dead, "identity is lost, joining anew");
-            identity.retire(now, Retiring::Lease);
+            identity.retire(now, EndReason::Lease);
             identity.lessor.stop();
         }
     }
@@ -100,8 +101,8 @@
         if self.proposals.pending(&Purpose::Leave) {
             return;
         }
-        if self.waits_for_units() {
-            return self.pass_on_served(now);
+        if self.awaits_releases() {
+            return self.switch_over_served(now);
         }
         let Some(identity) = &mut self.identity else { return };
         let mut renounced: Vec<(Name, UnitId, Offset)> = Vec::new();
@@ -110,8 +111,10 @@
             for (unit, assignment) in service.units() {
                 if assignment.standby == Some(identity.me) {
                     // Taken over, and still held: whoever stands by next could serve beside it.
-                    let way = &self.holding.way;
-                    if self.holding.reports && way.may_hold(now, unit, &service.numbers(unit)) {
+                    let mode = &self.upstream.mode;
+                    if self.upstream.has_reported
+                        && mode.may_hold(now, unit, &service.numbers(unit))
+                    {
                         return;
                     }
                     renounced.push((Arc::clone(workspace), unit, assignment.version));
@@ -143,14 +146,14 @@
     /// Returns true while a process that is told to stop still vouches for a member that stays.
     ///
     /// One whose upstream has left does not wait: its next identity serves the next upstream.
-    fn vouching(&self, now: Time) -> bool {
+    fn has_live_grants(&self, now: Time) -> bool {
         let Some(identity) = &self.identity else { return false };
         let stays = |id| self.state.member(id).is_some_and(Member::alive);
-        identity.retiring == Some(Retiring::Stop) && identity.lessor.vouches(now, stays)
+        identity.retiring == Some(EndReason::Stop) && identity.lessor.vouches(now, stays)
     }
 
     /// Returns true while this member owns a unit that a former owner has not released to it.
-    fn waits_for_units(&self) -> bool {
+    fn awaits_releases(&self) -> bool {
         let Some(identity) = &self.identity else { return false };
         self.state.services().any(|service| {
             let mine = service.units().filter(|(_, a)| a.owner == Some(identity.me));
@@ -170,7 +173,7 @@
     /// Returns true when nothing is in flight and the new servers of all units know it.
     pub(super) fn all_released(&self) -> bool {
         let done = |((workspace, unit), version): (&(Name, UnitId), &Offset)| {
-            self.handover.done.contains(&(Arc::clone(workspace), *unit, *version))
+            self.handover.acknowledged.contains(&(Arc::clone(workspace), *unit, *version))
         };
         self.context.shared.inflight.total() == 0 && self.handover.draining.iter().all(done)
     }
@@ -182,10 +185,10 @@
     /// that is leaving gets no new work.
     pub(super) fn leave_without_log(&mut self, now: Time) {
         let Some(identity) = &self.identity else { return };
-        let meant = matches!(identity.retiring, Some(Retiring::Stop | Retiring::Upstream));
+        let meant = matches!(identity.retiring, Some(EndReason::Stop | EndReason::Upstream));
         let leaving =
             self.state.member(identity.me).is_some_and(|member| member.phase != Phase::Alive);
-        if !meant || leaving || self.closed || now.since(identity.since) < LOG {
+        if !meant || leaving || self.closed || now.since(identity.retiring_since) < LEAVE_TIMEOUT {
             return;
         }
         warn!(
@@ -209,7 +212,7 @@
         self.proposals.clear();
         self.replication = Replication::default();
         self.handover = Handover::default();
-        self.grounds.clear();
+        self.eviction_reasons.clear();
         self.closed = false;
         self.forget_roles();
         self.context.shared.lease.set(Time::ZERO);
--- a/acaciaringd/src/control/roles.rs
+++ b/acaciaringd/src/control/roles.rs
@@ -16,14 +16,14 @@
 
 /// Role of this member for a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Duty {
+pub(super) enum UnitRole {
     Server,
     Standby(Offset),
 }
 
 /// What a former server has passed on.
 #[derive(Debug)]
-pub(super) struct Legacy {
+pub(super) struct ReceivedRelease {
     from: MemberId,
     version: Offset,
     inheritance: Inheritance,
@@ -32,15 +32,15 @@
 /// What this member does for each unit, and what it needs to know to begin.
 #[derive(Debug, Default)]
 pub(super) struct Roles {
-    pub(super) duties: HashMap<(Name, UnitId), Duty>,
+    pub(super) current: HashMap<(Name, UnitId), UnitRole>,
     /// What former servers have passed on with their releases.
-    pub(super) inheritances: HashMap<(Name, UnitId), Legacy>,
+    pub(super) inheritances: HashMap<(Name, UnitId), ReceivedRelease>,
     /// What the upstreams of former servers gave out for the next holder.
     pub(super) handovers: HashMap<(Name, UnitId), Name>,
     /// Units that had no server before this member.
     pub(super) founded: HashSet<(Name, UnitId)>,
     /// State and rights by which the roles were last taken up.
-    seen: Option<(Arc<State>, Arc<Permits>)>,
+    applied: Option<(Arc<State>, Arc<Permits>)>,
 }
 
 impl Control {
@@ -52,22 +52,22 @@
             let entries =
                 release.dedup.iter().filter(|entry| entry.slot == id.slot).cloned().collect();
             let inheritance = Inheritance { entries, blind };
-            let legacy = Legacy { from, version: unit.version, inheritance };
-            self.roles.inheritances.insert((Arc::clone(workspace), id), legacy);
+            let received = ReceivedRelease { from, version: unit.version, inheritance };
+            self.roles.inheritances.insert((Arc::clone(workspace), id), received);
         }
     }
 
     /// Tells the memory of once-requests about new roles, before the rights are published.
-    pub(super) fn take_up_roles(&mut self, now: Time, permits: &Arc<Permits>) {
+    pub(super) fn update_roles(&mut self, now: Time, permits: &Arc<Permits>) {
         let Some(me) = self.identity.as_ref().map(|identity| identity.me) else { return };
         let state = Arc::clone(&self.state);
         let same = |(seen, rights): &(Arc<State>, Arc<Permits>)| {
             Arc::ptr_eq(seen, &state) && **rights == **permits
         };
-        if self.roles.seen.as_ref().is_some_and(same) {
+        if self.roles.applied.as_ref().is_some_and(same) {
             return;
         }
-        self.roles.seen = Some((Arc::clone(&state), Arc::clone(permits)));
+        self.roles.applied = Some((Arc::clone(&state), Arc::clone(permits)));
         let mut seen = HashSet::new();
         for service in state.services() {
             for (unit, assignment) in service.units() {
@@ -75,67 +75,78 @@
                 if ![owner, standby, prior, rival].contains(&&Some(me)) {
                     continue;
                 }
-                let place = (Arc::clone(&service.workspace), unit);
+                let unit_key = (Arc::clone(&service.workspace), unit);
                 let permit = permits.get(&service.workspace).and_then(|units| units.get(&unit));
-                let before = self.roles.duties.get(&place).copied();
-                let Some(duty) = duty(me, assignment, permit, before) else { continue };
-                seen.insert(place.clone());
-                if before != Some(duty) {
-                    self.take_up(now, place, duty, assignment);
+                let before = self.roles.current.get(&unit_key).copied();
+                let Some(role_here) = unit_role(me, assignment, permit, before) else { continue };
+                seen.insert(unit_key.clone());
+                if before != Some(role_here) {
+                    self.set_role(now, unit_key, role_here, assignment);
                 }
             }
         }
-        let gone: Vec<_> =
-            self.roles.duties.keys().filter(|place| !seen.contains(*place)).cloned().collect();
-        for place in gone {
-            self.roles.duties.remove(&place);
-            self.roles.handovers.remove(&place);
-            let role = if self.has_slot(&place) { Role::Merge } else { Role::Nothing };
-            self.context.gate.dedup.take_up(now, &place.0, place.1, role);
+        let gone: Vec<_> = self
+            .roles
+            .current
+            .keys()
+            .filter(|unit_key| !seen.contains(*unit_key))
+            .cloned()
+            .collect();
+        for unit_key in gone {
+            self.roles.current.remove(&unit_key);
+            self.roles.handovers.remove(&unit_key);
+            let role = if self.has_slot(&unit_key) { Role::Merge } else { Role::Nothing };
+            self.context.gate.dedup.take_up(now, &unit_key.0, unit_key.1, role);
         }
     }
 
-    fn take_up(&mut self, now: Time, place: (Name, UnitId), duty: Duty, assignment: &Assignment) {
-        let role = match duty {
-            Duty::Standby(version) => Role::Standby(version),
-            Duty::Server if self.roles.founded.remove(&place) => Role::Founder,
-            Duty::Server if self.is_split(&place) => Role::Split,
-            Duty::Server => self.succession(&place, assignment),
+    fn set_role(
+        &mut self,
+        now: Time,
+        unit_key: (Name, UnitId),
+        role_here: UnitRole,
+        assignment: &Assignment,
+    ) {
+        let role = match role_here {
+            UnitRole::Standby(version) => Role::Standby(version),
+            UnitRole::Server if self.roles.founded.remove(&unit_key) => Role::Founder,
+            UnitRole::Server if self.is_split(&unit_key) => Role::Split,
+            UnitRole::Server => self.succession(&unit_key, assignment),
         };
         match role {
             Role::Heir(_) => self.context.metrics.count(Counter::UnitsSwitched, 1),
             Role::Successor => self.context.metrics.count(Counter::UnitsTakenOver, 1),
             Role::Founder | Role::Split | Role::Merge | Role::Standby(_) | Role::Nothing => {}
         }
-        self.context.gate.dedup.take_up(now, &place.0, place.1, role);
-        self.roles.duties.insert(place, duty);
+        self.context.gate.dedup.take_up(now, &unit_key.0, unit_key.1, role);
+        self.roles.current.insert(unit_key, role_here);
     }
 
     /// Returns true for a hot key that is new here while this member serves its slot.
     ///
     /// One that came by release has an inheritance; one that came by the loss of
     /// its server had a role here before.
-    fn is_split(&self, place: &(Name, UnitId)) -> bool {
-        let new =
-            !self.roles.duties.contains_key(place) && !self.roles.inheritances.contains_key(place);
-        new && place.1.key.is_some() && self.slot_role(place) == Some(Duty::Server)
+    fn is_split(&self, unit_key: &(Name, UnitId)) -> bool {
+        let new = !self.roles.current.contains_key(unit_key)
+            && !self.roles.inheritances.contains_key(unit_key);
+        new && unit_key.1.key.is_some() && self.slot_role(unit_key) == Some(UnitRole::Server)
     }
 
     /// Returns true for a hot key whose slot has a role here.
-    fn has_slot(&self, place: &(Name, UnitId)) -> bool {
-        place.1.key.is_some() && self.slot_role(place).is_some()
+    fn has_slot(&self, unit_key: &(Name, UnitId)) -> bool {
+        unit_key.1.key.is_some() && self.slot_role(unit_key).is_some()
     }
 
-    fn slot_role(&self, place: &(Name, UnitId)) -> Option<Duty> {
-        let slot = UnitId::slot(place.1.slot);
-        self.roles.duties.get(&(Arc::clone(&place.0), slot)).copied()
+    fn slot_role(&self, unit_key: &(Name, UnitId)) -> Option<UnitRole> {
+        let slot = UnitId::slot(unit_key.1.slot);
+        self.roles.current.get(&(Arc::clone(&unit_key.0), slot)).copied()
     }
 
     /// Returns how this member came to serve a unit: by release, or by the loss of its former server.
-    fn succession(&mut self, place: &(Name, UnitId), assignment: &Assignment) -> Role {
-        match self.roles.inheritances.remove(place) {
-            Some(legacy) if legacy.version >= least_version(assignment, legacy.from) => {
-                Role::Heir(legacy.inheritance)
+    fn succession(&mut self, unit_key: &(Name, UnitId), assignment: &Assignment) -> Role {
+        match self.roles.inheritances.remove(unit_key) {
+            Some(received) if received.version >= least_version(assignment, received.from) => {
+                Role::Heir(received.inheritance)
             }
             _ => Role::Successor,
         }
@@ -144,17 +155,17 @@
     /// Forgets all roles of an identity that has ended.
     pub(super) fn forget_roles(&mut self) {
         let now = crate::clock::now();
-        for ((workspace, unit), _) in self.roles.duties.drain() {
+        for ((workspace, unit), _) in self.roles.current.drain() {
             self.context.gate.dedup.take_up(now, &workspace, unit, Role::Nothing);
         }
         self.roles.inheritances.clear();
         self.roles.handovers.clear();
         self.roles.founded.clear();
-        self.roles.seen = None;
+        self.roles.applied = None;
     }
 
     /// Returns the units that never had a server.
-    pub(super) fn fresh_units(&self) -> Vec<(Name, UnitId)> {
+    pub(super) fn unserved_units(&self) -> Vec<(Name, UnitId)> {
         let mut fresh = Vec::new();
         for service in self.replica.state().services() {
             let units = service.units().filter(|(_, assignment)| assignment.token == 0);
@@ -164,7 +175,7 @@
     }
 
     /// Notes which of the fresh units were given to this member.
-    pub(super) fn note_founded(&mut self, fresh: Vec<(Name, UnitId)>) {
+    pub(super) fn track_founded(&mut self, fresh: Vec<(Name, UnitId)>) {
         let Some(me) = self.identity.as_ref().map(|identity| identity.me) else { return };
         let state = self.replica.state();
         let mine = fresh.into_iter().filter(|(workspace, unit)| {
@@ -181,16 +192,16 @@
 /// for a whole window: the former owner forgot its duty when it read the record, and then released
 /// the unit as one of which it knows nothing. It keeps the duty until it is no longer `prior`, and
 /// the heir keeps what it noted as standby until it serves.
-fn duty(
+fn unit_role(
     me: MemberId,
     assignment: &Assignment,
     permit: Option<&Permit>,
-    before: Option<Duty>,
-) -> Option<Duty> {
+    before: Option<UnitRole>,
+) -> Option<UnitRole> {
     match permit {
-        Some(Permit::Serve { .. }) => Some(Duty::Server),
-        Some(Permit::Wait) if before == Some(Duty::Server) => before,
-        _ if assignment.standby == Some(me) => Some(Duty::Standby(assignment.version)),
+        Some(Permit::Serve { .. }) => Some(UnitRole::Server),
+        Some(Permit::Wait) if before == Some(UnitRole::Server) => before,
+        _ if assignment.standby == Some(me) => Some(UnitRole::Standby(assignment.version)),
         _ if [assignment.owner, assignment.prior, assignment.rival].contains(&Some(me)) => before,
         _ => None,
     }
--- a/acaciaringd/src/control/snapshot.rs
+++ b/acaciaringd/src/control/snapshot.rs
@@ -11,47 +11,53 @@
 use crate::metrics::Counter;
 
 /// Further records per rank before a member writes the snapshot in place of a lower one.
-const STAGGER: u64 = 50;
+const RECORDS_PER_RANK: u64 = 50;
 
 /// Time after which even a quiet log gets a snapshot.
-const AGE: std::time::Duration = std::time::Duration::from_mins(10);
+const MAX_AGE: std::time::Duration = std::time::Duration::from_mins(10);
 
 /// Time per rank before a member stands in for a lower one.
-const STAND_IN: std::time::Duration = std::time::Duration::from_secs(20);
+const DELAY_PER_RANK: std::time::Duration = std::time::Duration::from_secs(20);
 
 /// What this member knows of the log's snapshots.
 #[derive(Debug)]
 pub(super) struct Snapshots {
     /// End of the newest one, and when it was first seen.
     covered: Offset,
-    seen: Time,
+    first_seen: Time,
     /// When this member last wrote one, and where that ends.
-    wrote: Time,
-    own: Offset,
+    last_written: Time,
+    own_end: Offset,
     /// Empty records behind what the newest one covers.
     ///
     /// Who writes a snapshot drops as many records as it covers, by empty ones; were they news, each
     /// snapshot would soon call for the next.
-    empty: Vec<Offset>,
+    empty_records: Vec<Offset>,
 }
 
 impl Snapshots {
     /// Begins at `now`, as if a snapshot had just been seen.
     pub(super) fn new(now: Time) -> Self {
-        Self { covered: 0, seen: now, wrote: Time::ZERO, own: 0, empty: Vec::new() }
+        Self {
+            covered: 0,
+            first_seen: now,
+            last_written: Time::ZERO,
+            own_end: 0,
+            empty_records: Vec::new(),
+        }
     }
 
     /// Notes which of the records are empty.
-    pub(super) fn note(&mut self, folded: &[Folded]) {
+    pub(super) fn track_empty(&mut self, folded: &[Folded]) {
         let empty = folded.iter().filter(|record| record.id.is_none());
-        self.empty.extend(empty.map(|record| record.offset));
+        self.empty_records.extend(empty.map(|record| record.offset));
     }
 }
 
 impl Control {
     /// Lets the log service drop what this member's own snapshot covers.
     fn trim(&self, covered: Offset) {
-        if self.snapshots.own != covered {
+        if self.snapshots.own_end != covered {
             return;
         }
         let log = Arc::clone(&self.context.log);
@@ -67,20 +73,22 @@
         let newest = self.replica.snapshot_next();
         if newest != self.snapshots.covered {
             self.trim(newest);
-            self.snapshots.empty.retain(|offset| *offset >= newest);
+            self.snapshots.empty_records.retain(|offset| *offset >= newest);
             self.snapshots.covered = newest;
-            self.snapshots.seen = now;
+            self.snapshots.first_seen = now;
         }
-        let records = self.context.snapshot_records.saturating_add(STAGGER * u64::from(rank));
-        let age = AGE.saturating_add(STAND_IN.saturating_mul(rank));
-        let empty = u64::try_from(self.snapshots.empty.len()).unwrap_or(u64::MAX);
+        let records =
+            self.context.snapshot_records.saturating_add(RECORDS_PER_RANK * u64::from(rank));
+        let age = MAX_AGE.saturating_add(DELAY_PER_RANK.saturating_mul(rank));
+        let empty = u64::try_from(self.snapshots.empty_records.len()).unwrap_or(u64::MAX);
         let due = snapshot::due(self.state.next().saturating_sub(empty), newest, records);
-        let aged = self.state.next() > newest && snapshot::aged(now, self.snapshots.seen, age);
-        if !due && !aged || now.since(self.snapshots.wrote) < STAND_IN {
+        let aged =
+            self.state.next() > newest && snapshot::aged(now, self.snapshots.first_seen, age);
+        if !due && !aged || now.since(self.snapshots.last_written) < DELAY_PER_RANK {
             return;
         }
-        self.snapshots.wrote = now;
-        self.snapshots.own = self.state.next();
+        self.snapshots.last_written = now;
+        self.snapshots.own_end = self.state.next();
         let chunks = snapshot::chunk(&self.state, rand::random(), CHUNK_SIZE);
         info!(next = self.state.next(), records = chunks.len(), "writing a snapshot");
         self.context.metrics.count(Counter::LogSnapshots, 1);
--- a/acaciaringd/src/control/upstream_state.rs
+++ b/acaciaringd/src/control/upstream_state.rs
@@ -12,8 +12,8 @@
 use tracing::{debug, info, warn};
 
 use super::Control;
-use super::grant_mode::Way;
-use super::identity::Retiring;
+use super::grant_mode::GrantMode;
+use super::identity::EndReason;
 use super::proposal::Purpose;
 use crate::announce::Phase;
 use crate::heartbeat::{Heartbeat, HeartbeatReply};
@@ -23,26 +23,26 @@
 ///
 /// An upstream that is leaving gets no new work two seconds after its word; the rest is for
 /// requests that are on their way to it.
-const LAST_WORK: Duration = Duration::from_secs(1);
+const LEAVING_GRACE: Duration = Duration::from_secs(1);
 
 /// Longest time for which the reply to a report waits for a move.
 ///
 /// A move is recorded within a few milliseconds, and the next report of the upstream that
 /// releases comes within a tenth of a second; the upstream takes a reply within a second.
-const PATIENCE: Duration = Duration::from_millis(250);
+const MAX_REPLY_DELAY: Duration = Duration::from_millis(250);
 
 /// What is known of an upstream that reports what it holds.
 #[derive(Debug)]
-pub(super) struct Holding {
-    pub(super) way: Way,
+pub(super) struct UpstreamState {
+    pub(super) mode: GrantMode,
     /// True once the upstream has reported.
-    pub(super) reports: bool,
+    pub(super) has_reported: bool,
     /// Since when the upstream is leaving.
     leaving: Option<Time>,
     /// Report whose reply waits for a move.
-    waiting: Option<Waiting>,
+    delayed: Option<DelayedReply>,
     /// When something was to change by time alone, when that was last asked.
-    awaited: Option<Time>,
+    expected_change: Option<Time>,
 }
 
 /// Report whose reply waits until a move that is under way shows in it.
@@ -51,66 +51,66 @@
 /// that leaves it out until the reply that gives it to the next one, so each reply that just
 /// misses a move costs that much.
 #[derive(Debug)]
-struct Waiting {
+struct DelayedReply {
     reply: oneshot::Sender<HeartbeatReply>,
     max_ranges: usize,
     until: Time,
 }
 
-impl Holding {
+impl UpstreamState {
     pub(super) fn new(now: Time, grants: UpstreamGrants, hold: Duration) -> Self {
         Self {
-            way: Way::new(now, grants, hold),
-            reports: false,
+            mode: GrantMode::new(now, grants, hold),
+            has_reported: false,
             leaving: None,
-            waiting: None,
-            awaited: None,
+            delayed: None,
+            expected_change: None,
         }
     }
 
     /// Returns true once a leaving upstream gets no more requests.
     pub(super) fn closed(&self, now: Time) -> bool {
-        self.leaving.is_some_and(|since| now >= since + LAST_WORK)
+        self.leaving.is_some_and(|since| now >= since + LEAVING_GRACE)
     }
 
     /// Returns when something changes by time alone.
-    pub(super) fn next(&self, now: Time) -> Option<Time> {
-        let waiting = self.waiting.as_ref().map(|waiting| waiting.until);
-        let effect = match &self.way {
-            Way::Reported(holds) => holds.next_effect(now),
-            Way::Called(orders) => Some(orders.next()),
+    pub(super) fn next_change(&self, now: Time) -> Option<Time> {
+        let delayed = self.delayed.as_ref().map(|delayed| delayed.until);
+        let effect = match &self.mode {
+            GrantMode::Heartbeat(holds) => holds.next_effect(now),
+            GrantMode::Call(orders) => Some(orders.next()),
         };
-        [effect, self.closing(now), waiting].into_iter().flatten().min()
+        [effect, self.closes_at(now), delayed].into_iter().flatten().min()
     }
 
     /// Returns when a leaving upstream is to get no more requests, if that is to come.
-    fn closing(&self, now: Time) -> Option<Time> {
-        self.leaving.map(|since| since + LAST_WORK).filter(|close| now < *close)
+    fn closes_at(&self, now: Time) -> Option<Time> {
+        self.leaving.map(|since| since + LEAVING_GRACE).filter(|close| now < *close)
     }
 
     /// Returns true once something has changed by time alone since it was last looked at.
     pub(super) fn is_stale(&mut self, now: Time) -> bool {
-        let next = match &self.way {
-            Way::Called(orders) if orders.lapsed(now) => return true,
+        let next = match &self.mode {
+            GrantMode::Call(orders) if orders.lapsed(now) => return true,
             // What an order brings is told when its answer comes.
-            Way::Called(_) => self.closing(now),
-            Way::Reported(_) => self.next(now),
+            GrantMode::Call(_) => self.closes_at(now),
+            GrantMode::Heartbeat(_) => self.next_change(now),
         };
-        let stale = self.reports && next != self.awaited;
-        self.awaited = next;
+        let stale = self.has_reported && next != self.expected_change;
+        self.expected_change = next;
         stale
     }
 }
 
 impl Control {
     /// Takes in a report of the upstream and says what it is to hold.
-    pub(super) fn heartbeat(
+    pub(super) fn on_heartbeat(
         &mut self,
         now: Time,
         heartbeat: Heartbeat,
         reply: oneshot::Sender<HeartbeatReply>,
     ) {
-        let report = self.holding.way.report(now, &heartbeat);
+        let report = self.upstream.mode.report(now, &heartbeat);
         let Heartbeat { announcement, sequence, max_ranges, .. } = heartbeat;
         let (instance, born) = (Name::from(announcement.instance.as_str()), announcement.born);
         if report == Report::Late {
@@ -119,37 +119,40 @@
             let _ = reply.send(HeartbeatReply::default());
             return;
         }
-        self.holding.reports = true;
+        self.upstream.has_reported = true;
         if report == Report::Another {
             info!(%instance, born, "the upstream has started anew");
-            self.holding.leaving = None;
+            self.upstream.leaving = None;
         }
-        if self.attached_elsewhere(&instance) {
+        if self.attached_to_earlier(&instance) {
             self.announced = None;
             self.endpoint = None;
             self.detach(now);
         } else if announcement.phase == Phase::Draining {
             self.upstream_leaves(now);
-        } else if self.holding.leaving.is_none() {
-            self.announce(now, announcement);
+        } else if self.upstream.leaving.is_none() {
+            self.on_announcement(now, announcement);
         }
         self.dirty = true;
         self.plan_when_due(now);
         // One report waits at a time; the sender of one that cannot be answered yet reports again.
-        self.answer_report(now);
-        self.holding.waiting = Some(Waiting { reply, max_ranges, until: now + PATIENCE });
-        self.answer_report(now);
+        self.answer_heartbeat(now);
+        self.upstream.delayed =
+            Some(DelayedReply { reply, max_ranges, until: now + MAX_REPLY_DELAY });
+        self.answer_heartbeat(now);
     }
 
     /// Answers a report, once no move is about to change the answer.
-    pub(super) fn answer_report(&mut self, now: Time) {
-        let Some(until) = self.holding.waiting.as_ref().map(|waiting| waiting.until) else {
+    pub(super) fn answer_heartbeat(&mut self, now: Time) {
+        let Some(until) = self.upstream.delayed.as_ref().map(|delayed| delayed.until) else {
             return;
         };
-        if now < until && self.moving() {
+        if now < until && self.move_pending() {
             return;
         }
-        let Some(Waiting { reply, max_ranges, .. }) = self.holding.waiting.take() else { return };
+        let Some(DelayedReply { reply, max_ranges, .. }) = self.upstream.delayed.take() else {
+            return;
+        };
         let answer = HeartbeatReply { grants: self.grants(now, max_ranges) };
         debug!(ranges = answer.grants.as_ref().map(|(rows, _)| rows.len()), "report answered");
         // The sender may have gone away.
@@ -160,8 +163,8 @@
     /// Returns true while a move of units from or to this member is about to show in a reply.
     ///
     /// Replies to an upstream that is told by calls say nothing of its units.
-    fn moving(&self) -> bool {
-        if matches!(self.holding.way, Way::Called(_)) {
+    fn move_pending(&self) -> bool {
+        if matches!(self.upstream.mode, GrantMode::Call(_)) {
             return false;
         }
         let Some(identity) = &self.identity else { return false };
@@ -181,7 +184,7 @@
 
     /// Notes that the upstream is leaving and reports no more.
     pub(super) fn on_upstream_leaves(&mut self, now: Time, instance: &Name) {
-        let present = self.holding.way.start();
+        let present = self.upstream.mode.start();
         if present.is_none_or(|present| present.instance == *instance) {
             self.upstream_leaves(now);
         }
@@ -189,22 +192,22 @@
     }
 
     fn upstream_leaves(&mut self, now: Time) {
-        if self.holding.leaving.is_none() {
+        if self.upstream.leaving.is_none() {
             info!("the upstream is leaving");
-            self.holding.leaving = Some(now);
+            self.upstream.leaving = Some(now);
         }
         self.announced = None;
         self.detach(now);
     }
 
     /// Returns true while this identity stands for an earlier start of the upstream.
-    fn attached_elsewhere(&self, instance: &Name) -> bool {
+    fn attached_to_earlier(&self, instance: &Name) -> bool {
         self.attachment().is_some_and(|attachment| attachment.instance != *instance)
     }
 
     /// Returns what the upstream is to hold by the reply, `None` when the reply can grant nothing.
     fn grants(&mut self, now: Time, max_ranges: usize) -> Option<(Vec<Granted>, Duration)> {
-        if matches!(self.holding.way, Way::Called(_)) {
+        if matches!(self.upstream.mode, GrantMode::Call(_)) {
             return None;
         }
         let attachment = self.attachment()?;
@@ -214,21 +217,21 @@
         let workspace = Arc::clone(&attachment.workspace);
         let state = Arc::clone(&self.state);
         let lease = self.context.shared.lease.get();
-        let wanted = self.wanted(now, &state, state.service(&workspace)?);
-        match &mut self.holding.way {
-            Way::Reported(holds) => holds.grant(now, lease, &wanted, max_ranges),
-            Way::Called(_) => None,
+        let wanted = self.grantable_units(now, &state, state.service(&workspace)?);
+        match &mut self.upstream.mode {
+            GrantMode::Heartbeat(holds) => holds.grant(now, lease, &wanted, max_ranges),
+            GrantMode::Call(_) => None,
         }
     }
 
     /// Returns true when the upstream that reports is the one for which this member is attached.
     pub(super) fn is_attached_upstream(&self, attachment: &Attachment) -> bool {
-        let present = self.holding.way.start();
+        let present = self.upstream.mode.start();
         present.is_some_and(|present| present.instance == attachment.instance)
     }
 
     /// Returns the units that this member may serve now.
-    fn wanted(&mut self, now: Time, state: &State, service: &Service) -> Vec<Wanted> {
+    fn grantable_units(&mut self, now: Time, state: &State, service: &Service) -> Vec<Wanted> {
         let Some(identity) = &mut self.identity else { return Vec::new() };
         let me = Some(identity.me);
         let live = identity.live(now, state);
@@ -240,10 +243,10 @@
             let right = identity.right(now, &live, &service.workspace, unit, assignment);
             let Right::Serve { token, .. } = right else { continue };
             let mut handover = None;
-            if !self.holding.way.serves(now, unit, token, || service.numbers(unit)) {
+            if !self.upstream.mode.serves(now, unit, token, || service.numbers(unit)) {
                 debug!(%unit, token = token.0, ?assignment, "unit is granted anew");
-                let place = (Arc::clone(&service.workspace), unit);
-                handover = self.roles.handovers.get(&place).map(Arc::clone);
+                let unit_key = (Arc::clone(&service.workspace), unit);
+                handover = self.roles.handovers.get(&unit_key).map(Arc::clone);
             }
             let handover = handover.unwrap_or_else(|| Name::from(""));
             wanted.push(Wanted { unit, token, keys: service.numbers(unit), handover });
@@ -252,8 +255,8 @@
     }
 
     /// Turns rights into waits while the upstream does not hold the units yet.
-    pub(super) fn hold_back(&self, now: Time, permits: &mut Permits) {
-        if !self.holding.reports {
+    pub(super) fn withhold_permits(&self, now: Time, permits: &mut Permits) {
+        if !self.upstream.has_reported {
             return;
         }
         for (workspace, units) in permits.iter_mut() {
@@ -261,7 +264,7 @@
             let keys = |unit| service.map(|service| service.numbers(unit)).unwrap_or_default();
             for (unit, permit) in units.iter_mut() {
                 if let Permit::Serve { token, .. } = *permit
-                    && !self.holding.way.serves(now, *unit, token, || keys(*unit))
+                    && !self.upstream.mode.serves(now, *unit, token, || keys(*unit))
                 {
                     *permit = Permit::Wait;
                 }
@@ -274,17 +277,17 @@
         let Some(service) = self.state.service(workspace).filter(|s| s.founded) else {
             return false;
         };
-        self.holding.way.may_hold(now, unit, &service.numbers(unit))
+        self.upstream.mode.may_hold(now, unit, &service.numbers(unit))
     }
 
     /// Returns true while the upstream may still hold anything.
     pub(super) fn holds_any(&self, now: Time) -> bool {
-        self.holding.reports && self.holding.way.may_hold_any(now)
+        self.upstream.has_reported && self.upstream.mode.may_hold_any(now)
     }
 
     /// Returns true when a process that starts anew here takes this one's place at once.
     pub(super) fn resumable(&self) -> bool {
-        self.holding.reports && self.announced.is_some() && self.attachment().is_some()
+        self.upstream.has_reported && self.announced.is_some() && self.attachment().is_some()
     }
 
     /// Joins anew in place of an identity whose lease is lost.
@@ -292,11 +295,11 @@
     /// Guards against a loss of half of all members: their former lessors are gone, and to wait
     /// for the proof of their end would leave keys without a server for many times the term.
     /// This identity serves and grants nothing any more; the next one's attachment replaces it.
-    pub(super) fn start_over(&mut self) {
+    pub(super) fn replace_identity(&mut self) {
         if let Some(identity) = &mut self.identity {
             warn!(member = %identity.me, "identity is replaced by the next one of this process");
             identity.lessor.stop();
-            identity.retiring = Some(Retiring::Lease);
+            identity.retiring = Some(EndReason::Lease);
         }
         self.end_identity();
     }
--- a/acaciaringd/src/declared.rs
+++ b/acaciaringd/src/declared.rs
@@ -114,7 +114,7 @@
     pub(crate) fn observe_version(&self, from: SocketAddr, version: u64) {
         if version > self.version() {
             // Control has ended only when the process is about to exit.
-            let _ = self.events.send(Event::Version(from, version));
+            let _ = self.events.send(Event::DeclaredVersion(from, version));
         }
     }
 
