--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -1,4 +1,4 @@
-//! Moves of units to cooler members, decided by each owner for itself.
+//! Load balancing: each owner decides which of its units move to less loaded members.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -19,32 +19,32 @@
 use crate::view::peer_address;
 use crate::wire;
 
-/// Time between two reports of this member's load to owners that may move units to it.
+/// Interval at which this member reports its load to owners that may move units to it.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Owners that are told of this member's load at a time.
+/// Maximum number of owners that one load report is sent to.
 const REPORTS_PER_ROUND: usize = 12;
 
-/// Weights of a service that no document describes.
+/// Weights of a service without a published document.
 const DEFAULT_WEIGHTS: Weights = Weights { churn: 1_000, downtime: 1_000 };
 
-/// What this member knows and remembers for balance.
+/// State of load balancing.
 #[derive(Debug, Default)]
 pub(super) struct Balance {
     loads: HashMap<MemberId, Load>,
-    /// Mean times that requests take at other members' upstreams, where they are known.
+    /// Known mean service times of other members' upstreams.
     service_times: HashMap<MemberId, Duration>,
-    /// Members that have said that they are about to leave.
+    /// Members that have reported that they are leaving.
     leaving: HashSet<MemberId>,
     history: History,
     last_plan: Time,
     last_report: Time,
-    /// Owners that were told since the first one was.
+    /// Index of the owner that the next load report starts with.
     next_owner: usize,
 }
 
 impl Balance {
-    /// Returns the next few owners to be told, all of them in turn.
+    /// Returns the owners to send the next load report to, in round-robin order.
     fn next_recipients(&mut self, owners: &[MemberId]) -> Vec<MemberId> {
         let count = owners.len().min(REPORTS_PER_ROUND);
         let start = self.next_owner;
@@ -56,8 +56,8 @@
 impl Control {
     /// Reports this member's load and proposes moves of its units.
     ///
-    /// Beside an upstream that reports what it holds, moves are planned when a report has come: its
-    /// reply can then leave out what moves.
+    /// Beside an upstream that sends heartbeats, moves are planned on each heartbeat, so that its
+    /// reply can already leave out units that move.
     pub(super) fn balance(&mut self, now: Time) {
         if now.since(self.balance.last_report) >= self.report_interval() {
             self.balance.last_report = now;
@@ -69,10 +69,10 @@
         }
     }
 
-    /// Returns the time between two reports of this member's load.
+    /// Returns the interval at which this member reports its load.
     ///
-    /// Where moves are planned only with a report of the upstream, each plan gets fresh loads; where
-    /// they are planned every few rounds, fresher loads would move more units.
+    /// Where moves are planned on heartbeats, each plan needs fresh loads; elsewhere plans are
+    /// frequent, and fresher loads would move more units.
     fn report_interval(&self) -> Duration {
         if self.upstream.has_reported {
             REPORT_INTERVAL.min(self.context.balance_interval)
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Proposes moves of this member's units, if it is time for it.
+    /// Proposes moves of this member's units, if a plan is due.
     pub(super) fn plan_when_due(&mut self, now: Time) {
         let due = now.since(self.balance.last_plan) >= self.context.balance_interval;
         if due && !self.retiring() && !self.restarting() && self.context.balance.least_moves > 0 {
@@ -90,12 +90,10 @@
         }
     }
 
-    /// Sends this member's load to the owners for whose units it stands by.
+    /// Sends this member's load to the owners of units for which it is the standby.
     ///
-    /// In a large service a member stands by for units of more than a hundred
-    /// owners. It reports to a few of them at a time, and then only on
-    /// connections that requests keep open: a handshake costs more than a minute
-    /// of renewals.
+    /// In a large service there are many such owners, so it reports to a few at a time, and then
+    /// only on connections that are already open: a handshake is far more expensive than a report.
     fn report_load(&mut self) {
         let Some(identity) = &self.identity else { return };
         let me = identity.me;
@@ -122,21 +120,20 @@
         }
     }
 
-    /// Tells the owners at once that no unit should move to this member any more.
+    /// Makes load reports and maintenance due at once, so that owners move no more units here.
     ///
-    /// Guards against a leaving member that never gets away: it leaves once it serves all that it
-    /// owns, and others that do not know of it yet move further units to it meanwhile. And against
-    /// one whose process is about to be started again: it takes no more requests, so that it looks
-    /// idle, and what moved to it would have no server until the next process has joined.
+    /// Guards against a leaving member that never finishes, because it must first serve units that
+    /// others still move to it; and against moves to a restarting process, which looks idle and
+    /// could not serve them until the next process has joined.
     pub(super) fn report_leaving(&mut self) {
         self.balance.last_report = Time::ZERO;
         self.last_maintenance = Time::ZERO;
     }
 
-    /// Passes on what this leaving member serves while it waits for other units of its own.
+    /// Switches over the units that this leaving member serves while it waits for releases.
     ///
-    /// Guards against keys without server: the upstream takes no more requests, and a unit on its
-    /// way here may take a second or more, for which all others would wait.
+    /// Guards against keys without server: the upstream accepts no more requests, and all units
+    /// would wait for the slowest release.
     pub(super) fn switch_over_served(&mut self, now: Time) {
         let Some(me) = self.identity.as_ref().map(|identity| identity.me) else { return };
         let state = Arc::clone(&self.state);
@@ -157,7 +154,7 @@
         }
     }
 
-    /// Sends the imbalance as this member knows it, none without load.
+    /// Updates the imbalance metric from the loads known to this member, unless there is no load.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -174,7 +171,7 @@
         }
     }
 
-    /// Takes in the load of another member.
+    /// Handles the load report of another member.
     #[expect(clippy::cast_precision_loss, reason = "a rate is far below the exact range")]
     pub(super) fn on_loads(&mut self, now: Time, loads: &Loads) {
         let rate = loads.rate as f64 / 1000.0;
@@ -198,10 +195,9 @@
         self.balance.service_times.retain(|id, _| loads.contains_key(id));
     }
 
-    /// Notes the switchovers that a batch of records has brought.
+    /// Records the switchovers in a folded batch, so that the units rest before they move again.
     ///
-    /// A first assignment or the loss of an owner is no move: the unit need not
-    /// rest after it.
+    /// First assignments and takeovers from dead owners do not count as moves.
     pub(super) fn track_moves(&mut self, now: Time, before: &State) {
         let Some(workspace) = self.own_workspace() else { return };
         let (Some(old), Some(new)) = (before.service(&workspace), self.state.service(&workspace))
@@ -228,7 +224,7 @@
         if plan.is_empty() {
             return;
         }
-        debug!(%workspace, ?plan, "balance");
+        debug!(%workspace, ?plan, "balancing plan");
         let moved = self.propose_switchovers(now, &workspace, &plan);
         self.balance.history.proposed(now, &Plan { switchovers: moved, ..Plan::default() });
         self.propose_handoff(now, &workspace, &plan);
@@ -271,10 +267,10 @@
         Load { rate, busy, capacity, speed: 1.0, at: now }
     }
 
-    /// Returns how fast a member's upstream is, relative to the mean of those that are known.
+    /// Returns the speed of a member's upstream, relative to the mean of all known ones.
     ///
-    /// Guards against load that is even by count and not by time: upstreams of one service differ
-    /// in speed by more than two times, and the slow ones would be full while the others idle.
+    /// Guards against load that is even by requests but not by time: slow upstreams would be
+    /// overloaded while fast ones are idle.
     fn speed(&self, member: MemberId, me: MemberId) -> f64 {
         let own = self.context.gate.mean_time();
         let others = self.balance.service_times.values().copied();
@@ -285,10 +281,10 @@
         time.filter(|time| !time.is_zero()).map_or(1.0, |time| mean / time.as_secs_f64())
     }
 
-    /// Proposes switchovers of units that this member serves; returns them.
+    /// Proposes switchovers of units that this member serves; returns the proposed units.
     ///
-    /// A unit whose former owner has not released yet stays: the record would
-    /// make this member its `prior`, and nobody would wait for the former owner.
+    /// A unit that its former owner has not released yet is left out: the record would make this
+    /// member its `prior`, and nobody would wait for the former owner.
     fn propose_switchovers(&mut self, now: Time, workspace: &Name, plan: &Plan) -> Vec<UnitId> {
         let Some(identity) = &self.identity else { return Vec::new() };
         let serving = |unit: &UnitId| identity.rights.serving(workspace, *unit);
@@ -305,10 +301,10 @@
         if proposed { units } else { Vec::new() }
     }
 
-    /// Proposes the hand-over of standby roles to one member at a time.
+    /// Proposes to transfer standby roles to one member at a time.
     ///
-    /// The roles are renounced before the record is appended: once another
-    /// member may hold them, this one must not take over any more.
+    /// The roles are renounced before the record is appended: once another member may hold them,
+    /// this one must not take over.
     fn propose_handoff(&mut self, now: Time, workspace: &Name, plan: &Plan) {
         let Some((_, target)) = plan.handoffs.first().copied() else { return };
         let purpose = Purpose::Handoff(Arc::clone(workspace));
@@ -316,7 +312,7 @@
             return;
         }
         let given = plan.handoffs.iter().filter(|(_, to)| *to == target).map(|(unit, _)| *unit);
-        // A unit that was taken over may still be held by the upstream beside this member.
+        // The local upstream may still hold a unit that was taken over.
         let units: Vec<UnitId> =
             given.filter(|unit| !self.upstream_holds(now, workspace, *unit)).collect();
         let messages = self.unit_messages(workspace, &units);
@@ -357,7 +353,7 @@
         self.propose_change(now, Purpose::Merge(Arc::clone(workspace)), workspace, messages, body);
     }
 
-    /// Proposes a split or merge; no release of the slots until its outcome is known.
+    /// Proposes a split or merge; the slots are not released until its outcome is known.
     fn propose_change(
         &mut self,
         now: Time,
@@ -375,21 +371,21 @@
             identity.rights.change(workspace, unit.slot);
             changed.push((Arc::clone(workspace), wire::unit_id(unit)));
         }
-        info!(%workspace, keys = messages.len(), ?purpose, "proposing a change of hot keys");
+        info!(%workspace, keys = messages.len(), ?purpose, "proposing a split or merge");
         let body = body(identity.me.0, workspace.to_string(), messages);
         let proposal =
             Proposal { purpose, since: now, renounced: Vec::new(), changed, reply: None };
         self.submit(proposal, body);
     }
 
-    /// Returns units with their versions.
+    /// Returns messages for units, with the versions of their assignments.
     fn unit_messages(&self, workspace: &Name, units: &[UnitId]) -> Vec<Unit> {
         let service = self.state.service(workspace);
         let version = |unit: &UnitId| Some(service?.assignment(*unit)?.version);
         units.iter().filter_map(|unit| Some(wire::unit(*unit, version(unit)?))).collect()
     }
 
-    /// Returns keys that are not yet units, with the versions of their slots.
+    /// Returns messages for keys that are not yet units, with the versions of their slots.
     fn key_messages(&self, workspace: &Name, keys: &[UnitId]) -> Vec<Unit> {
         let service = self.state.service(workspace);
         let version = |unit: &UnitId| Some(service?.assignment(UnitId::slot(unit.slot))?.version);
--- a/acaciaringd/src/control/catch_up.rs
+++ b/acaciaringd/src/control/catch_up.rs
@@ -1,4 +1,4 @@
-//! Records from other members, when they are ahead of what the log service has told this one.
+//! Catch-up from members that are ahead of this one: log records and declared configuration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,30 +11,29 @@
 use super::{Control, Event};
 use crate::wire;
 
-/// Time for which the log service itself may bring the records, beyond the rest between two reads.
+/// Time granted to the log service to deliver records, in addition to the read interval.
 const LOG_GRACE: Duration = Duration::from_millis(300);
 
-/// Time between two questions for the declared configuration.
+/// Least time between two requests for the declared configuration.
 const QUERY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Records asked for at once.
+/// Maximum number of records per request.
 const MAX_RECORDS: u32 = 512;
 
 impl Control {
-    /// Has the log read up to a record that a message of another member depends on.
+    /// Requests a log read up to the record that a message of another member depends on.
     ///
-    /// Without it what the message brings would wait for the pace of the reads.
+    /// Without it the message would take effect only after the next paced read.
     pub(super) fn require_record(&self, record: Offset) {
         if record >= self.state.next() {
             self.context.read_pacer.request_before(record.saturating_add(1));
         }
     }
 
-    /// Asks a member for records that it has folded and this one has not.
+    /// Requests records from a member that has folded more than this one.
     ///
-    /// Guards against a read of the log that has gone silent while another one
-    /// works: configuration would come into force here only after its time-out.
-    /// Records carry their offsets, so a gap is seen and never skipped.
+    /// Guards against a stalled read of the log: records would be folded only after its timeout.
+    /// Records carry their offsets, so a gap is detected and never skipped.
     pub(super) fn catch_up(&mut self, now: Time, from: SocketAddr, applied: Offset) {
         let next = self.state.next();
         let grace = LOG_GRACE + self.context.read_pacer.interval();
@@ -44,31 +43,30 @@
             return;
         }
         self.progress.last_queried = now;
-        debug!(%from, applied, next, "another member is ahead, asking it for records");
+        debug!(%from, applied, next, "another member is ahead in the log, requesting records");
         let events = self.context.events.clone();
         let done = move |reply: Option<reply::Body>| {
             let Some(reply::Body::Records(batch)) = reply else { return };
             if batch.entries.is_empty() {
                 return;
             }
-            // Control may have ended in the meantime.
+            // The control thread may have ended.
             let _ = events.send(Event::Relayed(batch));
         };
         let records = call::Body::Records(Records { from: next.max(1), max: MAX_RECORDS });
         self.context.outbox.call(from, records, wire::CALL, Box::new(done));
     }
 
-    /// Asks a member for a configuration that it has and this one has not.
+    /// Requests the declared configuration from a member that has a newer version.
     ///
-    /// Guards against a member that cannot read where the configuration is declared while
-    /// others can: it would go on by an old one.
+    /// Guards against a stale configuration when this member cannot read its source and others can.
     pub(super) fn fetch_declaration(&mut self, now: Time, from: SocketAddr, version: u64) {
         let declarations = &self.context.declarations;
         if version <= declarations.version() || now.since(self.config_queried) < QUERY_INTERVAL {
             return;
         }
         self.config_queried = now;
-        debug!(%from, version, "another member has a newer configuration, asking it");
+        debug!(%from, version, "another member has a newer configuration, requesting it");
         let declarations = Arc::clone(declarations);
         let done = move |reply: Option<reply::Body>| {
             let Some(reply::Body::Declaration(declaration)) = reply else { return };
--- a/acaciaringd/src/control/event.rs
+++ b/acaciaringd/src/control/event.rs
@@ -1,4 +1,4 @@
-//! Events that the control thread handles.
+//! Events handled by the control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,11 +18,11 @@
 
 /// Event for the control thread.
 pub(crate) enum Event {
-    /// Records of the log; the sender is answered when they are folded.
+    /// Records of the log service; the sender is notified once they are folded.
     Batch(Batch, Sender<()>),
-    /// Records of the log from another member.
+    /// Records of the log, fetched from another member.
     Relayed(Batch),
-    /// Datagram of another member.
+    /// Datagram from another member.
     Datagram(SocketAddr, Datagram),
     /// Vote of a lessor about a member.
     Vote(Vote),
@@ -30,42 +30,42 @@
     Released(Release),
     /// A member has acknowledged a release of this one.
     ReleaseDone { workspace: Name, units: Vec<(UnitId, Offset)> },
-    /// A standby has acknowledged what the owner remembers of units.
+    /// A standby has acknowledged the deduplication state of units.
     SyncDone { workspace: Name, units: Vec<UnitId>, standby: u64 },
-    /// The upstream beside this member has announced itself.
+    /// The local upstream has announced itself.
     Announced(Announcement),
     /// An operator publishes a document.
     Publish(RecordId, Publish, Sender<PublishReply>),
-    /// The upstream reports what it holds.
+    /// The upstream reports the keys that it holds.
     Heartbeat(Heartbeat, oneshot::Sender<HeartbeatReply>),
-    /// The upstream has refused a request for a unit that it was given.
+    /// The upstream has refused a request for a unit that was granted to it.
     UnitDenied(Name, UnitId),
-    /// What came of an order to the upstream.
+    /// Answer to the order with this number.
     OrderAnswered(u64, Answer),
-    /// The upstream is leaving and reports no more; it is told once nothing new is given to it.
+    /// The upstream instance is leaving and stops its reports; acknowledged once it gets no grants.
     UpstreamLeaves(Name, oneshot::Sender<()>),
-    /// A member has said in passing that it has this version of the declared configuration.
+    /// A member has this version of the declared configuration.
     DeclaredVersion(SocketAddr, u64),
-    /// A newer configuration is declared.
+    /// A newer declared configuration is in force.
     Declared(Arc<Declared>),
-    /// The process was told to stop, and when.
+    /// The process was told to stop at this time.
     Stop(Time),
-    /// A process that stops has no request of a caller any more, and takes none.
+    /// The stopping process has no caller requests left and accepts none.
     CallersGone,
 }
 
-/// What became of a published document.
+/// Result of publishing a document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum PublishReply {
     /// The record was folded.
     Folded {
         /// Offset of the record.
         offset: Offset,
-        /// How the fold dealt with it.
+        /// Outcome of its fold.
         outcome: Outcome,
     },
     /// The record was not appended and never will be.
     NotAppended,
-    /// The record was folded before this process knew of it.
+    /// The record was already folded; its outcome is no longer known to this process.
     Before,
 }
--- a/acaciaringd/src/control/eviction.rs
+++ b/acaciaringd/src/control/eviction.rs
@@ -1,4 +1,4 @@
-//! Evictions of members whose lease is over for good.
+//! Eviction of members whose lease has expired for good.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -14,31 +14,30 @@
 use super::proposal::Purpose;
 use super::vote_recipients::vote_recipients;
 
-/// Delay of an eviction per rank, so that the members with a proof do not all append it.
+/// Delay per rank, so that not every member that holds a proof proposes the eviction.
 const RANK_DELAY: Duration = Duration::from_millis(100);
 
 /// Why a member may be evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EvictionReason {
-    /// Votes prove that its lease is over for good.
+    /// Votes prove that its lease has expired for good.
     Proof,
-    /// A later process has its VM and address.
+    /// A later process runs on its VM and address.
     Successor,
-    /// It has no lessors, so it never had a lease.
+    /// It has no lessors, so it holds no lease.
     NoLessors,
 }
 
-/// Grounds for evictions, and since when each has lasted without a break.
+/// Reason to evict each member, and since when it has held without interruption.
 #[derive(Debug, Default)]
 pub(super) struct EvictionReasons(HashMap<MemberId, (EvictionReason, Time)>);
 
 impl EvictionReasons {
-    /// Notes the present ground of a member and returns since when it has lasted.
+    /// Records the current reason to evict a member and returns since when it has held.
     ///
-    /// Guards against a wait that was over before it began: a member without lessors at the start
-    /// of the day gets some, and hours later its process starts anew beside a living upstream.
-    /// Counted from the first ground, the eviction for the second came at once, and another
-    /// upstream was given what this one still held.
+    /// Each reason has its own delay. Guards against an immediate eviction when the reason changes
+    /// after a process restart: the surviving upstream still holds keys that another would be
+    /// granted.
     fn since(&mut self, now: Time, member: MemberId, reason: Option<EvictionReason>) -> Time {
         let Some(reason) = reason else {
             self.0.remove(&member);
@@ -51,19 +50,19 @@
         known.1
     }
 
-    /// Forgets a member.
+    /// Removes a member.
     pub(super) fn forget(&mut self, member: MemberId) {
         self.0.remove(&member);
     }
 
-    /// Forgets all members.
+    /// Removes all members.
     pub(super) fn clear(&mut self) {
         self.0.clear();
     }
 }
 
 impl Control {
-    /// Proposes the eviction of members that are proved expired.
+    /// Proposes the eviction of members for which a reason has held long enough.
     pub(super) fn evict(&mut self, now: Time) {
         let mut proposals = Vec::new();
         let Some(identity) = &self.identity else { return };
@@ -83,12 +82,12 @@
         for evict in proposals {
             let member = MemberId(evict.member);
             if self.proposals.propose(now, Purpose::Evict(member), record::Body::Evict(evict)) {
-                warn!(%member, "lease is over for good, proposing eviction");
+                warn!(%member, "member has lost its lease for good, proposing eviction");
             }
         }
     }
 
-    /// Returns an eviction of a member, if there is ground for one.
+    /// Returns the reason to evict a member and the record for it, if there is one.
     fn eviction_reason(
         &self,
         now: Time,
@@ -106,11 +105,11 @@
         no_lessors.then(|| (EvictionReason::NoLessors, eviction(member, &no_proof(member))))
     }
 
-    /// Returns for how long a ground has to last before a member is evicted for it.
+    /// Returns how long a reason must hold before the eviction is proposed.
     fn eviction_delay(&self, reason: EvictionReason) -> Duration {
         match reason {
             EvictionReason::Proof => Duration::ZERO,
-            // Its last renewal was granted before the successor took its address.
+            // Its last grant predates the successor, so its lease has expired by then.
             EvictionReason::Successor => self.context.lease.term * 2,
             EvictionReason::NoLessors => self.context.lease.abandon,
         }
@@ -123,7 +122,7 @@
         same.next().map(|later| later.id)
     }
 
-    /// Returns the members that are proved expired and not yet evicted.
+    /// Returns the members whose lease is proved expired and which are not yet evicted.
     pub(super) fn expired(&self, now: Time) -> HashSet<MemberId> {
         let Some(identity) = &self.identity else { return HashSet::new() };
         let live = self.state.members().filter(|member| member.phase != Phase::Dead);
@@ -131,7 +130,7 @@
         expired.map(|member| member.id).collect()
     }
 
-    /// Returns this member's place among those that learn of an expired lease.
+    /// Returns this member's position among those that receive votes on a member.
     fn rank(&self, member: &Member) -> u32 {
         let Some(identity) = &self.identity else { return u32::MAX >> 8 };
         let recipients = vote_recipients(&self.state, member.id);
@@ -141,7 +140,7 @@
     }
 }
 
-/// Stands for votes where none are needed.
+/// Returns an empty proof, for evictions that need no votes.
 fn no_proof(member: &Member) -> Proof {
     Proof { version: member.version, votes: Vec::new(), lapsed: Vec::new() }
 }
--- a/acaciaringd/src/control/eviction/tests.rs
+++ b/acaciaringd/src/control/eviction/tests.rs
@@ -1,13 +1,11 @@
-//! Tests of the wait before an eviction.
+//! Tests of the delay before an eviction.
 
 use super::*;
 
 const MEMBER: MemberId = MemberId(1);
 
-/// A member has no lessors at first, and is given some. Much later its process starts anew on
-/// its address while its upstream lives on and holds its keys. The wait for the eviction of the
-/// former process must begin then: counted from the first moment it was over at once, and two
-/// upstreams held the keys.
+/// Guards against two upstreams that hold the same keys: a member evicted for a successor without
+/// delay, because the delay was counted from an earlier reason.
 #[test]
 fn eviction_delay_starts_with_its_own_reason() {
     let mut reasons = EvictionReasons::default();
--- a/acaciaringd/src/control/fold.rs
+++ b/acaciaringd/src/control/fold.rs
@@ -1,4 +1,4 @@
-//! Folding of the log's records, and what became of own proposals.
+//! Fold of log records into the replicated state, and settlement of own proposals.
 
 use std::mem;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 use super::Control;
 
-/// How far this member has come in the log.
+/// Progress of this member in the log.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     /// When records were last folded.
@@ -23,7 +23,7 @@
 }
 
 impl Control {
-    /// Folds records and learns what became of own proposals.
+    /// Folds a batch of records and settles own proposals among them.
     pub(super) fn on_batch(&mut self, now: Time, batch: &Batch) {
         let before = self.replica.state().next();
         self.context.recent.keep(batch);
@@ -38,12 +38,12 @@
                     }
                 }
             }
-            Err(error) => error!(%error, "the log cannot be folded"),
+            Err(error) => error!(%error, "cannot fold log records"),
         }
         let state = self.replica.state();
         let members = state.members().filter(|member| member.alive()).count();
         self.context.read_pacer.folded(self.replica.wanted(), batch.next, members);
-        // The first member of a new system finds no record; it would wait for one for ever.
+        // The log of a new cluster is empty; offsets start at 1.
         self.progress.caught_up |= state.next().max(1) >= batch.next;
         if state.next() != before {
             self.progress.last_folded = now;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Folds a batch; an assignment of slots is folded alone, to see which slots are new.
+    /// Folds a batch; each `Assign` is folded alone, to find the units that it founds.
     fn fold(&mut self, batch: &Batch) -> Result<Vec<Folded>, ReplicaError> {
         let mut folded = Vec::new();
         let mut rest = batch.clone();
--- a/acaciaringd/src/control/grant_mode.rs
+++ b/acaciaringd/src/control/grant_mode.rs
@@ -1,4 +1,4 @@
-//! The two ways in which an upstream is told what to hold.
+//! The two protocols by which an upstream is granted keys.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 
 use crate::heartbeat::Heartbeat;
 
-/// What is known of what the upstream holds, by the way in which it is told.
+/// Keys that the upstream holds, tracked by the protocol that grants them.
 #[derive(Debug)]
 pub(super) enum GrantMode {
-    /// In the replies to its reports, which say what it holds.
+    /// Grants are sent in replies to heartbeats, which report the held keys.
     Heartbeat(Holds),
-    /// By calls to it; its reports say nothing of it.
+    /// Grants are sent by calls to the upstream; heartbeats report no keys.
     Call(Orders),
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the present start of the upstream.
+    /// Returns the instance and start number of the running upstream.
     pub(super) const fn start(&self) -> Option<&Start> {
         match self {
             Self::Heartbeat(holds) => holds.start(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns true while the upstream runs requests for a unit under a token.
+    /// Returns true while the upstream accepts requests for a unit under a fencing token.
     pub(super) fn serves(
         &self,
         now: Time,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Notes that the upstream has refused a request for a unit that it should hold.
+    /// Records that the upstream has refused a request for a unit granted to it.
     pub(super) fn deny(&mut self, unit: UnitId, keys: &[RangeInclusive<u32>]) {
         match self {
             Self::Heartbeat(holds) => holds.deny(unit),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns what the upstream gave out when it released keys, empty when it gave nothing.
+    /// Returns the handover data that the upstream returned when it released keys, empty if none.
     pub(super) fn handover(&self, keys: &[RangeInclusive<u32>]) -> Name {
         match self {
             Self::Heartbeat(holds) => holds.handover(keys),
--- a/acaciaringd/src/control/handover.rs
+++ b/acaciaringd/src/control/handover.rs
@@ -1,4 +1,4 @@
-//! Rights of this member, and the release of units that pass to another one.
+//! Permits of this member, and the release of units that move to another member.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -14,31 +14,30 @@
 use crate::view::{Permit, Permits};
 use crate::wire;
 
-/// Time after which a release that was not acknowledged is sent again.
+/// Time after which an unacknowledged release is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A unit of a workspace that goes to a new server, with the version of the release.
+/// Release of a unit of a workspace to its new owner, with the version of the assignment.
 type UnitRelease = (Name, UnitId, Offset);
 
-/// Units that this member is to release, and how far it has come.
+/// Units that this member has to release, and the progress of each.
 #[derive(Debug, Default)]
 pub(super) struct Handover {
-    /// Units to release, with the version under which they are released.
+    /// Units to release, with the version of the assignment.
     pub(super) draining: HashMap<(Name, UnitId), Offset>,
-    /// Releases that were sent and when.
+    /// When each release was last sent.
     pub(super) sent: HashMap<UnitRelease, Time>,
-    /// Releases that the next server has acknowledged.
+    /// Releases that the new owner has acknowledged.
     pub(super) acknowledged: HashSet<UnitRelease>,
-    /// Releases that are still to be made.
+    /// Releases that are not yet acknowledged.
     ///
-    /// The log names a former owner until the unit moves again, so most of what is to be released
-    /// was released long ago. Looking through all of it in each round took a member with many
-    /// moves a fiftieth of its processor.
+    /// The log names a former owner until the unit moves again, so most of `draining` was released
+    /// long ago; iterating over all of it in each round would be slow.
     pending: Vec<UnitRelease>,
 }
 
 impl Control {
-    /// Computes what this member may serve.
+    /// Returns the units that this member may serve, now or soon.
     pub(super) fn permits(&mut self, now: Time) -> Permits {
         let mut permits = Permits::new();
         let state = Arc::clone(&self.state);
@@ -59,7 +58,7 @@
         permits
     }
 
-    /// Finds the units that the log has given to others and that this member is to release.
+    /// Finds the units that the log has assigned to others and that this member has to release.
     pub(super) fn find_draining(&mut self) {
         let Some(identity) = &self.identity else { return };
         let me = Some(identity.me);
@@ -86,7 +85,7 @@
             releases.filter(|release| !self.handover.acknowledged.contains(release)).collect();
     }
 
-    /// Releases units that have nothing in flight any more.
+    /// Releases units that have no requests in flight.
     ///
     /// The view without the permit is published before the requests in flight
     /// are counted, see [`crate::inflight::Inflight`].
@@ -103,10 +102,9 @@
         }
     }
 
-    /// Releases one unit; returns to whom the release is to be sent now.
+    /// Releases one unit if it is ready; returns the members that the release has to be sent to.
     ///
-    /// The standby of the new owner is told too: it may have to take over from
-    /// one that dies before it serves.
+    /// Includes the standby, which takes over if the new owner dies before it serves.
     fn release(&mut self, now: Time, release: &UnitRelease) -> Vec<MemberId> {
         let (workspace, unit, _) = release;
         let sent = self.handover.sent.get(release);
@@ -126,7 +124,7 @@
         if !identity.rights.release(workspace, *unit, assignment) {
             return Vec::new();
         }
-        debug!(%unit, ?assignment, "unit is released");
+        debug!(%unit, ?assignment, "unit released");
         self.handover.sent.insert(release.clone(), now);
         let recipients = [assignment.owner, assignment.standby];
         recipients.into_iter().flatten().filter(|recipient| *recipient != identity.me).collect()
@@ -147,20 +145,20 @@
             blind: wire::millis(blind),
             handovers: self.handovers(workspace, &units),
         };
-        debug!(%workspace, %to, units = units.len(), "releasing");
+        debug!(%workspace, %to, units = units.len(), "sending a release of units");
         let events = self.context.events.clone();
         let units = self.next_served(workspace, to, units);
         let workspace = Arc::clone(workspace);
         let done = move |reply: Option<reply::Body>| {
             if wire::accepted(reply.as_ref()) {
-                // Control may have ended in the meantime.
+                // The control thread may have ended.
                 let _ = events.send(Event::ReleaseDone { workspace, units });
             }
         };
         self.context.outbox.call(address, call::Body::Release(release), wire::CALL, Box::new(done));
     }
 
-    /// Returns what the upstream gave out for the next holder of each unit.
+    /// Returns the handover data that the upstream returned for each unit, empty if none.
     fn handovers(&self, workspace: &Name, units: &[(UnitId, Offset)]) -> Vec<String> {
         let Some(service) = self.state.service(workspace).filter(|service| service.founded) else {
             return Vec::new();
@@ -169,11 +167,10 @@
         units.iter().map(|(unit, _)| handover(*unit)).collect()
     }
 
-    /// Returns the units that a member is to serve next: as owner, or as standby of a closed owner.
+    /// Returns the units that a member serves next: as owner, or as standby of this closed member.
     ///
-    /// A message carries units of both kinds, those that the member serves next
-    /// and those for which it stands by. Only the first are done with its reply;
-    /// were the message judged as a whole, a mixed one would be sent for ever.
+    /// A message also carries units for which the member is only the standby. Its reply completes
+    /// only the units returned here; judged as a whole, a mixed message would be resent forever.
     fn next_served(
         &self,
         workspace: &Name,
@@ -189,7 +186,7 @@
         units.into_iter().filter(serves_next).collect()
     }
 
-    /// Notes that the new server of units knows of their release.
+    /// Records that the new owner has acknowledged the release of units.
     pub(super) fn on_release_done(&mut self, workspace: &Name, units: &[(UnitId, Offset)]) {
         for (unit, version) in units {
             self.handover.acknowledged.insert((Arc::clone(workspace), *unit, *version));
@@ -198,7 +195,7 @@
         self.handover.pending.retain(|release| !acknowledged.contains(release));
     }
 
-    /// Takes in a release by another member, with what it remembers of the units.
+    /// Handles a release by another member, with the deduplication state of the units.
     pub(super) fn on_release(&mut self, release: &Release) {
         self.require_record(release.units.iter().map(|unit| unit.version).max().unwrap_or(0));
         let Some(identity) = &mut self.identity else { return };
@@ -217,7 +214,7 @@
         self.dirty = true;
     }
 
-    /// Returns the address of a member for other members.
+    /// Returns the peer address of a member.
     pub(super) fn address(&self, member: MemberId) -> Option<std::net::SocketAddr> {
         self.state.member(member).and_then(crate::view::peer_address)
     }
--- a/acaciaringd/src/control/identity.rs
+++ b/acaciaringd/src/control/identity.rs
@@ -1,4 +1,4 @@
-//! One identity of this process: from its `Join` record to its end.
+//! State of one member identity of this process, from its `Join` record to its end.
 
 use std::collections::HashSet;
 
@@ -7,18 +7,18 @@
 use acaciaring_core::state::{Assignment, State};
 use acaciaring_core::{MemberId, Name, Time, UnitId};
 
-/// What belongs to one member identity and is never carried over to the next.
+/// State of one member identity; none of it is carried over to the next one.
 pub(crate) struct Identity {
     pub(crate) me: MemberId,
     pub(crate) holder: Holder,
     pub(crate) lessor: Lessor,
     pub(crate) tally: Tally,
     pub(crate) rights: Rights,
-    /// Why this identity is on its way out, if it is.
+    /// Why this identity is retiring, if it is.
     pub(crate) retiring: Option<EndReason>,
-    /// Since when it is on its way out.
+    /// When it began to retire.
     pub(crate) retiring_since: Time,
-    /// True while the lease was held when it was last looked at.
+    /// True if the lease was held at the last check.
     pub(crate) was_leased: bool,
 }
 
@@ -27,14 +27,14 @@
 pub(crate) enum EndReason {
     /// The process was told to stop.
     Stop,
-    /// The upstream is leaving or lost.
+    /// The upstream is leaving or does not answer.
     Upstream,
     /// The lease has been lost for too long, or for good.
     Lease,
 }
 
 impl Identity {
-    /// Makes an identity whose `Join` was first sent at `start`.
+    /// Creates an identity whose `Join` was first submitted at `start`.
     pub(crate) fn new(me: MemberId, start: Time, settings: LeaseSettings) -> Self {
         Self {
             me,
@@ -48,9 +48,9 @@
         }
     }
 
-    /// Returns the members that may serve, those whose lease is over for good left out.
+    /// Returns the members whose lease is not proved expired.
     ///
-    /// To be asked once for all units: each answer counts votes.
+    /// Counts the votes on every member, so call it once for all units.
     pub(crate) fn live(&self, now: Time, state: &State) -> HashSet<MemberId> {
         let live = state.members().filter(|member| !self.tally.expired(now, member));
         live.map(|member| member.id).collect()
@@ -65,22 +65,22 @@
         unit: UnitId,
         assignment: &Assignment,
     ) -> Right {
-        // A member that the state does not remember has been dead for long.
+        // A member that the state no longer contains is dead.
         let expired = |id| !live.contains(&id);
         self.rights.decide(now, &self.holder, workspace, unit, assignment, expired)
     }
 
     /// Returns true while this identity renews its lease.
     ///
-    /// One that is given up for its lost lease must not get it back: its `Exit` lets the standbys
-    /// serve as soon as they read it.
+    /// An identity that ends because of a lost lease must not regain it: standbys serve as soon as
+    /// they read its `Exit`.
     pub(crate) fn renews(&self) -> bool {
         self.retiring != Some(EndReason::Lease)
     }
 
-    /// Begins the end of this identity; a stop of the process replaces other reasons but a lost lease.
+    /// Begins to retire; a stop of the process overrides `Upstream`, but not `Lease`.
     ///
-    /// Returns true when the end had not begun before.
+    /// Returns true if the identity was not yet retiring.
     pub(crate) fn retire(&mut self, now: Time, reason: EndReason) -> bool {
         let begins = self.retiring.is_none();
         match self.retiring {
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -1,4 +1,4 @@
-//! Renewals, grants and votes.
+//! Lease protocol: renewals, grants and votes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,26 +17,26 @@
 use crate::view::peer_address;
 use crate::wire;
 
-/// Time between two sendings of the same votes, while they are new.
+/// Interval at which recent votes are sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The same once they are old, for example while the log is down and no eviction is recorded.
+/// Interval at which old votes are sent again, for example while the log is down.
 const OLD_RESEND_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Age from which a vote is old.
+/// Age from which votes are sent at the longer interval.
 const OLD_VOTE_AGE: Duration = Duration::from_secs(2);
 
-/// Votes of this member about others.
+/// Times of this member's votes.
 #[derive(Debug, Default)]
 pub(super) struct Voting {
     /// When votes were last sent.
     last_sent: Time,
-    /// When a new one was last cast.
+    /// When a new vote was last cast.
     last_cast: Time,
 }
 
 impl Control {
-    /// Sends the renewals that are due and publishes the end of the lease.
+    /// Sends the renewals that are due and publishes the expiry of the lease.
     pub(super) fn renew(&mut self, now: Time) {
         let Some(identity) = self.identity.as_mut().filter(|identity| identity.renews()) else {
             self.context.shared.lease.set(Time::ZERO);
@@ -72,11 +72,11 @@
         let end = identity.holder.until().unwrap_or(Time::ZERO);
         let before = self.context.shared.lease.get();
         self.context.shared.lease.set(end);
-        // Rights that waited for the lease are computed anew.
+        // Permits that depend on the lease have to be recomputed.
         self.dirty |= before <= now && end > now;
     }
 
-    /// Counts a lease that ended although this member did not mean to stop.
+    /// Counts a lease that expired while this member was not leaving.
     fn count_loss(&mut self, now: Time) {
         let held = self.context.shared.lease.get() > now;
         let Some(identity) = &mut self.identity else { return };
@@ -87,7 +87,7 @@
         identity.was_leased = held;
     }
 
-    /// Handles a datagram of another member.
+    /// Handles a datagram from another member.
     pub(super) fn on_datagram(&mut self, now: Time, from: SocketAddr, datagram: Datagram) {
         match datagram.body {
             Some(datagram::Body::Renew(renew)) => self.on_renew(now, from, &renew),
@@ -97,7 +97,7 @@
                 self.on_grant(now, &grant);
             }
             Some(datagram::Body::Loads(loads)) => self.on_loads(now, &loads),
-            None => warn!(%from, "datagram without body"),
+            None => warn!(%from, "received a datagram without body, ignoring it"),
         }
     }
 
@@ -112,7 +112,7 @@
         let abandoned = identity.holder.abandoned(now);
         let holder = MemberId(renew.holder);
         let answer = identity.lessor.renew(now, holder, renew.version, abandoned);
-        // One that only prepares to make this member its lessor is not voted on.
+        // A holder that only prepares this member as lessor must not be voted on by it.
         let known = self.state.member(holder).filter(|member| member.version == renew.version);
         if known.is_some_and(|member| !member.lessors.contains(&identity.me)) {
             identity.lessor.unlearn(holder, renew.version);
@@ -138,11 +138,11 @@
         let lessor = MemberId(grant.lessor);
         identity.holder.granted(now, lessor, grant.seq, grant.granted, grant.version);
         if !grant.granted {
-            // The log may have ended this identity.
+            // The log may contain the eviction of this identity.
             self.context.read_pacer.request_before(grant.applied);
         }
-        // New lessors are ready while their grants are newer than those of the present ones,
-        // which the next round of duties may miss each time.
+        // New lessors are ready only while their grants are newer than those of the current ones,
+        // which periodic maintenance could miss every time.
         let preparing = identity.holder.preparing() && identity.retiring.is_none();
         self.publish_lease(now);
         if preparing {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Keeps holder, lessor and tally in step with the folded members.
+    /// Updates holder, lessor and tally from the folded members.
     pub(super) fn update_members(&mut self, now: Time) {
         let state = std::sync::Arc::clone(&self.state);
         let Some(identity) = &mut self.identity else { return };
@@ -158,8 +158,8 @@
         for member in state.members() {
             if member.phase == Phase::Dead {
                 identity.lessor.forget(member.id);
-                // The death of a member that never had lessors stands in for no vote:
-                // it gives up its identity only when it reads of it.
+                // The death of a member without lessors cannot replace its vote: it keeps its
+                // identity until it reads the record.
                 if !member.lessors.is_empty() {
                     identity.tally.died(now, member.id);
                 }
@@ -181,14 +181,14 @@
         identity.rights.prune(me, &state);
     }
 
-    /// Votes on members whose grant has run out.
+    /// Votes on members whose grant has expired, and sends votes again.
     pub(super) fn cast_votes(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
         let leased = identity.holder.holds(now);
         let mut votes = Vec::new();
         for member in identity.lessor.expired(now) {
             if let Some(vote) = identity.lessor.vote(now, member, leased) {
-                warn!(member = %vote.member, "grant has expired, voting");
+                warn!(member = %vote.member, "grant has expired, voting for eviction");
                 identity.tally.vote(identity.me, vote.member, vote.version);
                 votes.push(vote);
             }
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Sends a vote to all that may act on it: lessors, standbys and waiting owners.
+    /// Sends a vote to all members that may act on it: lessors, next owners and standbys.
     fn send_vote(&self, vote: Vote) {
         let Some(identity) = &self.identity else { return };
         let message =
@@ -226,12 +226,12 @@
         }
     }
 
-    /// Takes in a vote of another lessor.
+    /// Handles a vote of another lessor.
     pub(super) fn on_vote(&mut self, vote: log::Vote) {
         self.require_record(vote.version);
         let Some(identity) = &mut self.identity else { return };
         if vote.member == identity.me.0 {
-            info!(lessor = vote.lessor, "a lessor has voted on this member");
+            info!(lessor = vote.lessor, "a lessor has voted for the eviction of this member");
             return;
         }
         identity.tally.vote(MemberId(vote.lessor), MemberId(vote.member), vote.version);
@@ -239,7 +239,7 @@
     }
 }
 
-/// Returns true when the log names a member as owner, standby or prior of nothing.
+/// Returns true when no assignment in the log names a member.
 pub(super) fn is_unassigned(state: &State, member: MemberId) -> bool {
     if state.owned(member) > 0 || state.standing_by(member) > 0 {
         return false;
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -1,4 +1,6 @@
 //! Control thread: the only writer of membership, lease and ownership state.
+//!
+//! It folds the replicated log into that state, and handles events of other threads one by one.
 
 mod balance;
 mod catch_up;
@@ -67,19 +69,19 @@
 use crate::view::{Shared, UpstreamEndpoint, View};
 use crate::vital;
 
-/// Longest time between two rounds of the control thread.
+/// Longest time between two rounds of the control loop.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Further events that are handled before a round.
+/// Queued events handled before each round, beyond the first.
 ///
-/// Guards against a member that falls behind: a round looks at all units, and answers to orders and
-/// releases come by the dozen. With a round for each, orders waited until their grants had lapsed.
+/// Guards against a backlog: a round iterates over all units, so one round per event would delay
+/// orders until their grants have expired.
 const EVENTS_PER_ROUND: usize = 64;
 
-/// Time between two rounds of slow duties: proposals, lessors, placement.
+/// Interval of periodic maintenance: proposals, lessors, placement, balancing, snapshots.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Place of this process, from its settings.
+/// Failure domains and addresses of this process, published in its `Join` record.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Location {
     pub(crate) vm: String,
@@ -90,15 +92,15 @@
     pub(crate) http: String,
 }
 
-/// What the control thread works with.
+/// Settings, shared state and channels of the control thread.
 pub(crate) struct ControlContext {
     pub(crate) location: Location,
     pub(crate) lease: LeaseSettings,
-    /// Bound on a stop.
+    /// Upper bound on the duration of a graceful shutdown.
     pub(crate) drain_timeout: Duration,
-    /// Where a stop is told that nothing is left to hand over.
+    /// Notified when a stopping process has nothing left to hand over.
     pub(crate) drained: Sender<()>,
-    /// Time between two decisions of balance.
+    /// Time between two balancing decisions.
     pub(crate) balance_interval: Duration,
     pub(crate) balance: BalanceSettings,
     /// Records after which a snapshot is due.
@@ -112,36 +114,36 @@
     pub(crate) read_pacer: Arc<ReadPacer>,
     pub(crate) events: Sender<Event>,
     pub(crate) metrics: Metrics,
-    /// Log service, for the records that a snapshot covers.
+    /// Log service, to trim the records that a snapshot covers.
     pub(crate) log: Arc<dyn LogService>,
     pub(crate) declarations: Arc<Declarations>,
-    /// Client of the upstream, for orders to it.
+    /// Client that sends orders to the upstream.
     pub(crate) outlet: Arc<dyn Outlet>,
-    /// How the upstream announces itself, and how it is told what to hold.
+    /// Settings of the upstream: heartbeats and grants.
     pub(crate) upstream: Upstream,
 }
 
-/// Join of an identity that is not yet in the log.
+/// `Join` that is not yet in the log.
 #[derive(Debug, Clone, Copy)]
 struct Joining {
     nonce: u64,
-    /// When the record was first handed to the appender.
+    /// When the record was first submitted.
     start: Time,
 }
 
-/// Announcement of the upstream and when it came.
+/// Last announcement of the upstream, and when it was received.
 #[derive(Debug, Clone)]
 struct Announced {
     announcement: Announcement,
     at: Time,
 }
 
-/// Control state.
+/// State of the control thread.
 pub(crate) struct Control {
     context: ControlContext,
     replica: Replica,
     proposals: Proposals,
-    /// Answers to recent publishes through this member.
+    /// Replies to recent publishes through this member.
     publish_replies: PublishReplies,
     identity: Option<Identity>,
     joining: Option<Joining>,
@@ -155,21 +157,21 @@
     roles: Roles,
     replication: Replication,
     handover: Handover,
-    /// Grounds for evictions of other members.
+    /// Reasons to evict other members.
     eviction_reasons: EvictionReasons,
-    /// When a workspace was first seen with slots that have no owner.
+    /// When each workspace was first seen with slots that have no owner.
     vacant: HashMap<Name, Time>,
     balance: Balance,
     state: Arc<State>,
     progress: Progress,
     snapshots: Snapshots,
     voting: Voting,
-    /// When the slow duties were last done.
+    /// When the periodic maintenance last ran.
     last_maintenance: Time,
     stopping: Option<Stopping>,
-    /// True when rights must be computed anew.
+    /// True when the published view is out of date.
     dirty: bool,
-    /// True while the gate takes no new requests.
+    /// True while the gate accepts no new requests.
     closed: bool,
 }
 
@@ -244,10 +246,10 @@
         match event {
             Event::Batch(batch, done) => {
                 self.on_batch(now, &batch);
-                // The reader may have ended with the process.
+                // The reader thread may have ended.
                 let _ = done.send(());
             }
-            // What the log service itself has brought in the meantime is not wanted.
+            // The log service has already delivered these records.
             Event::Relayed(batch) if batch.next < self.replica.wanted() => {}
             Event::Relayed(batch) => self.on_batch(now, &batch),
             Event::Datagram(from, datagram) => self.on_datagram(now, from, datagram),
@@ -266,7 +268,7 @@
             Event::UpstreamLeaves(instance, reply) => {
                 self.on_upstream_leaves(now, &instance);
                 self.refresh(now);
-                // The sender may have gone away.
+                // The sender may have disconnected.
                 let _ = reply.send(());
             }
             Event::OrderAnswered(number, answer) => self.on_order_answered(now, number, &answer),
@@ -280,10 +282,10 @@
         }
     }
 
-    /// Takes over what the folded state says.
+    /// Updates what depends on the folded state after records were folded.
     fn on_folded(&mut self, now: Time) {
         self.dirty = true;
-        // What the records call for, for example a new standby to be told, is done at once.
+        // Maintenance that the records require, such as a sync to a new standby, runs at once.
         self.last_maintenance = Time::ZERO;
         self.find_identity();
         self.trust_members();
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Appends a `Join` once the log is folded to its end.
+    /// Proposes a `Join` once the log is folded to its end.
     fn join(&mut self, now: Time) {
         if self.identity.is_some() || !self.progress.caught_up || self.stopping.is_some() {
             return;
@@ -335,20 +337,20 @@
         self.proposals.propose(now, Purpose::Join, record::Body::Join(join));
     }
 
-    /// Takes the identity that the log gave to this process.
+    /// Adopts the member id that the log has assigned to this process.
     fn find_identity(&mut self) {
         let Some(joining) = self.joining else { return };
         let vm = &self.context.location.vm;
         let mine =
             self.state.members().find(|member| member.nonce == joining.nonce && *member.vm == **vm);
         let Some(member) = mine else { return };
-        info!(member = %member.id, "joined");
+        info!(member = %member.id, "joined the cluster");
         self.joining = None;
         self.identity = Some(Identity::new(member.id, joining.start, self.context.lease));
         self.context.shared.joined.store(true, Ordering::Release);
     }
 
-    /// Computes the rights anew and publishes them.
+    /// Recomputes the rights of this member and publishes a new view.
     fn refresh(&mut self, now: Time) {
         if !self.dirty {
             return;
@@ -379,7 +381,7 @@
         }
     }
 
-    /// Returns the routes in force: those that are declared, or those of the log.
+    /// Returns the routes in force: the declared ones if there are any, else those of the log.
     fn routes(&self) -> Arc<Routes> {
         if let Some(declared) = &self.declared {
             return Arc::new(declared.routes.clone());
@@ -387,7 +389,7 @@
         Arc::new(self.state.routes().values().cloned().collect())
     }
 
-    /// Tells the transport which certificates belong to members that are not dead.
+    /// Restricts the transport to certificates of members that are not dead.
     fn trust_members(&self) {
         let live = self.state.members().filter(|member| member.phase != Phase::Dead);
         self.context.transport.trust(live.map(|member| member.fingerprint.as_slice()));
--- a/acaciaringd/src/control/orders.rs
+++ b/acaciaringd/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an upstream that is told by calls what to hold.
+//! Orders that grant and release keys of an upstream that is managed by calls.
 
 use std::cell::LazyCell;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::view::{Permit, Permits};
 
 impl Control {
-    /// Takes over which units the upstream is to hold, by the rights of this member.
+    /// Sets the units that the upstream is to hold, according to the permits of this member.
     pub(super) fn update_orders(&mut self, permits: &Permits) {
         if !matches!(self.upstream.mode, GrantMode::Call(_)) {
             return;
@@ -46,9 +46,9 @@
         wanted
     }
 
-    /// Gives the orders that are due.
+    /// Sends the orders that are due.
     ///
-    /// The view without what is to be released is published before the requests in flight are
+    /// The view without the units to be released is published before the requests in flight are
     /// counted, see [`crate::inflight::Inflight`].
     pub(super) fn send_orders(&mut self, now: Time) {
         let lease = self.context.shared.lease.get();
@@ -68,31 +68,31 @@
                 connects,
                 instance: Arc::clone(&endpoint.instance),
             };
-            debug!(number, order = ?call.order, "order to the upstream");
+            debug!(number, order = ?call.order, "sending an order to the upstream");
             let (outlet, events) = (Arc::clone(&self.context.outlet), self.context.events.clone());
             self.context.transport.runtime().spawn(async move {
                 let answer = outlet.order(call).await;
-                // Control may have ended in the meantime.
+                // The control thread may have ended.
                 let _ = events.send(Event::OrderAnswered(number, answer));
             });
         }
     }
 
-    /// Takes in what came of an order.
+    /// Handles the answer to an order.
     pub(super) fn on_order_answered(&mut self, now: Time, number: u64, answer: &Answer) {
         let GrantMode::Call(orders) = &mut self.upstream.mode else { return };
         let Some(settled) = orders.settle(now, number, answer) else { return };
         log(&settled, answer);
         self.dirty |= settled.changed;
-        // An upstream that carries out orders lives, also when its reports do not get here.
+        // An executed order proves that the upstream is alive, even if its reports are lost.
         if let (Answer::Done { .. }, Some(announced)) = (answer, &mut self.announced) {
             announced.at = now;
         }
     }
 
-    /// Notes that the upstream has refused a request for a unit that it should hold.
+    /// Handles the refusal of a request for a unit that the upstream should hold.
     pub(super) fn on_unit_denied(&mut self, workspace: &Name, unit: UnitId) {
-        info!(%workspace, %unit, "the upstream does not hold what it was given");
+        info!(%workspace, %unit, "the upstream refused a request for a unit granted to it");
         let service = self.state.service(workspace);
         let keys = service.map(|service| service.numbers(unit)).unwrap_or_default();
         self.upstream.mode.deny(unit, &keys);
@@ -100,7 +100,7 @@
     }
 }
 
-/// Writes a line for each order that changes what this process believes.
+/// Logs orders that were refused, changed the known state, or have an unknown result.
 fn log(settled: &Settled, answer: &Answer) {
     let Order { first, last, token, action } = &settled.order;
     let what = match action {
--- a/acaciaringd/src/control/placement.rs
+++ b/acaciaringd/src/control/placement.rs
@@ -1,4 +1,4 @@
-//! Attachment of the upstream, choice of lessors, first assignment of slots.
+//! Attachment of the upstream, choice of lessors, and assignment of slots without owner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,20 +18,20 @@
 use crate::metrics::Counter;
 use crate::view::UpstreamEndpoint;
 
-/// Time for which members may join before slots without owner are assigned.
+/// Time for which slots stay without owner before they are assigned, so that more members can join.
 const ASSIGN_DELAY: Duration = Duration::from_secs(1);
 
 /// Slots of a declared service.
 ///
-/// With 16 numbers each, a few busy neighbours fall into several slots; more would cost each
-/// member time at every record.
+/// Each slot covers 16 key numbers, so that a few busy neighbouring keys fall into several slots;
+/// more slots would make the fold of each record slower.
 const DECLARED_SLOTS: u32 = 4096;
 
-/// Delay of an assignment per rank, so that not all members append it.
+/// Delay per rank, so that not every member proposes the assignment.
 const RANK_DELAY: Duration = Duration::from_millis(300);
 
 impl Control {
-    /// Proposes what this member lacks: an attachment, better lessors, owners for slots.
+    /// Proposes an attachment, better lessors and owners for slots, where they are missing.
     pub(super) fn propose_placement(&mut self, now: Time) {
         self.leave_without_log(now);
         if self.retiring() {
@@ -42,11 +42,11 @@
         self.assign(now);
     }
 
-    /// Takes in an announcement of the upstream beside this member.
+    /// Handles an announcement of the local upstream.
     pub(super) fn on_announcement(&mut self, now: Time, announcement: Announcement) {
         if announcement.phase == Phase::Draining {
             if self.endpoint.is_some() {
-                info!("the upstream is leaving");
+                info!("the upstream is leaving, moving its units to other members");
             }
             self.announced = None;
             self.detach(now);
@@ -66,10 +66,10 @@
         self.dirty = true;
     }
 
-    /// Attaches the upstream once this member can serve.
+    /// Proposes to attach the upstream once this member holds its lease.
     ///
-    /// Without a lease it would be given units that nobody serves, and with
-    /// units it could no longer exchange lessors that are gone for others.
+    /// Without a lease it would own units that nobody serves, and a member that owns units can no
+    /// longer replace lessors that are gone.
     fn attach(&mut self, now: Time) {
         let Some(announced) = &self.announced else { return };
         let announcement = &announced.announcement;
@@ -93,12 +93,11 @@
         }
     }
 
-    /// Proposes a better lessor set; from here on the majorities of both sets are needed.
+    /// Proposes a better lessor set; once proposed, majorities of both sets are needed.
     ///
-    /// A member that holds its lease asks the new lessors first. One that has none and owns
-    /// nothing leaves out those that do not answer. Guards against a start of all members in which
-    /// some VMs end for good: a newcomer whose lessors they were would wait until they are
-    /// evicted, and its upstream would have no keys as long.
+    /// A member that holds its lease first obtains grants from the new lessors. One without lease
+    /// and units leaves out lessors that do not answer: it would otherwise have no lease until dead
+    /// ones are evicted, for example after a restart of all VMs in which some do not return.
     pub(super) fn improve_lessors(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
         let Some(member) = self.state.member(identity.me) else { return };
@@ -143,7 +142,7 @@
             let slots = self.slots(&workspace);
             let body = record::Body::Assign(Assign { workspace: workspace.to_string(), slots });
             if self.proposals.propose(now, Purpose::Assign(Arc::clone(&workspace)), body) {
-                info!(%workspace, "proposing owners for slots without one");
+                info!(%workspace, "proposing owners for slots without owner");
             }
         }
     }
@@ -158,7 +157,7 @@
         declared.filter(lacks).cloned().collect()
     }
 
-    /// Returns the count of slots into which a declared service is divided, 0 for others.
+    /// Returns the number of slots of a declared service that is divided by key, 0 for others.
     fn slots(&self, workspace: &Name) -> u32 {
         let keyed = |declared: &Arc<Declared>| declared.keyed.contains(workspace);
         if self.declared.as_ref().is_some_and(keyed) { DECLARED_SLOTS } else { 0 }
@@ -174,7 +173,7 @@
             && members.any(|member| member.alive() && !member.lessors.is_empty())
     }
 
-    /// Submits a proposal, and takes back what was given up for it when it cannot be queued.
+    /// Submits a proposal; restores the rights given up for it if it cannot be queued.
     pub(super) fn submit(&mut self, proposal: Proposal, body: record::Body) {
         let (renounced, changed) = (proposal.renounced.clone(), proposal.changed.clone());
         let purpose = proposal.purpose.clone();
@@ -188,7 +187,7 @@
         }
     }
 
-    /// Learns what became of an own proposal.
+    /// Handles the outcome of an own proposal.
     pub(super) fn on_settled(&mut self, proposal: &Proposal, record: &Folded) {
         let applied = matches!(record.outcome, Outcome::Applied);
         if !applied {
@@ -217,7 +216,7 @@
     }
 }
 
-/// Takes back what was given up for a record that is not and will not be applied.
+/// Restores the rights given up for a record that is not and will not be applied.
 fn restore(rights: &mut Rights, purpose: &Purpose, renounced: &[(Name, UnitId, Offset)]) {
     for (workspace, unit, version) in renounced {
         rights.restore(workspace, *unit, *version);
--- a/acaciaringd/src/control/proposal.rs
+++ b/acaciaringd/src/control/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals of this member that are not yet settled.
+//! Log records that this member has proposed and whose outcome is not yet known.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use super::event::PublishReply;
 use crate::appender::{Appender, RecordId};
 
-/// Time after which a proposal that was not seen in the log is proposed anew.
+/// Time after which a proposal that was not seen in the log is dropped and may be repeated.
 ///
-/// Only proposals that name a version, or that are idempotent, are dropped this
-/// way: the first to be folded makes the others stale.
+/// Only for proposals that name a version or are idempotent: the first one folded makes the others
+/// stale.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Further time for the outcome of a try that is under way, so that the operator gets a final answer.
+/// Extra time for an append attempt in progress, so that the operator gets a definite result.
 const ATTEMPT_GRACE: Duration = Duration::from_secs(2);
 
-/// Records in doubt that are kept.
+/// Maximum number of in-doubt records that are remembered.
 const MAX_IN_DOUBT: usize = 256;
 
-/// What a proposal is for; at most one of each is open.
+/// Purpose of a proposal; at most one proposal per purpose is open.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) enum Purpose {
     Join,
@@ -46,9 +46,9 @@
 pub(crate) struct Proposal {
     pub(crate) purpose: Purpose,
     pub(crate) since: Time,
-    /// Standby roles that are renounced until the outcome is known.
+    /// Standby roles renounced until the outcome is known, with the version of the assignment.
     pub(crate) renounced: Vec<(Name, UnitId, Offset)>,
-    /// Hot keys of a split or merge whose outcome is not known.
+    /// Hot keys that the proposal splits or merges.
     pub(crate) changed: Vec<(Name, UnitId)>,
     pub(crate) reply: Option<Sender<PublishReply>>,
 }
@@ -60,7 +60,7 @@
     in_doubt: InDoubt,
 }
 
-/// Records that were given up although they may have been appended.
+/// Abandoned records that may have been appended all the same, oldest first.
 #[derive(Debug, Default)]
 struct InDoubt(VecDeque<RecordId>);
 
@@ -86,12 +86,12 @@
         self.submit(proposal, body)
     }
 
-    /// Proposes a record with all that depends on its outcome.
+    /// Submits a proposal; returns false if one for its purpose is open or the queue is full.
     pub(crate) fn submit(&mut self, proposal: Proposal, body: record::Body) -> bool {
         self.submit_as(rand::rng().random(), proposal, body)
     }
 
-    /// Proposes a record under an id that was chosen elsewhere.
+    /// Submits a proposal under a given id; returns false in the same cases.
     pub(crate) fn submit_as(
         &mut self,
         id: RecordId,
@@ -109,19 +109,19 @@
         true
     }
 
-    /// Appends a record whose outcome nobody waits for.
+    /// Appends a record without tracking its outcome.
     pub(crate) fn append(&self, record: Record) {
         if let Ok(id) = RecordId::try_from(record.id.as_slice()) {
             self.appender.propose(id, record);
         }
     }
 
-    /// Returns true when an earlier proposal with this id may have been appended.
+    /// Returns true when an abandoned proposal with this id may have been appended.
     pub(crate) fn in_doubt(&self, id: &RecordId) -> bool {
         self.in_doubt.0.contains(id)
     }
 
-    /// Gives an open proposal another to answer to; returns false when there is none.
+    /// Replaces the reply channel of an open proposal; returns false when there is none.
     pub(crate) fn set_reply(&mut self, id: &RecordId, reply: &Sender<PublishReply>) -> bool {
         let proposal = self.open.get_mut(id);
         proposal.is_some_and(|proposal| {
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Takes the proposal that a folded record settles.
+    /// Removes and returns the proposal that a folded record settles.
     pub(crate) fn settle(&mut self, id: &RecordId, outcome: &Outcome) -> Option<Proposal> {
         if matches!(outcome, Outcome::Duplicate) {
             return None;
@@ -139,10 +139,10 @@
         self.open.remove(id)
     }
 
-    /// Drops proposals that may be repeated under a new id.
+    /// Drops timed-out proposals that may be repeated under a new id.
     ///
-    /// A record whose role was renounced stays: its outcome must be known before
-    /// the role may be used again. So does a join, which must not be folded twice.
+    /// A record with renounced roles or changed keys is kept: its outcome must be known before they
+    /// may be used again. So is a join, which must not be folded twice.
     pub(crate) fn expire(&mut self, now: Time) {
         let (appender, in_doubt) = (&self.appender, &mut self.in_doubt);
         self.open.retain(|id, proposal| {
@@ -159,7 +159,7 @@
         });
     }
 
-    /// Forgets all proposals of an identity that was given up.
+    /// Abandons all proposals, when the identity that made them has ended.
     pub(crate) fn clear(&mut self) {
         for (id, proposal) in self.open.drain() {
             self.in_doubt.abandon(&self.appender, &id, &proposal);
@@ -168,14 +168,14 @@
 }
 
 impl InDoubt {
-    /// Ends the tries of a proposal; an operator hears of it only if nothing was or will be appended.
+    /// Stops append attempts; answers the operator only if the record is certainly not appended.
     fn abandon(&mut self, appender: &Appender, id: &RecordId, proposal: &Proposal) {
         let may_exist = appender.settle(id);
         let Some(reply) = &proposal.reply else { return };
         if may_exist {
             self.add(*id);
         } else if !self.0.contains(id) {
-            // The operator may have gone away.
+            // The operator may have disconnected.
             let _ = reply.send(PublishReply::NotAppended);
         }
     }
--- a/acaciaringd/src/control/publish.rs
+++ b/acaciaringd/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Documents that operators publish through this member.
+//! Publication of operators' documents through this member.
 
 use std::collections::VecDeque;
 
@@ -11,10 +11,10 @@
 use super::event::PublishReply;
 use super::proposal::{Proposal, Purpose};
 
-/// Answers that are kept for a repeat.
+/// Maximum number of replies that are remembered for retries.
 const MAX_REPLIES: usize = 256;
 
-/// Answers to recent publishes, so that a repeat with the same id gets the same one.
+/// Replies to recent publishes, so that a retry with the same id gets the same reply.
 #[derive(Debug, Default)]
 pub(super) struct PublishReplies {
     replies: VecDeque<(RecordId, PublishReply)>,
@@ -34,7 +34,7 @@
 }
 
 impl Control {
-    /// Appends a document on behalf of an operator, once for all repeats of an id.
+    /// Appends a document on behalf of an operator, once for all retries with the same id.
     pub(super) fn publish(
         &mut self,
         now: Time,
@@ -43,7 +43,7 @@
         reply: &Sender<PublishReply>,
     ) {
         if let Some(answer) = self.known_reply(&id) {
-            // The operator may have gone away.
+            // The operator may have disconnected.
             let _ = reply.send(answer);
             return;
         }
@@ -59,7 +59,7 @@
         };
         let queued = self.proposals.submit_as(id, proposal, record::Body::Publish(publish));
         if !queued && !self.proposals.in_doubt(&id) {
-            // The operator may have gone away.
+            // The operator may have disconnected.
             let _ = reply.send(PublishReply::NotAppended);
         }
     }
@@ -69,13 +69,13 @@
         known.or_else(|| self.state.remembers(id).then_some(PublishReply::Before))
     }
 
-    /// Tells the operator, and a repeat, what became of an own publish.
+    /// Sends the outcome of a publish to the operator and remembers it for retries.
     pub(super) fn published(&mut self, proposal: &Proposal, record: &Folded) {
         let Purpose::Publish(id) = proposal.purpose else { return };
         let answer =
             PublishReply::Folded { offset: record.offset, outcome: record.outcome.clone() };
         if let Some(reply) = &proposal.reply {
-            // The operator may have gone away.
+            // The operator may have disconnected.
             let _ = reply.send(answer.clone());
         }
         self.publish_replies.insert(id, answer);
--- a/acaciaringd/src/control/replication.rs
+++ b/acaciaringd/src/control/replication.rs
@@ -1,4 +1,4 @@
-//! Replication to standbys of what may run at most once.
+//! Replication of deduplication state to standbys, for requests that may run at most once.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,23 +13,23 @@
 use crate::view::{Permit, Synced};
 use crate::wire;
 
-/// Time after which a sync that was not acknowledged is sent again.
+/// Time after which an unacknowledged sync is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the standbys of this member's units know.
+/// Replication to the standbys of this member's units.
 #[derive(Debug, Default)]
 pub(super) struct Replication {
-    /// Standbys that know what this member remembers.
+    /// Standby that has acknowledged the sync of each unit.
     pub(super) synced: Synced,
-    /// Units whose standby was told and has not acknowledged, and when.
+    /// When the sync of each unacknowledged unit was last sent.
     pub(super) sent: HashMap<(Name, UnitId), Time>,
 }
 
 impl Control {
-    /// Sends to each new standby what this owner remembers of its units.
+    /// Sends the deduplication state of units to each standby that has not acknowledged it.
     ///
-    /// Until the standby has acknowledged it, the gate refuses requests that may
-    /// run once: after a takeover the standby would not know of earlier ones.
+    /// Until then the gate refuses requests that may run at most once: after a takeover the standby
+    /// would not recognise earlier ones.
     pub(super) fn replicate(&mut self, now: Time) {
         let mut batches: HashMap<(Name, MemberId), Vec<UnitId>> = HashMap::new();
         for (workspace, unit, standby) in self.unsynced() {
@@ -53,7 +53,7 @@
     /// Returns the units served here whose standby has not acknowledged a sync.
     fn unsynced(&self) -> Vec<(Name, UnitId, MemberId)> {
         if self.context.shared.declares {
-            // Requests of declared routes are never repeated under the same identity.
+            // Requests of declared routes are never repeated under the same id.
             return Vec::new();
         }
         let mut found = Vec::new();
@@ -79,7 +79,7 @@
     fn send_sync(&self, workspace: &Name, standby: MemberId, units: Vec<UnitId>) {
         let Some(identity) = &self.identity else { return };
         let Some(address) = self.address(standby) else { return };
-        debug!(%workspace, %standby, units = units.len(), "syncing");
+        debug!(%workspace, %standby, units = units.len(), "sending a sync to the standby");
         let (dedup, blind) = self.context.gate.dedup.export(clock::now(), workspace, &units);
         let sync = Sync {
             member: identity.me.0,
@@ -92,14 +92,14 @@
         let workspace = Arc::clone(workspace);
         let done = move |reply: Option<reply::Body>| {
             if wire::accepted(reply.as_ref()) {
-                // Control may have ended in the meantime.
+                // The control thread may have ended.
                 let _ = events.send(Event::SyncDone { workspace, units, standby: standby.0 });
             }
         };
         self.context.outbox.call(address, call::Body::Sync(sync), wire::CALL, Box::new(done));
     }
 
-    /// Notes that a standby knows what this member remembers of units.
+    /// Records that a standby has acknowledged the sync of units.
     pub(super) fn on_sync_done(&mut self, workspace: &Name, units: &[UnitId], standby: MemberId) {
         for unit in units {
             let unit_key = (Arc::clone(workspace), *unit);
@@ -109,10 +109,10 @@
         self.dirty = true;
     }
 
-    /// Forgets syncs of units that this member no longer owns, or whose standby has changed.
+    /// Removes syncs of units that this member no longer owns, or whose standby has changed.
     ///
-    /// A unit that comes back is synced anew: its standby may have missed what
-    /// ran under another owner.
+    /// A unit that returns is synced again: its standby may have missed requests that ran under
+    /// another owner.
     pub(super) fn prune_synced(&mut self) {
         let me = self.identity.as_ref().map(|identity| identity.me);
         let state = Arc::clone(&self.state);
--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -1,4 +1,4 @@
-//! End of an identity: stop of the process, lost upstream, lost lease.
+//! Retirement of an identity: stop of the process, lost upstream, lost lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,17 +14,17 @@
 use super::proposal::{Proposal, Purpose};
 use super::replication::Replication;
 
-/// Time without announcement after which the upstream counts as lost.
+/// Time without announcement after which the upstream is considered lost.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The same when the upstream has refused a connection since: its process is gone.
+/// The same after the upstream has refused a connection, which means that its process is gone.
 const REFUSED_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time after which a stop no longer waits for the log and releases without it.
+/// Time after which a retiring member stops waiting for its `Leave` record and releases its units.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Control {
-    /// Drives the end of this identity, if it has begun.
+    /// Advances the retirement of this identity, if it has begun.
     pub(super) fn retire(&mut self, now: Time) {
         self.watch_upstream(now);
         self.watch_lease(now);
@@ -43,11 +43,10 @@
         }
     }
 
-    /// Returns true when the next identity of this process takes the place of this one by its attachment.
+    /// Returns true when the attachment of this process's next identity replaces this one.
     ///
-    /// One that was never attached is replaced by nothing, so it says itself that it has ended. Else
-    /// those that chose it as lessor would wait for its eviction: after a start of all machines
-    /// together one had no lease for seven seconds.
+    /// An identity that was never attached is not replaced, so it must propose `Exit`: members that
+    /// chose it as lessor would otherwise have no lease until it is evicted.
     fn reattaches(&self) -> bool {
         self.upstream.has_reported && self.attachment().is_some()
     }
@@ -61,12 +60,12 @@
         if now.since(announced.at) < timeout {
             return;
         }
-        warn!(refused, "the upstream has not announced itself, taking it out");
+        warn!(refused, "upstream announcements timed out, detaching the upstream");
         self.announced = None;
         self.detach(now);
     }
 
-    /// Takes the upstream out: its units pass to others and this process joins anew without it.
+    /// Detaches the upstream: its units move to others and this process joins again without it.
     pub(super) fn detach(&mut self, now: Time) {
         let attached = self.attachment().is_some();
         let identity = self.identity.as_mut().filter(|_| attached);
@@ -75,10 +74,10 @@
         }
     }
 
-    /// Gives the identity up when its lease is lost for good.
+    /// Retires the identity when its lease is lost for good.
     ///
-    /// An evicted member finds `Dead` in the log; one that cannot read the log
-    /// is refused by its lessors. Either way nothing is served: the lease is over.
+    /// An evicted member finds `Dead` in the log; one that cannot read the log is refused by its
+    /// lessors. In both cases the lease has expired and nothing is served.
     fn watch_lease(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
         let dead = !self.state.lives(identity.me);
@@ -86,17 +85,17 @@
         let holder = &identity.holder;
         let lost = holder.refused() || holder.abandoned(now) || holder.orphaned(now, alive);
         if identity.retiring.is_none() && (dead || lost) {
-            warn!(member = %identity.me, dead, "identity is lost, joining anew");
+            warn!(member = %identity.me, dead, "lease is lost for good, joining again");
             identity.retire(now, EndReason::Lease);
             identity.lessor.stop();
         }
     }
 
-    /// Proposes `Leave` once this member serves all that it owns.
+    /// Proposes `Leave` once this member serves all units that it owns.
     ///
-    /// While it still waits for the release of a unit by a former owner, the
-    /// record would make it that unit's `prior` and nobody would wait for the
-    /// former owner any more. What it serves already is passed on meanwhile.
+    /// While it still waits for a former owner to release a unit, the record would make it that
+    /// unit's `prior`, and nobody would wait for the former owner. Units that it serves already are
+    /// switched over meanwhile.
     fn leave(&mut self, now: Time) {
         if self.proposals.pending(&Purpose::Leave) {
             return;
@@ -110,7 +109,7 @@
             let workspace = &service.workspace;
             for (unit, assignment) in service.units() {
                 if assignment.standby == Some(identity.me) {
-                    // Taken over, and still held: whoever stands by next could serve beside it.
+                    // Held since a takeover: the next standby could serve it at the same time.
                     let mode = &self.upstream.mode;
                     if self.upstream.has_reported
                         && mode.may_hold(now, unit, &service.numbers(unit))
@@ -138,21 +137,21 @@
         self.submit(proposal, body);
     }
 
-    /// Returns true while something is in flight or held that this member has not passed on.
+    /// Returns true while units are unreleased, in flight or held by the upstream.
     fn releasing(&self, now: Time) -> bool {
         !self.all_released() || self.holds_any(now)
     }
 
-    /// Returns true while a process that is told to stop still vouches for a member that stays.
+    /// Returns true while a stopping process has unexpired grants to members that stay.
     ///
-    /// One whose upstream has left does not wait: its next identity serves the next upstream.
+    /// A process that only lost its upstream does not wait: it joins again at once.
     fn has_live_grants(&self, now: Time) -> bool {
         let Some(identity) = &self.identity else { return false };
         let stays = |id| self.state.member(id).is_some_and(Member::alive);
         identity.retiring == Some(EndReason::Stop) && identity.lessor.vouches(now, stays)
     }
 
-    /// Returns true while this member owns a unit that a former owner has not released to it.
+    /// Returns true while a former owner has not released a unit that this member owns.
     fn awaits_releases(&self) -> bool {
         let Some(identity) = &self.identity else { return false };
         self.state.services().any(|service| {
@@ -162,7 +161,7 @@
         })
     }
 
-    /// Proposes `Exit`: nothing is served or granted under this identity any more.
+    /// Proposes `Exit`; from here on nothing is served or granted under this identity.
     fn exit(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
         identity.lessor.stop();
@@ -170,7 +169,7 @@
         self.proposals.propose(now, Purpose::Exit, body);
     }
 
-    /// Returns true when nothing is in flight and the new servers of all units know it.
+    /// Returns true when no requests are in flight and all releases are acknowledged.
     pub(super) fn all_released(&self) -> bool {
         let done = |((workspace, unit), version): (&(Name, UnitId), &Offset)| {
             self.handover.acknowledged.contains(&(Arc::clone(workspace), *unit, *version))
@@ -178,11 +177,10 @@
         self.context.shared.inflight.total() == 0 && self.handover.draining.iter().all(done)
     }
 
-    /// Releases to the standbys when the log does not record that this member leaves.
+    /// Releases units to their standbys when the `Leave` of this member is not folded in time.
     ///
-    /// The owner may always release to the standby under the recorded version,
-    /// so a planned stop cuts off nothing while the log is down, and an upstream
-    /// that is leaving gets no new work.
+    /// An owner may always release to the standby under the recorded version. So a planned stop
+    /// interrupts no requests while the log is down, and a leaving upstream gets no new ones.
     pub(super) fn leave_without_log(&mut self, now: Time) {
         let Some(identity) = &self.identity else { return };
         let meant = matches!(identity.retiring, Some(EndReason::Stop | EndReason::Upstream));
@@ -191,15 +189,13 @@
         if !meant || leaving || self.closed || now.since(identity.retiring_since) < LEAVE_TIMEOUT {
             return;
         }
-        warn!(
-            "the log does not record that this member leaves, releasing to the standbys without it"
-        );
+        warn!("`Leave` was not recorded in time, releasing units to their standbys");
         self.closed = true;
         self.dirty = true;
         self.find_draining();
     }
 
-    /// Returns true once the log says that this member leaves: it takes no new requests.
+    /// Returns true once `Leave` is folded; this member then accepts no new requests.
     pub(super) fn leaving(&self) -> bool {
         let me = self.identity.as_ref().map(|identity| identity.me);
         let member = me.and_then(|me| self.state.member(me));
@@ -208,7 +204,7 @@
 
     pub(super) fn end_identity(&mut self) {
         let Some(identity) = self.identity.take() else { return };
-        info!(member = %identity.me, "identity has ended");
+        info!(member = %identity.me, "member identity has ended");
         self.proposals.clear();
         self.replication = Replication::default();
         self.handover = Handover::default();
@@ -219,12 +215,12 @@
         self.dirty = true;
     }
 
-    /// Returns true while this process has no identity, or one that is about to end.
+    /// Returns true while this process has no identity, or one that is retiring.
     pub(super) fn retiring(&self) -> bool {
         self.identity.as_ref().is_none_or(|identity| identity.retiring.is_some())
     }
 
-    /// Returns what this member serves by the log's word, `None` before that is recorded.
+    /// Returns the attachment of this member, `None` before it is in the log.
     pub(super) fn attachment(&self) -> Option<&Attachment> {
         self.state.member(self.identity.as_ref()?.me)?.attachment.as_ref()
     }
--- a/acaciaringd/src/control/roles.rs
+++ b/acaciaringd/src/control/roles.rs
@@ -1,4 +1,4 @@
-//! What this member does for each unit, told to the memory of once-requests.
+//! Roles of this member for units, which determine the deduplication state that it keeps.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     Standby(Offset),
 }
 
-/// What a former server has passed on.
+/// Release received from a former server, with its deduplication state.
 #[derive(Debug)]
 pub(super) struct ReceivedRelease {
     from: MemberId,
@@ -29,22 +29,22 @@
     inheritance: Inheritance,
 }
 
-/// What this member does for each unit, and what it needs to know to begin.
+/// Roles of this member, and data received from former servers.
 #[derive(Debug, Default)]
 pub(super) struct Roles {
     pub(super) current: HashMap<(Name, UnitId), UnitRole>,
-    /// What former servers have passed on with their releases.
+    /// Latest release received for each unit.
     pub(super) inheritances: HashMap<(Name, UnitId), ReceivedRelease>,
-    /// What the upstreams of former servers gave out for the next holder.
+    /// Handover data from the upstreams of former servers.
     pub(super) handovers: HashMap<(Name, UnitId), Name>,
     /// Units that had no server before this member.
     pub(super) founded: HashSet<(Name, UnitId)>,
-    /// State and rights by which the roles were last taken up.
+    /// State and permits from which the roles were last derived.
     applied: Option<(Arc<State>, Arc<Permits>)>,
 }
 
 impl Control {
-    /// Keeps what a former server remembers until this member takes its place.
+    /// Stores the deduplication state of a former server until this member serves the units.
     pub(super) fn inherit(&mut self, from: MemberId, workspace: &Name, release: &Release) {
         let blind = Duration::from_millis(u64::from(release.blind));
         for unit in &release.units {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Tells the memory of once-requests about new roles, before the rights are published.
+    /// Applies role changes to the deduplication state, before the permits are published.
     pub(super) fn update_roles(&mut self, now: Time, permits: &Arc<Permits>) {
         let Some(me) = self.identity.as_ref().map(|identity| identity.me) else { return };
         let state = Arc::clone(&self.state);
@@ -122,17 +122,17 @@
         self.roles.current.insert(unit_key, role_here);
     }
 
-    /// Returns true for a hot key that is new here while this member serves its slot.
+    /// Returns true for a hot key that was split from a slot served by this member.
     ///
-    /// One that came by release has an inheritance; one that came by the loss of
-    /// its server had a role here before.
+    /// A released key has a received release, and a key taken over from a dead server had a role
+    /// here before.
     fn is_split(&self, unit_key: &(Name, UnitId)) -> bool {
         let new = !self.roles.current.contains_key(unit_key)
             && !self.roles.inheritances.contains_key(unit_key);
         new && unit_key.1.key.is_some() && self.slot_role(unit_key) == Some(UnitRole::Server)
     }
 
-    /// Returns true for a hot key whose slot has a role here.
+    /// Returns true for a hot key if this member has a role for its slot.
     fn has_slot(&self, unit_key: &(Name, UnitId)) -> bool {
         unit_key.1.key.is_some() && self.slot_role(unit_key).is_some()
     }
@@ -142,7 +142,7 @@
         self.roles.current.get(&(Arc::clone(&unit_key.0), slot)).copied()
     }
 
-    /// Returns how this member came to serve a unit: by release, or by the loss of its former server.
+    /// Returns the role by which this member serves a unit: after a release or after a takeover.
     fn succession(&mut self, unit_key: &(Name, UnitId), assignment: &Assignment) -> Role {
         match self.roles.inheritances.remove(unit_key) {
             Some(received) if received.version >= least_version(assignment, received.from) => {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Forgets all roles of an identity that has ended.
+    /// Clears all roles of an identity that has ended.
     pub(super) fn forget_roles(&mut self) {
         let now = crate::clock::now();
         for ((workspace, unit), _) in self.roles.current.drain() {
@@ -164,7 +164,7 @@
         self.roles.applied = None;
     }
 
-    /// Returns the units that never had a server.
+    /// Returns the units that have never had a server.
     pub(super) fn unserved_units(&self) -> Vec<(Name, UnitId)> {
         let mut fresh = Vec::new();
         for service in self.replica.state().services() {
@@ -174,7 +174,7 @@
         fresh
     }
 
-    /// Notes which of the fresh units were given to this member.
+    /// Records which of the given new units are now owned by this member.
     pub(super) fn track_founded(&mut self, fresh: Vec<(Name, UnitId)>) {
         let Some(me) = self.identity.as_ref().map(|identity| identity.me) else { return };
         let state = self.replica.state();
@@ -186,12 +186,11 @@
     }
 }
 
-/// A server whose lease is interrupted remains one: nobody else can have served meanwhile.
+/// Returns the role of this member for a unit, given its former role.
 ///
-/// Guards against a planned move after which every request that may run once is answered as unknown
-/// for a whole window: the former owner forgot its duty when it read the record, and then released
-/// the unit as one of which it knows nothing. It keeps the duty until it is no longer `prior`, and
-/// the heir keeps what it noted as standby until it serves.
+/// A server keeps its role while its lease is interrupted, since nobody else can serve meanwhile,
+/// and after a move until it is no longer `prior`. Otherwise it would release the unit without its
+/// deduplication state, and requests that may run at most once would be answered as unknown.
 fn unit_role(
     me: MemberId,
     assignment: &Assignment,
@@ -207,7 +206,7 @@
     }
 }
 
-/// Returns the lowest version under which a release by `from` counts, as for rights.
+/// Returns the lowest version at which a release by `from` counts, as in `acaciaring_core::rights`.
 fn least_version(assignment: &Assignment, from: MemberId) -> Offset {
     if assignment.owner == Some(from) { assignment.version } else { assignment.token }
 }
--- a/acaciaringd/src/control/snapshot.rs
+++ b/acaciaringd/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the folded state, so that the log's retention may take old records.
+//! Snapshots of the folded state, so that the log service can drop old records.
 
 use std::sync::Arc;
 
@@ -10,33 +10,33 @@
 use super::Control;
 use crate::metrics::Counter;
 
-/// Further records per rank before a member writes the snapshot in place of a lower one.
+/// Extra records per rank after which a member writes the snapshot in place of a lower rank.
 const RECORDS_PER_RANK: u64 = 50;
 
-/// Time after which even a quiet log gets a snapshot.
+/// Age of the newest snapshot after which another is written, if there are new records.
 const MAX_AGE: std::time::Duration = std::time::Duration::from_mins(10);
 
-/// Time per rank before a member stands in for a lower one.
+/// Extra age per rank, and the least time between two snapshots of one member.
 const DELAY_PER_RANK: std::time::Duration = std::time::Duration::from_secs(20);
 
-/// What this member knows of the log's snapshots.
+/// Snapshots in the log, as known to this member.
 #[derive(Debug)]
 pub(super) struct Snapshots {
-    /// End of the newest one, and when it was first seen.
+    /// End of the newest snapshot, and when it was first seen.
     covered: Offset,
     first_seen: Time,
-    /// When this member last wrote one, and where that ends.
+    /// When this member last wrote a snapshot, and where that ends.
     last_written: Time,
     own_end: Offset,
-    /// Empty records behind what the newest one covers.
+    /// Offsets of empty records after the end of the newest snapshot.
     ///
-    /// Who writes a snapshot drops as many records as it covers, by empty ones; were they news, each
-    /// snapshot would soon call for the next.
+    /// Trimming appends one empty record per record that a snapshot covers. They must not count
+    /// towards the next snapshot, or each snapshot would soon trigger another.
     empty_records: Vec<Offset>,
 }
 
 impl Snapshots {
-    /// Begins at `now`, as if a snapshot had just been seen.
+    /// Creates the state as if a snapshot had been seen at `now`.
     pub(super) fn new(now: Time) -> Self {
         Self {
             covered: 0,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Notes which of the records are empty.
+    /// Records the offsets of empty records.
     pub(super) fn track_empty(&mut self, folded: &[Folded]) {
         let empty = folded.iter().filter(|record| record.id.is_none());
         self.empty_records.extend(empty.map(|record| record.offset));
@@ -55,17 +55,17 @@
 }
 
 impl Control {
-    /// Lets the log service drop what this member's own snapshot covers.
+    /// Has the log service drop the records that this member's own snapshot covers.
     fn trim(&self, covered: Offset) {
         if self.snapshots.own_end != covered {
             return;
         }
         let log = Arc::clone(&self.context.log);
-        // It may wait for the log service, for which the control thread must not.
+        // Blocks on the log service, which the control thread must never do.
         self.context.transport.runtime().spawn_blocking(move || log.trim(covered));
     }
 
-    /// Writes a snapshot when one is due and it falls to this member.
+    /// Writes a snapshot when one is due for the rank of this member.
     pub(super) fn snapshot(&mut self, now: Time) {
         let Some(identity) = &self.identity else { return };
         let Some(rank) = self.state.snapshot_rank(identity.me) else { return };
--- a/acaciaringd/src/control/stop.rs
+++ b/acaciaringd/src/control/stop.rs
@@ -9,26 +9,26 @@
 use super::Control;
 use super::identity::EndReason;
 
-/// Time for which a process that is to be started again beside its upstream still serves.
+/// Time for which a process that is to be restarted beside its upstream still serves.
 ///
-/// Callers leave it once it has said twice, a second apart, that it is not ready.
+/// Callers stop using it after two failed readiness checks, one second apart.
 const RESTART_DELAY: Duration = Duration::from_millis(2300);
 
-/// Stop of this process that is under way.
+/// Graceful shutdown in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Stopping {
-    /// When it was asked for.
+    /// When it was requested.
     since: Time,
-    /// True when the next process beside the same upstream takes the place of this one.
+    /// True when a new process is expected to take over the same upstream.
     restarting: bool,
-    /// True once no request of a caller is left, and none is taken.
+    /// True once no caller requests are left and none are accepted.
     callers_gone: bool,
 }
 
 impl Control {
-    /// Begins a graceful shutdown that was asked for at `since`.
+    /// Begins a graceful shutdown that was requested at `since`.
     pub(super) fn stop(&mut self, now: Time, since: Time) {
-        info!("graceful shutdown begins");
+        info!("graceful shutdown started");
         let restarting = self.resumable();
         self.stopping.get_or_insert(Stopping { since, restarting, callers_gone: false });
         self.context.shared.stopping.store(true, Ordering::Release);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Notes that no request of a caller is left.
+    /// Records that no caller requests are left.
     pub(super) fn callers_gone(&mut self) {
         if let Some(stopping) = &mut self.stopping {
             stopping.callers_gone = true;
@@ -59,7 +59,7 @@
         }
         let inflight = self.context.shared.inflight.total();
         if now.since(stopping.since) >= self.context.drain_timeout {
-            warn!(inflight, "shutdown takes too long, ending it");
+            warn!(inflight, "graceful shutdown timed out, exiting");
             return true;
         }
         if stopping.restarting {
@@ -68,26 +68,26 @@
         self.closed && self.all_released()
     }
 
-    /// Returns true once a process that is to be started again runs nothing for its upstream, and says so.
+    /// Returns true once a restarting process runs no requests on its upstream, and announces it.
     ///
-    /// It goes on until its callers have gone. Guards against a wait for them without control: the
-    /// lease lapses in it, and what the upstream holds, so its units would move or be served cold.
+    /// The control thread runs on until the callers are gone: without it the lease and the grants
+    /// of the upstream would expire meanwhile, and its units would move.
     fn is_quiescent(&self, inflight: usize) -> bool {
-        // The closed view was published before the count was read, so no request has slipped in.
+        // The closed view was published before the count was read, so no new request can start.
         let is_quiescent = self.context.shared.view().closed && inflight == 0;
         if is_quiescent {
-            // Only the first word is taken.
+            // Only the first notification counts; the channel holds one.
             let _ = self.context.drained.try_send(());
         }
         is_quiescent
     }
 
-    /// Returns true once a process that is to be started again takes no more requests for its upstream.
+    /// Returns true once a restarting process accepts no more requests for its upstream.
     pub(super) fn closed_for_restart(&self, now: Time) -> bool {
         self.stopping.is_some_and(|stop| stop.restarting && now.since(stop.since) >= RESTART_DELAY)
     }
 
-    /// Returns true while this process stops and the next one beside its upstream takes its place.
+    /// Returns true while this process stops and a new one is to take over its upstream.
     pub(super) fn restarting(&self) -> bool {
         self.stopping.is_some_and(|stopping| stopping.restarting)
     }
--- a/acaciaringd/src/control/upstream_state.rs
+++ b/acaciaringd/src/control/upstream_state.rs
@@ -1,4 +1,4 @@
-//! Grants to an upstream that holds its units by them.
+//! Grants to the local upstream, and heartbeats that report the keys that it holds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,37 +19,35 @@
 use crate::heartbeat::{Heartbeat, HeartbeatReply};
 use crate::view::{Permit, Permits};
 
-/// Time for which a leaving upstream still gets requests while its units pass to others.
+/// Time for which a leaving upstream still gets requests while its units move to others.
 ///
-/// An upstream that is leaving gets no new work two seconds after its word; the rest is for
-/// requests that are on their way to it.
+/// It must get no new requests two seconds after it reports that it is leaving; the rest is margin
+/// for requests on their way to it.
 const LEAVING_GRACE: Duration = Duration::from_secs(1);
 
-/// Longest time for which the reply to a report waits for a move.
+/// Longest delay of the reply to a heartbeat while a move is pending.
 ///
-/// A move is recorded within a few milliseconds, and the next report of the upstream that
-/// releases comes within a tenth of a second; the upstream takes a reply within a second.
+/// Longer than a move usually takes, and well below the reply timeout of the upstream.
 const MAX_REPLY_DELAY: Duration = Duration::from_millis(250);
 
-/// What is known of an upstream that reports what it holds.
+/// Grants and heartbeats of the local upstream.
 #[derive(Debug)]
 pub(super) struct UpstreamState {
     pub(super) mode: GrantMode,
-    /// True once the upstream has reported.
+    /// True once the upstream has sent a heartbeat.
     pub(super) has_reported: bool,
     /// Since when the upstream is leaving.
     leaving: Option<Time>,
-    /// Report whose reply waits for a move.
+    /// Heartbeat whose reply waits for a move.
     delayed: Option<DelayedReply>,
-    /// When something was to change by time alone, when that was last asked.
+    /// Next timed change, as of the last check.
     expected_change: Option<Time>,
 }
 
-/// Report whose reply waits until a move that is under way shows in it.
+/// Heartbeat whose reply is delayed until it reflects a pending move.
 ///
-/// The upstream reports every second or so. A unit that moves is without server from the reply
-/// that leaves it out until the reply that gives it to the next one, so each reply that just
-/// misses a move costs that much.
+/// A moving unit has no server from the reply that leaves it out until the reply that grants it to
+/// the next upstream, so a reply that just misses a move costs a whole heartbeat interval.
 #[derive(Debug)]
 struct DelayedReply {
     reply: oneshot::Sender<HeartbeatReply>,
@@ -68,12 +66,12 @@
         }
     }
 
-    /// Returns true once a leaving upstream gets no more requests.
+    /// Returns true once a leaving upstream must get no more requests.
     pub(super) fn closed(&self, now: Time) -> bool {
         self.leaving.is_some_and(|since| now >= since + LEAVING_GRACE)
     }
 
-    /// Returns when something changes by time alone.
+    /// Returns the time of the next timed change.
     pub(super) fn next_change(&self, now: Time) -> Option<Time> {
         let delayed = self.delayed.as_ref().map(|delayed| delayed.until);
         let effect = match &self.mode {
@@ -83,16 +81,16 @@
         [effect, self.closes_at(now), delayed].into_iter().flatten().min()
     }
 
-    /// Returns when a leaving upstream is to get no more requests, if that is to come.
+    /// Returns when a leaving upstream must get no more requests, if that time has not passed.
     fn closes_at(&self, now: Time) -> Option<Time> {
         self.leaving.map(|since| since + LEAVING_GRACE).filter(|close| now < *close)
     }
 
-    /// Returns true once something has changed by time alone since it was last looked at.
+    /// Returns true if a timed change has happened since the last check.
     pub(super) fn is_stale(&mut self, now: Time) -> bool {
         let next = match &self.mode {
             GrantMode::Call(orders) if orders.lapsed(now) => return true,
-            // What an order brings is told when its answer comes.
+            // Answers to orders mark the view as out of date themselves.
             GrantMode::Call(_) => self.closes_at(now),
             GrantMode::Heartbeat(_) => self.next_change(now),
         };
@@ -103,7 +101,7 @@
 }
 
 impl Control {
-    /// Takes in a report of the upstream and says what it is to hold.
+    /// Handles a heartbeat of the upstream; the reply grants the units that it is to hold.
     pub(super) fn on_heartbeat(
         &mut self,
         now: Time,
@@ -114,14 +112,14 @@
         let Heartbeat { announcement, sequence, max_ranges, .. } = heartbeat;
         let (instance, born) = (Name::from(announcement.instance.as_str()), announcement.born);
         if report == Report::Late {
-            info!(%instance, born, sequence, "late report of the upstream");
-            // The sender may have gone away.
+            info!(%instance, born, sequence, "ignoring an outdated heartbeat of the upstream");
+            // The sender may have disconnected.
             let _ = reply.send(HeartbeatReply::default());
             return;
         }
         self.upstream.has_reported = true;
         if report == Report::Another {
-            info!(%instance, born, "the upstream has started anew");
+            info!(%instance, born, "the upstream has restarted");
             self.upstream.leaving = None;
         }
         if self.attached_to_earlier(&instance) {
@@ -135,14 +133,15 @@
         }
         self.dirty = true;
         self.plan_when_due(now);
-        // One report waits at a time; the sender of one that cannot be answered yet reports again.
+        // Only one reply is delayed at a time: one that still has to wait is dropped here, and its
+        // sender sends a new heartbeat.
         self.answer_heartbeat(now);
         self.upstream.delayed =
             Some(DelayedReply { reply, max_ranges, until: now + MAX_REPLY_DELAY });
         self.answer_heartbeat(now);
     }
 
-    /// Answers a report, once no move is about to change the answer.
+    /// Sends the delayed reply, once no pending move is about to change it.
     pub(super) fn answer_heartbeat(&mut self, now: Time) {
         let Some(until) = self.upstream.delayed.as_ref().map(|delayed| delayed.until) else {
             return;
@@ -154,15 +153,15 @@
             return;
         };
         let answer = HeartbeatReply { grants: self.grants(now, max_ranges) };
-        debug!(ranges = answer.grants.as_ref().map(|(rows, _)| rows.len()), "report answered");
-        // The sender may have gone away.
+        debug!(ranges = answer.grants.as_ref().map(|(rows, _)| rows.len()), "heartbeat answered");
+        // The sender may have disconnected.
         let _ = reply.send(answer);
         self.dirty = true;
     }
 
-    /// Returns true while a move of units from or to this member is about to show in a reply.
+    /// Returns true while a pending move to or from this member will change the reply.
     ///
-    /// Replies to an upstream that is told by calls say nothing of its units.
+    /// Replies to an upstream that is managed by calls carry no grants.
     fn move_pending(&self) -> bool {
         if matches!(self.upstream.mode, GrantMode::Call(_)) {
             return false;
@@ -174,7 +173,7 @@
             return true;
         }
         let Some(service) = self.state.service(workspace) else { return false };
-        // A former owner that has gone releases nothing.
+        // A dead former owner releases nothing.
         let alive = |id| self.state.member(id).is_some_and(Member::alive);
         service.units().any(|(unit, assignment)| {
             let prior = assignment.prior.filter(|prior| Some(*prior) != me && alive(*prior));
@@ -182,7 +181,7 @@
         })
     }
 
-    /// Notes that the upstream is leaving and reports no more.
+    /// Handles the notice that the upstream is leaving and stops its heartbeats.
     pub(super) fn on_upstream_leaves(&mut self, now: Time, instance: &Name) {
         let present = self.upstream.mode.start();
         if present.is_none_or(|present| present.instance == *instance) {
@@ -193,19 +192,19 @@
 
     fn upstream_leaves(&mut self, now: Time) {
         if self.upstream.leaving.is_none() {
-            info!("the upstream is leaving");
+            info!("the upstream is leaving, moving its units to other members");
             self.upstream.leaving = Some(now);
         }
         self.announced = None;
         self.detach(now);
     }
 
-    /// Returns true while this identity stands for an earlier start of the upstream.
+    /// Returns true while this identity is attached to an earlier instance of the upstream.
     fn attached_to_earlier(&self, instance: &Name) -> bool {
         self.attachment().is_some_and(|attachment| attachment.instance != *instance)
     }
 
-    /// Returns what the upstream is to hold by the reply, `None` when the reply can grant nothing.
+    /// Returns the grants of a reply and their duration, `None` when the reply can grant nothing.
     fn grants(&mut self, now: Time, max_ranges: usize) -> Option<(Vec<Granted>, Duration)> {
         if matches!(self.upstream.mode, GrantMode::Call(_)) {
             return None;
@@ -224,13 +223,13 @@
         }
     }
 
-    /// Returns true when the upstream that reports is the one for which this member is attached.
+    /// Returns true when the running instance of the upstream is the attached one.
     pub(super) fn is_attached_upstream(&self, attachment: &Attachment) -> bool {
         let present = self.upstream.mode.start();
         present.is_some_and(|present| present.instance == attachment.instance)
     }
 
-    /// Returns the units that this member may serve now.
+    /// Returns the units that may be granted to the upstream now.
     fn grantable_units(&mut self, now: Time, state: &State, service: &Service) -> Vec<Wanted> {
         let Some(identity) = &mut self.identity else { return Vec::new() };
         let me = Some(identity.me);
@@ -244,7 +243,7 @@
             let Right::Serve { token, .. } = right else { continue };
             let mut handover = None;
             if !self.upstream.mode.serves(now, unit, token, || service.numbers(unit)) {
-                debug!(%unit, token = token.0, ?assignment, "unit is granted anew");
+                debug!(%unit, token = token.0, ?assignment, "granting a unit to the upstream");
                 let unit_key = (Arc::clone(&service.workspace), unit);
                 handover = self.roles.handovers.get(&unit_key).map(Arc::clone);
             }
@@ -254,7 +253,7 @@
         wanted
     }
 
-    /// Turns rights into waits while the upstream does not hold the units yet.
+    /// Downgrades permits to `Wait` while the upstream does not hold the units yet.
     pub(super) fn withhold_permits(&self, now: Time, permits: &mut Permits) {
         if !self.upstream.has_reported {
             return;
@@ -272,7 +271,7 @@
         }
     }
 
-    /// Returns true while the upstream may still hold a unit.
+    /// Returns true while the upstream may hold keys of a unit.
     pub(super) fn upstream_holds(&self, now: Time, workspace: &Name, unit: UnitId) -> bool {
         let Some(service) = self.state.service(workspace).filter(|s| s.founded) else {
             return false;
@@ -280,24 +279,24 @@
         self.upstream.mode.may_hold(now, unit, &service.numbers(unit))
     }
 
-    /// Returns true while the upstream may still hold anything.
+    /// Returns true while the upstream may hold any keys.
     pub(super) fn holds_any(&self, now: Time) -> bool {
         self.upstream.has_reported && self.upstream.mode.may_hold_any(now)
     }
 
-    /// Returns true when a process that starts anew here takes this one's place at once.
+    /// Returns true when a restarted process can take over the upstream without a move of units.
     pub(super) fn resumable(&self) -> bool {
         self.upstream.has_reported && self.announced.is_some() && self.attachment().is_some()
     }
 
-    /// Joins anew in place of an identity whose lease is lost.
+    /// Ends an identity whose lease is lost, so that this process joins again at once.
     ///
-    /// Guards against a loss of half of all members: their former lessors are gone, and to wait
-    /// for the proof of their end would leave keys without a server for many times the term.
-    /// This identity serves and grants nothing any more; the next one's attachment replaces it.
+    /// Guards against keys without server after the loss of many members at once: proofs of expiry
+    /// take long when lessors are gone. The old identity no longer serves or grants anything, and
+    /// the attachment of the next one replaces it.
     pub(super) fn replace_identity(&mut self) {
         if let Some(identity) = &mut self.identity {
-            warn!(member = %identity.me, "identity is replaced by the next one of this process");
+            warn!(member = %identity.me, "lease is lost, replacing this identity with a new one");
             identity.lessor.stop();
             identity.retiring = Some(EndReason::Lease);
         }
--- a/acaciaringd/src/control/vote_recipients.rs
+++ b/acaciaringd/src/control/vote_recipients.rs
@@ -1,11 +1,11 @@
-//! Which members act on the end of a member's lease.
+//! Members that act on the expiry of another member's lease.
 
 use std::collections::BTreeSet;
 
 use acaciaring_core::MemberId;
 use acaciaring_core::state::{Assignment, State};
 
-/// Returns, in order, the lessors of a member and all that wait for its units.
+/// Returns the lessors of a member and the next owners and standbys of its units, ordered by id.
 pub(crate) fn vote_recipients(state: &State, member: MemberId) -> Vec<MemberId> {
     let mut found: BTreeSet<MemberId> = BTreeSet::new();
     found.extend(state.member(member).into_iter().flat_map(|member| &member.lessors));
