--- a/acaciaringd/src/announce.rs
+++ b/acaciaringd/src/announce.rs
@@ -136,8 +136,8 @@
     pub fn start(settings: &AdminSettings, admin: Arc<dyn Admin>) -> Result<Self, AdminError> {
         let AdminSettings { address, workers, body, idle } = *settings;
         let listen = ListenerSettings { address, workers, idle };
-        let listener =
-            Listener::start(&listen, Desk { admin, body }).context(ListenSnafu { address })?;
+        let listener = Listener::start(&listen, AdminHandler { admin, body })
+            .context(ListenSnafu { address })?;
         Ok(Self(listener))
     }
 
@@ -149,12 +149,12 @@
 }
 
 /// Serves requests one by one.
-struct Desk {
+struct AdminHandler {
     admin: Arc<dyn Admin>,
     body: usize,
 }
 
-impl Handler for Desk {
+impl Handler for AdminHandler {
     fn enter(&self, raw: Request) -> Option<Request> {
         Some(raw)
     }
--- a/acaciaringd/src/appender.rs
+++ b/acaciaringd/src/appender.rs
@@ -21,16 +21,16 @@
 pub(crate) type RecordId = [u8; 16];
 
 /// Pause before a refused append is tried again, at first; it doubles up to the longest.
-const PAUSE: Duration = Duration::from_millis(50);
+const INITIAL_PAUSE: Duration = Duration::from_millis(50);
 
 /// Longest pause between two tries.
-const LONGEST: Duration = Duration::from_millis(800);
+const MAX_PAUSE: Duration = Duration::from_millis(800);
 
 /// Tries of one record before another has its turn.
-const TRIES: u32 = 20;
+const ATTEMPTS_PER_TURN: u32 = 20;
 
 /// Proposals that may wait; more are dropped and proposed anew by control.
-const QUEUE: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 
 /// What came of an append, as far as it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,16 +48,16 @@
 
 /// Tries of an open record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Tries {
+enum AttemptState {
     /// None may have appended it.
     Refused,
     /// One is under way, and none before may have appended it.
-    UnderWay,
+    InProgress,
     /// One may have appended it.
-    Doubtful,
+    InDoubt,
 }
 
-type Open = Arc<Mutex<HashMap<RecordId, Tries>>>;
+type OpenRecords = Arc<Mutex<HashMap<RecordId, AttemptState>>>;
 
 /// Handle to the appending thread.
 ///
@@ -67,7 +67,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Appender {
     queue: Sender<Record>,
-    open: Open,
+    open: OpenRecords,
 }
 
 impl Appender {
@@ -77,8 +77,8 @@
         read_pacer: Arc<ReadPacer>,
         relay: Relay,
     ) -> Self {
-        let (queue, records) = bounded(QUEUE);
-        let open = Open::default();
+        let (queue, records) = bounded(QUEUE_CAPACITY);
+        let open = OpenRecords::default();
         let worker = Worker {
             queue: queue.clone(),
             log,
@@ -93,7 +93,7 @@
 
     /// Queues a record; returns false when the queue is full.
     pub(crate) fn propose(&self, id: RecordId, record: Record) -> bool {
-        self.open.lock().insert(id, Tries::Refused);
+        self.open.lock().insert(id, AttemptState::Refused);
         if self.queue.try_send(record).is_ok() {
             return true;
         }
@@ -103,14 +103,14 @@
 
     /// Returns true while a try is under way whose outcome decides whether the record may have been appended.
     pub(crate) fn attempt_in_progress(&self, id: &RecordId) -> bool {
-        self.open.lock().get(id) == Some(&Tries::UnderWay)
+        self.open.lock().get(id) == Some(&AttemptState::InProgress)
     }
 
     /// Ends the tries of a record that was folded, or is no longer wanted.
     ///
     /// Returns true when it may have been appended; false is certain, for no try begins any more.
     pub(crate) fn settle(&self, id: &RecordId) -> bool {
-        self.open.lock().remove(id) != Some(Tries::Refused)
+        self.open.lock().remove(id) != Some(AttemptState::Refused)
     }
 }
 
@@ -121,7 +121,7 @@
     read_pacer: Arc<ReadPacer>,
     relay: Relay,
     records: Receiver<Record>,
-    open: Open,
+    open: OpenRecords,
 }
 
 impl Worker {
@@ -136,14 +136,17 @@
     /// A record that the log service refuses for good must not hold up the rest.
     fn append(&self, record: &Record) {
         let bytes = record.encode_to_vec();
-        let mut backoff = Backoff::new(PAUSE, LONGEST);
-        for _ in 0..TRIES {
+        let mut backoff = Backoff::new(INITIAL_PAUSE, MAX_PAUSE);
+        for _ in 0..ATTEMPTS_PER_TURN {
             if !self.begin(record) {
                 return;
             }
             let appended = self.attempt(&bytes);
             let refused = appended == AppendOutcome::NotAppended;
-            self.note(record, if refused { Tries::Refused } else { Tries::Doubtful });
+            self.set_state(
+                record,
+                if refused { AttemptState::Refused } else { AttemptState::InDoubt },
+            );
             match appended {
                 AppendOutcome::Appended(offset) => {
                     return self.read_pacer.request_before(offset + 1);
@@ -181,16 +184,16 @@
     /// The try is noted under the lock by which the record is settled: a record that is settled
     /// as refused was not appended and never will be.
     fn begin(&self, record: &Record) -> bool {
-        self.note(record, Tries::UnderWay)
+        self.set_state(record, AttemptState::InProgress)
     }
 
     /// Notes a try, one in doubt stays so; returns false when the record is settled.
-    fn note(&self, record: &Record, now: Tries) -> bool {
+    fn set_state(&self, record: &Record, now: AttemptState) -> bool {
         let Ok(id) = RecordId::try_from(record.id.as_slice()) else { return false };
         let mut open = self.open.lock();
-        let Some(tries) = open.get_mut(&id) else { return false };
-        if *tries != Tries::Doubtful {
-            *tries = now;
+        let Some(state) = open.get_mut(&id) else { return false };
+        if *state != AttemptState::InDoubt {
+            *state = now;
         }
         true
     }
--- a/acaciaringd/src/declared.rs
+++ b/acaciaringd/src/declared.rs
@@ -77,14 +77,14 @@
     decoder: Option<Box<dyn Decoder>>,
     newest: ArcSwapOption<Newest>,
     /// Held while a declaration is compared and installed.
-    order: Mutex<()>,
+    install_lock: Mutex<()>,
     events: Sender<Event>,
 }
 
 impl Declarations {
     /// Makes declarations of which none has come in; without a decoder none ever does.
     pub(crate) fn new(decoder: Option<Box<dyn Decoder>>, events: Sender<Event>) -> Self {
-        Self { decoder, newest: ArcSwapOption::empty(), order: Mutex::new(()), events }
+        Self { decoder, newest: ArcSwapOption::empty(), install_lock: Mutex::new(()), events }
     }
 
     /// Takes in a declaration, from where it is declared or from another member.
@@ -99,7 +99,7 @@
                 return;
             }
         };
-        let _order = self.order.lock();
+        let _guard = self.install_lock.lock();
         if declared.version <= self.version() {
             return;
         }
--- a/acaciaringd/src/reader.rs
+++ b/acaciaringd/src/reader.rs
@@ -16,19 +16,19 @@
 use crate::vital;
 
 /// Records in one read.
-const LIMIT: usize = 512;
+const READ_LIMIT: usize = 512;
 
 /// Records asked of another member.
-const RELAYED: u32 = 512;
+const RELAY_LIMIT: u32 = 512;
 
 /// Pause after a failed read, at first.
-const PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_PAUSE: Duration = Duration::from_millis(100);
 
 /// Longest pause after failed reads.
 ///
 /// The log service counts refused reads too; with it a service that returns is noticed within
 /// a second.
-const LONGEST: Duration = Duration::from_secs(1);
+const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// Reads records from another member when the log service cannot be reached.
 pub(crate) type Relay = Box<dyn Fn(u64, u32) -> Option<Batch> + Send>;
@@ -41,9 +41,9 @@
     read_pacer: Arc<ReadPacer>,
     events: Sender<Event>,
 ) {
-    let backoff = Backoff::new(PAUSE, LONGEST);
+    let backoff = Backoff::new(INITIAL_PAUSE, MAX_PAUSE);
     let reader =
-        Reader { log, wait, relay, read_pacer, events, failing: false, begun: false, backoff };
+        Reader { log, wait, relay, read_pacer, events, failing: false, has_read: false, backoff };
     vital::spawn("log-reader", move || reader.run());
 }
 
@@ -56,7 +56,7 @@
     events: Sender<Event>,
     failing: bool,
     /// True once a read has said where the log ends.
-    begun: bool,
+    has_read: bool,
     /// Pauses after failed reads.
     backoff: Backoff,
 }
@@ -79,10 +79,10 @@
     /// Reads from the log service, else from another member.
     fn read(&mut self, from: u64) -> Option<Batch> {
         // The first read must not wait for a record: a quiet log would hold up the start.
-        let wait = if self.begun { self.wait } else { Duration::ZERO };
-        match self.log.read(from, LIMIT, wait) {
+        let wait = if self.has_read { self.wait } else { Duration::ZERO };
+        match self.log.read(from, READ_LIMIT, wait) {
             Ok(batch) => {
-                self.begun = true;
+                self.has_read = true;
                 self.backoff.reset();
                 if self.failing {
                     info!("the log can be read again");
@@ -95,7 +95,7 @@
                     warn!(%error, "the log cannot be read, asking other members");
                 }
                 self.failing = true;
-                (self.relay)(from, RELAYED)
+                (self.relay)(from, RELAY_LIMIT)
             }
         }
     }
