--- a/acaciaringd/src/announce.rs
+++ b/acaciaringd/src/announce.rs
@@ -1,4 +1,4 @@
-//! Listener for the upstream beside this member and for operators: announcements, and JSON.
+//! HTTP listener for announcements of the local upstream and for operators, with JSON bodies.
 
 use std::io::{self, Read};
 use std::net::SocketAddr;
@@ -26,9 +26,9 @@
     pub address: SocketAddr,
     /// Threads that handle requests.
     pub workers: usize,
-    /// Limit of a body, bytes.
+    /// Maximum size of a request body, bytes.
     pub body: usize,
-    /// Time after which a connection on which nothing moves is closed.
+    /// Time after which an inactive connection is closed.
     pub idle: Duration,
 }
 
@@ -43,77 +43,77 @@
     }
 }
 
-/// Failure to start the listener.
+/// Error from starting the listener.
 #[derive(Debug, Snafu)]
 pub enum AdminError {
     /// The address cannot be listened on.
     #[snafu(display("cannot listen on {address}"))]
     Listen {
-        /// Address of the settings.
+        /// Configured address.
         address: SocketAddr,
         /// Cause.
         source: io::Error,
     },
 }
 
-/// Phase of an upstream.
+/// Lifecycle phase of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Started, not yet at its full speed.
+    /// Started and still warming up.
     Cold,
     /// Ready for its full load.
     Ready,
-    /// Leaving; takes no new work.
+    /// Leaving; accepts no new requests.
     Draining,
 }
 
-/// What an upstream says of itself, every 500 ms.
+/// Periodic announcement of an upstream to its member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Workspace and service that it serves.
+    /// Workspace that it serves.
     pub workspace: String,
     /// Address of its HTTP listener.
     pub address: SocketAddr,
     /// True when it checks fences.
     pub fenced: bool,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Connections that it takes.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Reading of its own monotonic clock, milliseconds.
+    /// Reading of its monotonic clock, milliseconds.
     pub clock: u64,
-    /// Phase.
+    /// Lifecycle phase.
     pub phase: Phase,
-    /// Identity of this start of the upstream, where it names one.
+    /// Identifier of this instance of the upstream, empty if it has none.
     #[serde(default)]
     pub instance: String,
-    /// Number that grows with each start under one identity, 0 where the upstream tells none.
+    /// Number that increases with each start of the instance, 0 if the upstream has none.
     #[serde(default)]
     pub born: u64,
 }
 
-/// Answer to an announcement.
+/// Reply to an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnounceReply {
     /// Id of the member; 0 when it has none yet.
     pub member: u64,
-    /// True when the member holds its lease.
+    /// True while the member holds its lease.
     pub leased: bool,
 }
 
-/// Answer to an operator.
+/// Response to an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdminAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub json: Value,
 }
 
 /// Handler of announcements and of operators' requests.
 pub trait Admin: Send + Sync + 'static {
-    /// Takes an announcement of the upstream.
+    /// Handles an announcement of the upstream.
     fn announce(&self, announcement: Announcement) -> AnnounceReply;
 
     /// Answers a `GET`.
@@ -148,7 +148,7 @@
     }
 }
 
-/// Serves requests one by one.
+/// Request handler of the listener.
 struct AdminHandler {
     admin: Arc<dyn Admin>,
     body: usize,
@@ -172,10 +172,10 @@
     let json = answer.json.to_string();
     let kind = Header::from_bytes("content-type", "application/json").expect("a valid header");
     let response = Response::from_data(json).with_header(kind).with_status_code(answer.status);
-    // Chunks begin at 32 KiB unless told otherwise; a length is simpler to check.
+    // Send a Content-Length for large bodies too, instead of the default chunked encoding.
     let response = response.with_chunked_threshold(usize::MAX);
     if let Err(error) = raw.respond(response) {
-        debug!(%error, "peer has gone away before its answer");
+        debug!(%error, "client disconnected before the response was sent");
     }
 }
 
@@ -193,7 +193,7 @@
     match serde_json::from_slice(body) {
         Ok(announcement) => AdminAnswer { status: OK, json: json!(admin.announce(announcement)) },
         Err(error) => {
-            info!(remote = ?raw.remote_addr(), %error, "announcement that does not parse");
+            info!(remote = ?raw.remote_addr(), %error, "rejecting a malformed announcement");
             problem(BAD_REQUEST, &error.to_string())
         }
     }
@@ -214,7 +214,7 @@
     AdminAnswer { status, json: json!({ "error": cause }) }
 }
 
-/// Splits a query into names and values; values are not escaped on this listener.
+/// Splits a query into names and values, which are not percent-decoded.
 fn parse_query(query: &str) -> Vec<(String, String)> {
     let parts = query.split('&').filter(|part| !part.is_empty());
     let pair = |part: &str| {
--- a/acaciaringd/src/appender.rs
+++ b/acaciaringd/src/appender.rs
@@ -1,4 +1,4 @@
-//! Thread that appends proposals to the control log.
+//! Thread that appends proposed records to the control log.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,53 +17,53 @@
 use crate::read_pacer::ReadPacer;
 use crate::vital;
 
-/// Identity of a record, the same over all tries of its append.
+/// Id of a record, the same for all attempts to append it.
 pub(crate) type RecordId = [u8; 16];
 
-/// Pause before a refused append is tried again, at first; it doubles up to the longest.
+/// Initial pause between attempts to append a record; doubles up to the maximum.
 const INITIAL_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest pause between two tries.
+/// Maximum pause between attempts to append a record.
 const MAX_PAUSE: Duration = Duration::from_millis(800);
 
-/// Tries of one record before another has its turn.
+/// Attempts for one record before it goes to the back of the queue.
 const ATTEMPTS_PER_TURN: u32 = 20;
 
-/// Proposals that may wait; more are dropped and proposed anew by control.
+/// Capacity of the queue; the control thread proposes records that do not fit again.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// What came of an append, as far as it is known.
+/// Outcome of an attempt to append a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AppendOutcome {
-    /// The record is in the log, at this offset.
+    /// The record is in the log at this offset.
     Appended(Offset),
-    /// The record was surely not appended.
+    /// The record was certainly not appended.
     NotAppended,
     /// The record may have been appended.
     Unknown,
 }
 
-/// Appends through another member when the log service cannot be reached.
+/// Appends through another member when the log service did not append the record.
 pub(crate) type Relay = Box<dyn Fn(&[u8]) -> AppendOutcome + Send>;
 
-/// Tries of an open record.
+/// State of the attempts to append an open record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AttemptState {
-    /// None may have appended it.
+    /// No attempt can have appended it.
     Refused,
-    /// One is under way, and none before may have appended it.
+    /// An attempt is in progress, and no earlier one can have appended it.
     InProgress,
-    /// One may have appended it.
+    /// An attempt may have appended it.
     InDoubt,
 }
 
 type OpenRecords = Arc<Mutex<HashMap<RecordId, AttemptState>>>;
 
-/// Handle to the appending thread.
+/// Handle to the appender thread.
 ///
-/// A record is tried until control has seen it folded and settles it. The log
-/// service may lose an answer after the append took effect; since each try
-/// carries the same id, the fold gives a repeated record no effect.
+/// A record is retried until the control thread sees it folded and settles it. The log service may
+/// lose a response after the append took effect; all attempts carry the same id, so the fold
+/// ignores duplicates.
 #[derive(Debug, Clone)]
 pub(crate) struct Appender {
     queue: Sender<Record>,
@@ -101,14 +101,14 @@
         false
     }
 
-    /// Returns true while a try is under way whose outcome decides whether the record may have been appended.
+    /// Returns true while an attempt in progress decides whether the record may have been appended.
     pub(crate) fn attempt_in_progress(&self, id: &RecordId) -> bool {
         self.open.lock().get(id) == Some(&AttemptState::InProgress)
     }
 
-    /// Ends the tries of a record that was folded, or is no longer wanted.
+    /// Ends the attempts for a record that was folded or is abandoned.
     ///
-    /// Returns true when it may have been appended; false is certain, for no try begins any more.
+    /// Returns true if it may have been appended; false is certain, since no new attempt begins.
     pub(crate) fn settle(&self, id: &RecordId) -> bool {
         self.open.lock().remove(id) != Some(AttemptState::Refused)
     }
@@ -117,7 +117,7 @@
 struct Worker {
     queue: Sender<Record>,
     log: Arc<dyn LogService>,
-    /// Reader of the log, which is to bring back at once what was appended.
+    /// Pacer of the log reader, to read appended records at once.
     read_pacer: Arc<ReadPacer>,
     relay: Relay,
     records: Receiver<Record>,
@@ -131,9 +131,9 @@
         }
     }
 
-    /// Tries until the record is appended or settled, or makes way for others.
+    /// Attempts to append a record until it is appended or settled, or its attempts are used up.
     ///
-    /// A record that the log service refuses for good must not hold up the rest.
+    /// It then goes to the back of the queue, so that a rejected record does not block the others.
     fn append(&self, record: &Record) {
         let bytes = record.encode_to_vec();
         let mut backoff = Backoff::new(INITIAL_PAUSE, MAX_PAUSE);
@@ -157,11 +157,11 @@
             thread::sleep(backoff.pause());
         }
         if self.queue.try_send(record.clone()).is_err() {
-            warn!("too many records wait for the log, dropping one");
+            warn!("append queue is full, dropping a record after repeated attempts");
         }
     }
 
-    /// Makes one try, through another member when the log service refuses.
+    /// Makes one attempt; falls back to another member if the log service did not append the record.
     fn attempt(&self, bytes: &[u8]) -> AppendOutcome {
         match self.log.append(bytes) {
             Ok(offset) => {
@@ -169,25 +169,25 @@
                 AppendOutcome::Appended(offset)
             }
             Err(AppendError::Unknown { .. }) => {
-                debug!("append without answer, trying again with the same id");
+                debug!("append has an unknown outcome, retrying with the same id");
                 AppendOutcome::Unknown
             }
             Err(error) => {
-                warn!(%error, "append refused");
+                warn!(%error, "record was not appended, trying through another member");
                 (self.relay)(bytes)
             }
         }
     }
 
-    /// Begins a try of a record, unless it is no longer wanted.
+    /// Begins an attempt, unless the record is settled.
     ///
-    /// The try is noted under the lock by which the record is settled: a record that is settled
-    /// as refused was not appended and never will be.
+    /// The state changes under the lock that also settles records, so a record settled as refused
+    /// was not appended and never will be.
     fn begin(&self, record: &Record) -> bool {
         self.set_state(record, AttemptState::InProgress)
     }
 
-    /// Notes a try, one in doubt stays so; returns false when the record is settled.
+    /// Sets the state of a record, unless it is in doubt; returns false if the record is settled.
     fn set_state(&self, record: &Record, now: AttemptState) -> bool {
         let Ok(id) = RecordId::try_from(record.id.as_slice()) else { return false };
         let mut open = self.open.lock();
--- a/acaciaringd/src/declared.rs
+++ b/acaciaringd/src/declared.rs
@@ -1,7 +1,7 @@
-//! Configuration that operators declare outside of the log.
+//! Configuration that is declared outside of the log.
 //!
-//! Each member reads it where it is declared and takes a newer version from members that are
-//! ahead, so that one which cannot read it follows all the same.
+//! Each member reads it from its source. It also fetches newer versions from other members, so that
+//! it stays up to date when it cannot read the source.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -18,16 +18,16 @@
 
 use crate::control::Event;
 
-/// Bounds on what a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Size of a request line with headers, bytes.
+    /// Maximum size of a request line with headers, bytes.
     pub head: usize,
-    /// Size of a body, bytes.
+    /// Maximum size of a request body, bytes.
     pub body: usize,
-    /// Time in which a head has to arrive once it has begun.
+    /// Time limit for receiving the request line and headers.
     pub arrival: Duration,
-    /// Time after which a connection without request is closed.
+    /// Time after which an idle connection is closed.
     pub idle: Duration,
 }
 
@@ -45,57 +45,59 @@
 /// Declared configuration in force.
 #[derive(Debug, Clone, Default)]
 pub struct Declared {
-    /// Version; a later one is higher.
+    /// Version, which increases with each change.
     pub version: u64,
-    /// Routes.
+    /// Routes of all workspaces.
     pub routes: Routes,
     /// Workspaces whose services are divided by key.
     pub keyed: Vec<Name>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
 }
 
-/// Reads a declaration.
+/// Decoder of declared configuration.
 pub trait Decoder: Send + Sync + 'static {
-    /// Reads the content of a declaration.
+    /// Decodes the content of a declaration.
     ///
     /// # Errors
     ///
-    /// Fails when any part is not valid; what is in force stays so.
+    /// Fails when any part is not valid; the configuration in force is kept.
     fn decode(&self, content: &[u8]) -> Result<Declared, Box<dyn Error + Send + Sync>>;
 }
 
-/// Newest declaration that this member has read.
+/// Newest valid declaration.
 #[derive(Debug)]
 struct Newest {
     declared: Arc<Declared>,
     content: Vec<u8>,
 }
 
-/// Declarations as they come in.
+/// Store of the newest declaration, from the source or from other members.
 pub struct Declarations {
     decoder: Option<Box<dyn Decoder>>,
     newest: ArcSwapOption<Newest>,
-    /// Held while a declaration is compared and installed.
+    /// Held while the version of a declaration is compared and the declaration installed.
     install_lock: Mutex<()>,
     events: Sender<Event>,
 }
 
 impl Declarations {
-    /// Makes declarations of which none has come in; without a decoder none ever does.
+    /// Creates an empty store; without a decoder, all declarations are ignored.
     pub(crate) fn new(decoder: Option<Box<dyn Decoder>>, events: Sender<Event>) -> Self {
         Self { decoder, newest: ArcSwapOption::empty(), install_lock: Mutex::new(()), events }
     }
 
-    /// Takes in a declaration, from where it is declared or from another member.
-    ///
-    /// A version that is not newer, or content that is not valid, changes nothing.
+    /// Installs a declaration, unless its content is not valid or its version not newer.
     pub fn offer(&self, content: &[u8], source: &str) {
         let Some(decoder) = &self.decoder else { return };
         let declared = match decoder.decode(content) {
             Ok(declared) => Arc::new(declared),
             Err(error) => {
-                error!(source, error = &*error as &dyn Error, "configuration is not valid");
+                error!(
+                    source,
+                    error = &*error as &dyn Error,
+                    "ignoring invalid declared configuration"
+                );
                 return;
             }
         };
@@ -103,34 +105,34 @@
         if declared.version <= self.version() {
             return;
         }
-        info!(version = declared.version, source, "configuration in force");
+        info!(version = declared.version, source, "new declared configuration is in force");
         let content = content.to_vec();
         self.newest.store(Some(Arc::new(Newest { declared: Arc::clone(&declared), content })));
-        // Control has ended only when the process is about to exit.
+        // The control thread ends only when the process exits.
         let _ = self.events.send(Event::Declared(declared));
     }
 
-    /// Notes the version that a member has in force; a newer one is fetched from it.
+    /// Handles the version that another member has in force; a newer one is fetched from it.
     pub(crate) fn observe_version(&self, from: SocketAddr, version: u64) {
         if version > self.version() {
-            // Control has ended only when the process is about to exit.
+            // The control thread ends only when the process exits.
             let _ = self.events.send(Event::DeclaredVersion(from, version));
         }
     }
 
-    /// Returns the version in force, 0 when there is none.
+    /// Returns the version in force, 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.newest.load().as_ref().map_or(0, |newest| newest.declared.version)
     }
 
-    /// Returns what is in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn current(&self) -> Option<Arc<Declared>> {
         self.newest.load().as_ref().map(|newest| Arc::clone(&newest.declared))
     }
 
-    /// Returns the declaration for another member; version 0 when there is none.
+    /// Returns the newest declaration as sent to other members, with version 0 if there is none.
     pub(crate) fn newest(&self) -> Declaration {
         let newest = self.newest.load();
         newest.as_ref().map_or_else(Declaration::default, |newest| Declaration {
--- a/acaciaringd/src/heartbeat.rs
+++ b/acaciaringd/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What an upstream that holds units by grant reports, and what it is told to hold.
+//! Heartbeats of an upstream, which report the keys that it holds, and the grants in their replies.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 use crate::announce::Announcement;
 use crate::control::Event;
 
-/// Report of the upstream.
+/// Heartbeat of the upstream.
 #[derive(Debug, Clone)]
 pub struct Heartbeat {
-    /// What the upstream says of itself; `instance` is set.
+    /// Announcement of the upstream; `instance` is set.
     pub announcement: Announcement,
-    /// Number of the report, higher than that of all earlier ones of the same instance.
+    /// Sequence number, which increases with each heartbeat of an instance.
     pub sequence: u64,
-    /// What it holds or still works on.
+    /// Ranges that it holds, or for which it still runs requests.
     pub held: Vec<Held>,
-    /// What it has released since its last report that was answered.
+    /// Ranges that it has released since its last answered heartbeat.
     pub freed: Vec<Freed>,
-    /// Most ranges that the reply has room for.
+    /// Maximum number of ranges in the reply.
     pub max_ranges: usize,
 }
 
-/// What the upstream is to hold.
+/// Reply to a heartbeat.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HeartbeatReply {
-    /// All that it is to hold, and for how long, counted from the sending of the report;
-    /// `None` renews nothing.
+    /// All ranges granted to the upstream, and the duration of the grants from the time when the
+    /// heartbeat was sent; `None` renews nothing.
     pub grants: Option<(Vec<Granted>, Duration)>,
 }
 
-/// Takes the upstream's reports to the control thread.
+/// Handle that passes heartbeats of the upstream to the control thread.
 #[derive(Debug, Clone)]
 pub struct Heartbeats {
     events: Sender<Event>,
@@ -44,14 +44,14 @@
         Self { events }
     }
 
-    /// Takes in a report; `None` when the process is about to exit.
+    /// Handles a heartbeat; `None` if the reply was dropped or the process is about to exit.
     pub async fn report(&self, heartbeat: Heartbeat) -> Option<HeartbeatReply> {
         let (sender, reply) = oneshot::channel();
         self.events.send(Event::Heartbeat(heartbeat, sender)).ok()?;
         reply.await.ok()
     }
 
-    /// Notes that an upstream is leaving and reports no more; `None` when the process is about to exit.
+    /// Handles the notice that an instance is leaving; `None` when the process is about to exit.
     pub async fn leaves(&self, instance: Name) -> Option<()> {
         let (sender, reply) = oneshot::channel();
         self.events.send(Event::UpstreamLeaves(instance, sender)).ok()?;
--- a/acaciaringd/src/outbox.rs
+++ b/acaciaringd/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Calls to other members on behalf of the control thread, which never waits for them.
+//! Calls to other members in the background, so that the control thread never blocks on them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 
 use crate::peer::Transport;
 
-/// Calls under way at once; more are dropped, and control repeats what it needs.
+/// Maximum number of concurrent calls; further ones fail, and the control thread retries them.
 const MAX_CALLS: usize = 4096;
 
-/// What to do with the outcome of a call.
+/// Callback for the reply to a call, `None` after a failure.
 pub(crate) type OnReply = Box<dyn FnOnce(Option<reply::Body>) + Send>;
 
-/// Sender of calls in the background.
+/// Sender of background calls.
 #[derive(Clone)]
 pub(crate) struct Outbox {
     transport: Transport,
@@ -23,12 +23,12 @@
 }
 
 impl Outbox {
-    /// Makes a sender over a transport.
+    /// Creates a sender over a transport.
     pub(crate) fn new(transport: &Transport) -> Self {
         Self { transport: transport.clone(), permits: Arc::new(Semaphore::new(MAX_CALLS)) }
     }
 
-    /// Makes a call in the background; `done` gets the reply, or `None` after a failure.
+    /// Makes a call in the background; `on_reply` gets the reply, or `None` after a failure.
     pub(crate) fn call(
         &self,
         to: SocketAddr,
--- a/acaciaringd/src/read_pacer.rs
+++ b/acaciaringd/src/read_pacer.rs
@@ -1,4 +1,4 @@
-//! What control and the appender want of the log, shared with the thread that reads it.
+//! Pacing of log reads, shared between the reader and the threads that need records.
 
 use std::time::Duration;
 
@@ -8,22 +8,22 @@
 
 use crate::clock;
 
-/// Pace of the reader, which wakes it from its rest when a record is needed.
+/// Pacer of log reads; wakes the reader early when a record is needed.
 #[derive(Debug)]
 pub(crate) struct ReadPacer {
     pace: Mutex<Pace>,
     changed: Condvar,
-    /// Reads a second of all members together.
+    /// Maximum rate of reads by all members together, per second.
     rate: u32,
 }
 
 impl ReadPacer {
-    /// Begins with the first record.
+    /// Creates a pacer that starts at the first record.
     pub(crate) fn new(rate: u32) -> Self {
         Self { pace: Mutex::new(Pace::new()), changed: Condvar::new(), rate }
     }
 
-    /// Waits until the next read may begin; returns where it begins.
+    /// Waits until the next read is due; returns the offset that it starts at.
     pub(crate) fn wait(&self) -> Offset {
         let mut pace = self.pace.lock();
         loop {
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Notes that a read was answered.
+    /// Records that a read was answered.
     pub(crate) fn answered(&self, now: Time) {
         self.pace.lock().answered(now);
     }
 
-    /// Notes how far the log is folded, where it ends and how many members read it.
+    /// Updates the next offset to read, the end of the log and the number of members that read it.
     pub(crate) fn folded(&self, next: Offset, end: Offset, members: usize) {
         let mut pace = self.pace.lock();
         pace.folded(next);
@@ -48,19 +48,19 @@
         pace.share(members, self.rate);
     }
 
-    /// Wakes the reader for the records before an offset.
+    /// Requests a read of all records before an offset.
     pub(crate) fn request_before(&self, end: Offset) {
         self.pace.lock().need(end);
         self.changed.notify_all();
     }
 
-    /// Wakes the reader for a record that may stand in the log.
+    /// Requests a read, for a record that may be in the log.
     pub(crate) fn request_read(&self) {
         self.pace.lock().ask();
         self.changed.notify_all();
     }
 
-    /// Returns the rest between two reads.
+    /// Returns the interval between two reads.
     pub(crate) fn interval(&self) -> Duration {
         self.pace.lock().rest()
     }
--- a/acaciaringd/src/reader.rs
+++ b/acaciaringd/src/reader.rs
@@ -15,19 +15,18 @@
 use crate::read_pacer::ReadPacer;
 use crate::vital;
 
-/// Records in one read.
+/// Maximum number of records in one read of the log service.
 const READ_LIMIT: usize = 512;
 
-/// Records asked of another member.
+/// Maximum number of records requested from another member.
 const RELAY_LIMIT: u32 = 512;
 
-/// Pause after a failed read, at first.
+/// Initial pause after a failed read; doubles up to the maximum.
 const INITIAL_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest pause after failed reads.
+/// Maximum pause after failed reads.
 ///
-/// The log service counts refused reads too; with it a service that returns is noticed within
-/// a second.
+/// Limits failed reads, which the log service counts too, and detects its recovery quickly.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// Reads records from another member when the log service cannot be reached.
@@ -49,13 +48,13 @@
 
 struct Reader {
     log: Arc<dyn LogService>,
-    /// Time for which a read waits for a new record.
+    /// Time for which a read blocks until there is a new record.
     wait: Duration,
     relay: Relay,
     read_pacer: Arc<ReadPacer>,
     events: Sender<Event>,
     failing: bool,
-    /// True once a read has said where the log ends.
+    /// True once a read of the log service has succeeded.
     has_read: bool,
     /// Pauses after failed reads.
     backoff: Backoff,
@@ -78,21 +77,21 @@
 
     /// Reads from the log service, else from another member.
     fn read(&mut self, from: u64) -> Option<Batch> {
-        // The first read must not wait for a record: a quiet log would hold up the start.
+        // The first read must not block: the start would be delayed until there is a new record.
         let wait = if self.has_read { self.wait } else { Duration::ZERO };
         match self.log.read(from, READ_LIMIT, wait) {
             Ok(batch) => {
                 self.has_read = true;
                 self.backoff.reset();
                 if self.failing {
-                    info!("the log can be read again");
+                    info!("log service can be read again");
                 }
                 self.failing = false;
                 Some(batch)
             }
             Err(error) => {
                 if !self.failing {
-                    warn!(%error, "the log cannot be read, asking other members");
+                    warn!(%error, "cannot read from the log service, reading from other members");
                 }
                 self.failing = true;
                 (self.relay)(from, RELAY_LIMIT)
@@ -100,7 +99,8 @@
         }
     }
 
-    /// Hands a batch to control and waits until it is folded, so that the next read starts behind it.
+    /// Sends a batch to the control thread and waits until it is folded, so that the next read
+    /// starts after it; returns false when the control thread has ended.
     fn deliver(&self, batch: Batch) -> bool {
         let (done, folded): (Sender<()>, Receiver<()>) = bounded(1);
         if self.events.send(Event::Batch(batch, done)).is_err() {
--- a/acaciaringd/src/view.rs
+++ b/acaciaringd/src/view.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes for the traffic threads.
+//! State that the control thread publishes for the threads that handle requests.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 use crate::inflight::Inflight;
 
-/// The upstream beside this member, as it last announced itself.
+/// The local upstream, as last announced.
 #[derive(Debug, Clone)]
 pub(crate) struct UpstreamEndpoint {
     /// Workspace that it serves.
@@ -24,27 +24,27 @@
     pub(crate) address: SocketAddr,
     /// True when it checks fences.
     pub(crate) fenced: bool,
-    /// Reading of its own clock in milliseconds.
+    /// Reading of its monotonic clock, milliseconds.
     pub(crate) clock: u64,
-    /// When the reading was received, so the upstream took it no later.
+    /// When the reading was received.
     pub(crate) received: Time,
-    /// Identity of this start of the upstream, empty where it names none.
+    /// Identifier of this instance of the upstream, empty if it has none.
     pub(crate) instance: Arc<str>,
 }
 
 impl UpstreamEndpoint {
-    /// Returns a time on the upstream's clock that it reaches no later than `end` is reached here.
+    /// Returns a time on the upstream's clock, milliseconds, that is no later than `end` here.
     ///
-    /// The reading was taken before it was received, so the upstream's clock is
-    /// at least `clock + (now - received)` now. A delayed request therefore
-    /// cannot be accepted after the lease has ended here.
+    /// The reading was taken before it was received, so the upstream's clock is now at least
+    /// `clock + (now - received)`. A delayed request is therefore never accepted after the lease
+    /// has expired here.
     pub(crate) fn until(&self, end: Time) -> u64 {
         let span = end.since(self.received).as_millis();
         self.clock.saturating_add(u64::try_from(span).unwrap_or(u64::MAX))
     }
 }
 
-/// Right of this member to serve a unit, as long as its lease holds.
+/// Permission of this member to serve a unit while it holds its lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Permit {
     /// Requests may run.
@@ -54,35 +54,35 @@
         /// Version of the assignment.
         version: Offset,
     },
-    /// This member is to serve the unit soon.
+    /// This member will serve the unit soon; requests wait.
     Wait,
 }
 
-/// Rights of this member, by workspace and unit.
+/// Permits of this member by workspace and unit.
 pub(crate) type Permits = HashMap<Name, HashMap<UnitId, Permit>>;
 
-/// Snapshot of the control state for traffic threads.
+/// Immutable snapshot of the control state.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct View {
-    /// This member, once it has joined.
+    /// Id of this member, once it has joined.
     pub(crate) me: Option<MemberId>,
     /// State folded from the log.
     pub(crate) state: Arc<State>,
-    /// Routes in force, for look-ups.
+    /// Routes in force.
     pub(crate) routes: Arc<Routes>,
-    /// Units that this member serves or is to serve.
+    /// Units that this member serves or will serve soon.
     pub(crate) permits: Arc<Permits>,
-    /// Units whose standby has acknowledged what this member remembers.
+    /// Units whose standby has acknowledged their deduplication state.
     pub(crate) synced: Arc<Synced>,
-    /// Members whose lease is over for good and whose eviction is not yet in the log.
+    /// Members whose lease is proved expired, but whose eviction is not yet in the log.
     pub(crate) expired: Arc<HashSet<MemberId>>,
-    /// The upstream beside this member.
+    /// The local upstream.
     pub(crate) endpoint: Option<UpstreamEndpoint>,
-    /// True while the gate takes no new requests.
+    /// True while the gate accepts no new requests.
     pub(crate) closed: bool,
 }
 
-/// Standby that has acknowledged what the owner remembers, by workspace and unit.
+/// Standby that has acknowledged the owner's deduplication state, by workspace and unit.
 pub(crate) type Synced = HashMap<(Name, UnitId), MemberId>;
 
 impl View {
@@ -101,44 +101,44 @@
         self.state.service(workspace)?.assignment(unit)
     }
 
-    /// Returns the right of this member to serve a unit, if it has or is to get one.
+    /// Returns the permit of this member for a unit, if it has one.
     pub(crate) fn permit(&self, workspace: &str, unit: UnitId) -> Option<Permit> {
         self.permits.get(workspace)?.get(&unit).copied()
     }
 
-    /// Returns the address of a member for other members.
+    /// Returns the peer address of a member.
     pub(crate) fn peer(&self, member: MemberId) -> Option<SocketAddr> {
         self.state.member(member).and_then(peer_address)
     }
 }
 
-/// Returns the address of a member for other members.
+/// Returns the peer address of a member.
 pub(crate) fn peer_address(member: &Member) -> Option<SocketAddr> {
     member.peer.parse().ok()
 }
 
-/// Time that one thread writes and others read.
+/// Time that is shared between threads without a lock.
 #[derive(Debug, Default)]
 pub(crate) struct SharedTime(AtomicU64);
 
 impl SharedTime {
-    /// Publishes a time; `Time::ZERO` stands for none.
+    /// Stores a time; `Time::ZERO` means none.
     pub(crate) fn set(&self, time: Time) {
         let nanos = u64::try_from(time.since_start().as_nanos()).unwrap_or(u64::MAX);
         self.0.store(nanos, Ordering::Release);
     }
 
-    /// Returns the time.
+    /// Loads the time.
     pub(crate) fn get(&self) -> Time {
         Time::from_start(Duration::from_nanos(self.0.load(Ordering::Acquire)))
     }
 }
 
-/// What control and traffic threads share.
+/// State shared between the control thread and the threads that handle requests.
 #[derive(Debug, Default)]
 pub(crate) struct Shared {
     view: ArcSwap<View>,
-    /// End of this member's lease.
+    /// Expiry of this member's lease, `Time::ZERO` without one.
     pub(crate) lease: SharedTime,
     /// When the upstream last refused a connection.
     pub(crate) upstream_refused: SharedTime,
@@ -146,19 +146,19 @@
     pub(crate) inflight: Arc<Inflight>,
     /// True when the configuration is declared outside of the log.
     ///
-    /// Then no lease vouches for what this member knows of it, and none is needed to act on it.
+    /// It may then be used without a lease, which does not keep it up to date.
     pub(crate) declares: bool,
-    /// True once this process is told to stop.
+    /// True once this process was told to stop.
     pub(crate) stopping: AtomicBool,
-    /// True once this member knows a configuration.
+    /// True once this member has a declared configuration.
     pub(crate) configured: AtomicBool,
-    /// True once this process has joined; before, no other member takes its connections.
+    /// True once this process has joined; before, other members reject its connections.
     pub(crate) joined: AtomicBool,
     change: Notify,
 }
 
 impl Shared {
-    /// Makes what a process shares; `declares` where its configuration stands outside of the log.
+    /// Creates the shared state; `declares` if the configuration is declared outside of the log.
     pub(crate) fn new(declares: bool) -> Self {
         Self { declares, ..Self::default() }
     }
@@ -168,22 +168,21 @@
         self.view.load_full()
     }
 
-    /// Returns true while callers are to come to this member.
+    /// Returns true while this member is ready for requests of callers.
     pub(crate) fn is_ready(&self) -> bool {
         let configured = !self.declares || self.configured.load(Ordering::Acquire);
         configured && self.is_known() && !self.stopping.load(Ordering::Acquire)
     }
 
-    /// Returns true once other members know this process, so that it can send requests on.
+    /// Returns true once other members accept connections from this process.
     ///
-    /// Guards against a process that has its configuration before it has joined, for a second or more
-    /// where the store is slow: each request made connections that all others refuse, a hundred
-    /// handshakes on machines with little processor time.
+    /// Guards against a process that has its configuration before it has joined: each request would
+    /// open connections that all other members reject.
     pub(crate) fn is_known(&self) -> bool {
         !self.declares || self.joined.load(Ordering::Acquire)
     }
 
-    /// Publishes a view and wakes those that wait for a change.
+    /// Publishes a view and wakes all waiters in [`Self::changed`].
     pub(crate) fn publish(&self, view: View) {
         self.view.store(Arc::new(view));
         self.change.notify_waiters();
@@ -191,7 +190,7 @@
 
     /// Waits for the next published view, at most `bound`.
     pub(crate) async fn changed(&self, bound: Duration) {
-        // Without a change the bound passes.
+        // Elapses if there is no change.
         let _ = timeout(bound, self.change.notified()).await;
     }
 }
