--- a/acaciaringd/src/appender.rs
+++ b/acaciaringd/src/appender.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Makes one attempt; falls back to another member if the log service did not append the record.
+    /// Makes one attempt; falls back to another member if the log service did not append.
     fn attempt(&self, bytes: &[u8]) -> AppendOutcome {
         match self.log.append(bytes) {
             Ok(offset) => {
--- a/acaciaringd/src/control/fold.rs
+++ b/acaciaringd/src/control/fold.rs
@@ -43,7 +43,7 @@
         let state = self.replica.state();
         let members = state.members().filter(|member| member.alive()).count();
         self.context.read_pacer.folded(self.replica.wanted(), batch.next, members);
-        // The log of a new cluster is empty; offsets start at 1.
+        // The first member of a new cluster finds an empty log and must not wait for a record.
         self.progress.caught_up |= state.next().max(1) >= batch.next;
         if state.next() != before {
             self.progress.last_folded = now;
--- a/acaciaringd/src/reader.rs
+++ b/acaciaringd/src/reader.rs
@@ -26,7 +26,7 @@
 
 /// Maximum pause after failed reads.
 ///
-/// Limits failed reads, which the log service counts too, and detects its recovery quickly.
+/// The log service counts failed reads too, and its recovery is to be detected quickly.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// Reads records from another member when the log service cannot be reached.
