--- a/acaciaringd/src/appender.rs
+++ b/acaciaringd/src/appender.rs
@@ -1,4 +1,4 @@
-//! Thread that appends proposals to the control log.
+//! Thread that appends proposed records to the control log.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,76 +14,86 @@
 
 use crate::backoff::Backoff;
 use crate::platform::{AppendError, LogService};
+use crate::read_pacer::ReadPacer;
 use crate::vital;
-use crate::wanted::Wanted;
 
-/// Identity of a record, the same over all tries of its append.
+/// Id of a record, the same for all attempts to append it.
 pub(crate) type RecordId = [u8; 16];
 
-/// Pause before a refused append is tried again, at first; it doubles up to the longest.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Initial pause between attempts to append a record; doubles up to the maximum.
+const INITIAL_PAUSE: Duration = Duration::from_millis(50);
 
-/// Longest pause between two tries.
-const LONGEST: Duration = Duration::from_millis(800);
+/// Maximum pause between attempts to append a record.
+const MAX_PAUSE: Duration = Duration::from_millis(800);
 
-/// Tries of one record before another has its turn.
-const TRIES: u32 = 20;
+/// Attempts for one record before it goes to the back of the queue.
+const ATTEMPTS_PER_TURN: u32 = 20;
 
-/// Proposals that may wait; more are dropped and proposed anew by control.
-const QUEUE: usize = 1024;
+/// Capacity of the queue; the control thread proposes records that do not fit again.
+const QUEUE_CAPACITY: usize = 1024;
 
-/// What came of an append, as far as it is known.
+/// Outcome of an attempt to append a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Appended {
-    /// The record is in the log, at this offset.
-    Yes(Offset),
-    /// The record was surely not appended.
-    No,
+pub(crate) enum AppendOutcome {
+    /// The record is in the log at this offset.
+    Appended(Offset),
+    /// The record was certainly not appended.
+    NotAppended,
     /// The record may have been appended.
     Unknown,
 }
 
-/// Appends through another member when the log service cannot be reached.
-pub(crate) type Relay = Box<dyn Fn(&[u8]) -> Appended + Send>;
+/// Appends through another member when the log service did not append the record.
+pub(crate) type Relay = Box<dyn Fn(&[u8]) -> AppendOutcome + Send>;
 
-/// Tries of an open record.
+/// State of the attempts to append an open record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Tries {
-    /// None may have appended it.
+enum AttemptState {
+    /// No attempt can have appended it.
     Refused,
-    /// One is under way, and none before may have appended it.
-    UnderWay,
-    /// One may have appended it.
-    Doubtful,
+    /// An attempt is in progress, and no earlier one can have appended it.
+    InProgress,
+    /// An attempt may have appended it.
+    InDoubt,
 }
 
-type Open = Arc<Mutex<HashMap<RecordId, Tries>>>;
+type OpenRecords = Arc<Mutex<HashMap<RecordId, AttemptState>>>;
 
-/// Handle to the appending thread.
+/// Handle to the appender thread.
 ///
-/// A record is tried until control has seen it folded and settles it. The log
-/// service may lose an answer after the append took effect; since each try
-/// carries the same id, the fold gives a repeated record no effect.
+/// A record is retried until the control thread sees it folded and settles it. The log service may
+/// lose a response after the append took effect; all attempts carry the same id, so the fold
+/// ignores duplicates.
 #[derive(Debug, Clone)]
 pub(crate) struct Appender {
     queue: Sender<Record>,
-    open: Open,
+    open: OpenRecords,
 }
 
 impl Appender {
     /// Starts the thread.
-    pub(crate) fn start(log: Arc<dyn LogService>, wanted: Arc<Wanted>, relay: Relay) -> Self {
-        let (queue, records) = bounded(QUEUE);
-        let open = Open::default();
-        let worker =
-            Worker { queue: queue.clone(), log, wanted, relay, records, open: Arc::clone(&open) };
+    pub(crate) fn start(
+        log: Arc<dyn LogService>,
+        read_pacer: Arc<ReadPacer>,
+        relay: Relay,
+    ) -> Self {
+        let (queue, records) = bounded(QUEUE_CAPACITY);
+        let open = OpenRecords::default();
+        let worker = Worker {
+            queue: queue.clone(),
+            log,
+            read_pacer,
+            relay,
+            records,
+            open: Arc::clone(&open),
+        };
         vital::spawn("appender", move || worker.run());
         Self { queue, open }
     }
 
     /// Queues a record; returns false when the queue is full.
     pub(crate) fn propose(&self, id: RecordId, record: Record) -> bool {
-        self.open.lock().insert(id, Tries::Refused);
+        self.open.lock().insert(id, AttemptState::Refused);
         if self.queue.try_send(record).is_ok() {
             return true;
         }
@@ -91,27 +101,27 @@
         false
     }
 
-    /// Returns true while a try is under way whose outcome decides whether the record may have been appended.
-    pub(crate) fn trying(&self, id: &RecordId) -> bool {
-        self.open.lock().get(id) == Some(&Tries::UnderWay)
+    /// Returns true while an attempt in progress decides whether the record may have been appended.
+    pub(crate) fn attempt_in_progress(&self, id: &RecordId) -> bool {
+        self.open.lock().get(id) == Some(&AttemptState::InProgress)
     }
 
-    /// Ends the tries of a record that was folded, or is no longer wanted.
+    /// Ends the attempts for a record that was folded or is abandoned.
     ///
-    /// Returns true when it may have been appended; false is certain, for no try begins any more.
+    /// Returns true if it may have been appended; false is certain, since no new attempt begins.
     pub(crate) fn settle(&self, id: &RecordId) -> bool {
-        self.open.lock().remove(id) != Some(Tries::Refused)
+        self.open.lock().remove(id) != Some(AttemptState::Refused)
     }
 }
 
 struct Worker {
     queue: Sender<Record>,
     log: Arc<dyn LogService>,
-    /// Reader of the log, which is to bring back at once what was appended.
-    wanted: Arc<Wanted>,
+    /// Pacer of the log reader, to read appended records at once.
+    read_pacer: Arc<ReadPacer>,
     relay: Relay,
     records: Receiver<Record>,
-    open: Open,
+    open: OpenRecords,
 }
 
 impl Worker {
@@ -121,64 +131,69 @@
         }
     }
 
-    /// Tries until the record is appended or settled, or makes way for others.
+    /// Attempts to append a record until it is appended or settled, or its attempts are used up.
     ///
-    /// A record that the log service refuses for good must not hold up the rest.
+    /// It then goes to the back of the queue, so that a rejected record does not block the others.
     fn append(&self, record: &Record) {
         let bytes = record.encode_to_vec();
-        let mut backoff = Backoff::new(PAUSE, LONGEST);
-        for _ in 0..TRIES {
+        let mut backoff = Backoff::new(INITIAL_PAUSE, MAX_PAUSE);
+        for _ in 0..ATTEMPTS_PER_TURN {
             if !self.begin(record) {
                 return;
             }
             let appended = self.attempt(&bytes);
-            let refused = appended == Appended::No;
-            self.note(record, if refused { Tries::Refused } else { Tries::Doubtful });
+            let refused = appended == AppendOutcome::NotAppended;
+            self.set_state(
+                record,
+                if refused { AttemptState::Refused } else { AttemptState::InDoubt },
+            );
             match appended {
-                Appended::Yes(offset) => return self.wanted.need(offset + 1),
-                Appended::Unknown => self.wanted.ask(),
-                Appended::No => {}
+                AppendOutcome::Appended(offset) => {
+                    return self.read_pacer.request_before(offset + 1);
+                }
+                AppendOutcome::Unknown => self.read_pacer.request_read(),
+                AppendOutcome::NotAppended => {}
             }
             thread::sleep(backoff.pause());
         }
         if self.queue.try_send(record.clone()).is_err() {
-            warn!("too many records wait for the log, dropping one");
+            warn!("append queue is full, dropping a record after repeated attempts");
         }
     }
 
-    /// Makes one try, through another member when the log service refuses.
-    fn attempt(&self, bytes: &[u8]) -> Appended {
+    /// Makes one attempt; falls back to another member if the log service did not append.
+    fn attempt(&self, bytes: &[u8]) -> AppendOutcome {
         match self.log.append(bytes) {
             Ok(offset) => {
                 debug!(offset, "record appended");
-                Appended::Yes(offset)
+                AppendOutcome::Appended(offset)
             }
             Err(AppendError::Unknown { .. }) => {
-                debug!("append without answer, trying again with the same id");
-                Appended::Unknown
+                debug!("append has an unknown outcome, retrying with the same id");
+                AppendOutcome::Unknown
             }
             Err(error) => {
-                warn!(%error, "append refused");
+                warn!(%error, "record was not appended, trying through another member");
                 (self.relay)(bytes)
             }
         }
     }
 
-    /// Begins a try of a record, unless it is no longer wanted.
+    /// Begins an attempt, unless the record is settled.
     ///
-    /// The try is noted under the lock by which the record is settled: a record that is settled
-    /// as refused was not appended and never will be.
+    /// The state changes under the lock that also settles records, so a record settled as refused
+    /// was not appended and never will be.
     fn begin(&self, record: &Record) -> bool {
-        self.note(record, Tries::UnderWay)
+        self.set_state(record, AttemptState::InProgress)
     }
 
-    /// Notes a try, one in doubt stays so; returns false when the record is settled.
-    fn note(&self, record: &Record, now: Tries) -> bool {
+    /// Sets the state of a record, unless it is in doubt; returns false if the record is settled.
+    fn set_state(&self, record: &Record, now: AttemptState) -> bool {
         let Ok(id) = RecordId::try_from(record.id.as_slice()) else { return false };
         let mut open = self.open.lock();
-        let Some(tries) = open.get_mut(&id) else { return false };
-        if *tries != Tries::Doubtful {
-            *tries = now;
+        let Some(state) = open.get_mut(&id) else { return false };
+        if *state != AttemptState::InDoubt {
+            *state = now;
         }
         true
     }
--- a/acaciaringd/src/control/way.rs
+++ b/acaciaringd/src/control/grant_mode.rs
@@ -1,4 +1,4 @@
-//! The two ways in which an upstream is told what to hold.
+//! The two protocols by which an upstream is granted keys.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -10,28 +10,28 @@
 
 use crate::heartbeat::Heartbeat;
 
-/// What is known of what the upstream holds, by the way in which it is told.
+/// Keys that the upstream holds, tracked by the protocol that grants them.
 #[derive(Debug)]
-pub(super) enum Way {
-    /// In the replies to its reports, which say what it holds.
-    Reported(Holds),
-    /// By calls to it; its reports say nothing of it.
-    Called(Orders),
+pub(super) enum GrantMode {
+    /// Grants are sent in replies to heartbeats, which report the held keys.
+    Heartbeat(Holds),
+    /// Grants are sent by calls to the upstream; heartbeats report no keys.
+    Call(Orders),
 }
 
-impl Way {
+impl GrantMode {
     pub(super) fn new(now: Time, grants: UpstreamGrants, hold: Duration) -> Self {
         match grants {
-            UpstreamGrants::Heartbeat => Self::Reported(Holds::new(now, hold)),
-            UpstreamGrants::Call => Self::Called(Orders::new(now, hold)),
+            UpstreamGrants::Heartbeat => Self::Heartbeat(Holds::new(now, hold)),
+            UpstreamGrants::Call => Self::Call(Orders::new(now, hold)),
         }
     }
 
-    /// Returns the present start of the upstream.
+    /// Returns the instance and start number of the running upstream.
     pub(super) const fn start(&self) -> Option<&Incarnation> {
         match self {
-            Self::Reported(holds) => holds.incarnation(),
-            Self::Called(orders) => orders.incarnation(),
+            Self::Heartbeat(holds) => holds.incarnation(),
+            Self::Call(orders) => orders.incarnation(),
         }
     }
 
@@ -41,15 +41,15 @@
         let start = Incarnation { instance, generation: announcement.born };
         let sequence = heartbeat.sequence;
         match self {
-            Self::Reported(holds) => {
+            Self::Heartbeat(holds) => {
                 let (held, freed) = (heartbeat.held.clone(), heartbeat.freed.clone());
                 holds.report(now, &start, sequence, held, freed)
             }
-            Self::Called(orders) => orders.report(now, &start, sequence),
+            Self::Call(orders) => orders.report(now, &start, sequence),
         }
     }
 
-    /// Returns true while the upstream runs requests for a unit under a token.
+    /// Returns true while the upstream accepts requests for a unit under a fencing token.
     pub(super) fn serves(
         &self,
         now: Time,
@@ -58,40 +58,40 @@
         keys: impl FnOnce() -> Vec<RangeInclusive<u32>>,
     ) -> bool {
         match self {
-            Self::Reported(holds) => holds.serves(now, unit, token),
-            Self::Called(orders) => orders.serves(now, &keys(), token),
+            Self::Heartbeat(holds) => holds.serves(now, unit, token),
+            Self::Call(orders) => orders.serves(now, &keys(), token),
         }
     }
 
     /// Returns true while the upstream may hold keys of a unit.
     pub(super) fn may_hold(&self, now: Time, unit: UnitId, keys: &[RangeInclusive<u32>]) -> bool {
         match self {
-            Self::Reported(holds) => holds.may_hold(now, unit, keys),
-            Self::Called(orders) => orders.may_hold(now, keys),
+            Self::Heartbeat(holds) => holds.may_hold(now, unit, keys),
+            Self::Call(orders) => orders.may_hold(now, keys),
         }
     }
 
     /// Returns true while the upstream may hold anything.
     pub(super) fn may_hold_any(&self, now: Time) -> bool {
         match self {
-            Self::Reported(holds) => holds.may_hold_any(now),
-            Self::Called(orders) => orders.may_hold_any(now),
+            Self::Heartbeat(holds) => holds.may_hold_any(now),
+            Self::Call(orders) => orders.may_hold_any(now),
         }
     }
 
-    /// Notes that the upstream has refused a request for a unit that it should hold.
+    /// Records that the upstream has refused a request for a unit granted to it.
     pub(super) fn deny(&mut self, unit: UnitId, keys: &[RangeInclusive<u32>]) {
         match self {
-            Self::Reported(holds) => holds.mark_refused(unit),
-            Self::Called(orders) => orders.mark_refused(keys),
+            Self::Heartbeat(holds) => holds.mark_refused(unit),
+            Self::Call(orders) => orders.mark_refused(keys),
         }
     }
 
-    /// Returns what the upstream gave out when it released keys, empty when it gave nothing.
+    /// Returns the handover data that the upstream returned when it released keys, empty if none.
     pub(super) fn handover(&self, keys: &[RangeInclusive<u32>]) -> Name {
         match self {
-            Self::Reported(holds) => holds.handover(keys),
-            Self::Called(orders) => orders.handover(keys),
+            Self::Heartbeat(holds) => holds.handover(keys),
+            Self::Call(orders) => orders.handover(keys),
         }
     }
 }
--- a/acaciaringd/src/control/handover.rs
+++ b/acaciaringd/src/control/handover.rs
@@ -1,4 +1,4 @@
-//! Rights of this member, and the release of units that pass to another one.
+//! Permits of this member, and the release of units that move to another member.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -14,31 +14,30 @@
 use crate::view::{Permit, Permits};
 use crate::wire;
 
-/// Time after which a release that was not acknowledged is sent again.
-const AGAIN: Duration = Duration::from_millis(300);
+/// Time after which an unacknowledged release is sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A unit of a workspace that goes to a new server, with the version of the release.
-type Parcel = (Name, UnitId, Offset);
+/// Release of a unit of a workspace to its new owner, with the version of the assignment.
+type UnitRelease = (Name, UnitId, Offset);
 
-/// Units that this member is to release, and how far it has come.
+/// Units that this member has to release, and the progress of each.
 #[derive(Debug, Default)]
 pub(super) struct Handover {
-    /// Units to release, with the version under which they are released.
+    /// Units to release, with the version of the assignment.
     pub(super) draining: HashMap<(Name, UnitId), Offset>,
-    /// Releases that were sent and when.
-    pub(super) sent: HashMap<Parcel, Time>,
-    /// Releases that the next server has acknowledged.
-    pub(super) done: HashSet<Parcel>,
-    /// Releases that are still to be made.
+    /// When each release was last sent.
+    pub(super) sent: HashMap<UnitRelease, Time>,
+    /// Releases that the new owner has acknowledged.
+    pub(super) acknowledged: HashSet<UnitRelease>,
+    /// Releases that are not yet acknowledged.
     ///
-    /// The log names a former owner until the unit moves again, so most of what is to be released
-    /// was released long ago. Looking through all of it in each round took a member with many
-    /// moves a fiftieth of its processor.
-    open: Vec<Parcel>,
+    /// The log names a former owner until the unit moves again, so most of `draining` was released
+    /// long ago; iterating over all of it in each round would be slow.
+    pending: Vec<UnitRelease>,
 }
 
 impl Control {
-    /// Computes what this member may serve.
+    /// Returns the units that this member may serve, now or soon.
     pub(super) fn permits(&mut self, now: Time) -> Permits {
         let mut permits = Permits::new();
         let state = Arc::clone(&self.state);
@@ -59,7 +58,7 @@
         permits
     }
 
-    /// Finds the units that the log has given to others and that this member is to release.
+    /// Finds the units that the log has assigned to others and that this member has to release.
     pub(super) fn find_draining(&mut self) {
         let Some(identity) = &self.identity else { return };
         let me = Some(identity.me);
@@ -70,53 +69,52 @@
                 let former = !owned && [assignment.prior, assignment.rival].contains(&me);
                 let closing = self.closed && assignment.owner == me && assignment.standby.is_some();
                 if former || closing {
-                    let place = (Arc::clone(&service.workspace), unit);
-                    self.handover.draining.insert(place, assignment.version);
+                    let unit_key = (Arc::clone(&service.workspace), unit);
+                    self.handover.draining.insert(unit_key, assignment.version);
                 }
             }
         }
         let draining = &self.handover.draining;
-        let current = |(workspace, unit, version): &Parcel| {
+        let current = |(workspace, unit, version): &UnitRelease| {
             draining.get(&(Arc::clone(workspace), *unit)) == Some(version)
         };
-        self.handover.done.retain(current);
-        self.handover.sent.retain(|parcel, _| current(parcel));
-        let parcels = draining.iter().map(|((w, unit), version)| (Arc::clone(w), *unit, *version));
-        self.handover.open =
-            parcels.filter(|parcel| !self.handover.done.contains(parcel)).collect();
+        self.handover.acknowledged.retain(current);
+        self.handover.sent.retain(|release, _| current(release));
+        let releases = draining.iter().map(|((w, unit), version)| (Arc::clone(w), *unit, *version));
+        self.handover.pending =
+            releases.filter(|release| !self.handover.acknowledged.contains(release)).collect();
     }
 
-    /// Releases units that have nothing in flight any more.
+    /// Releases units that have no requests in flight.
     ///
     /// The view without the permit is published before the requests in flight
     /// are counted, see [`crate::inflight::Inflight`].
-    pub(super) fn hand_over(&mut self, now: Time) {
-        let parcels = self.handover.open.clone();
-        let mut ready: HashMap<(Name, MemberId), Vec<Parcel>> = HashMap::new();
-        for parcel in parcels {
-            for to in self.release(now, &parcel) {
-                ready.entry((Arc::clone(&parcel.0), to)).or_default().push(parcel.clone());
+    pub(super) fn release_units(&mut self, now: Time) {
+        let releases = self.handover.pending.clone();
+        let mut ready: HashMap<(Name, MemberId), Vec<UnitRelease>> = HashMap::new();
+        for release in releases {
+            for to in self.release(now, &release) {
+                ready.entry((Arc::clone(&release.0), to)).or_default().push(release.clone());
             }
         }
-        for ((workspace, to), parcels) in ready {
-            self.send_release(&workspace, to, &parcels);
+        for ((workspace, to), releases) in ready {
+            self.send_release(&workspace, to, &releases);
         }
     }
 
-    /// Releases one unit; returns to whom the release is to be sent now.
+    /// Releases one unit if it is ready; returns the members that the release has to be sent to.
     ///
-    /// The standby of the new owner is told too: it may have to take over from
-    /// one that dies before it serves.
-    fn release(&mut self, now: Time, parcel: &Parcel) -> Vec<MemberId> {
-        let (workspace, unit, _) = parcel;
-        let sent = self.handover.sent.get(parcel);
-        if sent.is_some_and(|sent| now.since(*sent) < AGAIN) {
+    /// Includes the standby, which takes over if the new owner dies before it serves.
+    fn release(&mut self, now: Time, release: &UnitRelease) -> Vec<MemberId> {
+        let (workspace, unit, _) = release;
+        let sent = self.handover.sent.get(release);
+        if sent.is_some_and(|sent| now.since(*sent) < RESEND_INTERVAL) {
             return Vec::new();
         }
         let Some(service) = self.state.service(workspace) else { return Vec::new() };
         let unit_of = |key| service.unit_of(key);
         let held = self.upstream_holds(now, workspace, *unit);
-        if held || self.parts.shared.inflight.count(workspace, *unit, unit_of) > 0 {
+        if held || self.context.shared.inflight.count(workspace, *unit, unit_of) > 0 {
             return Vec::new();
         }
         let assignment = service.assignment(*unit);
@@ -126,19 +124,19 @@
         if !identity.rights.release(workspace, *unit, assignment) {
             return Vec::new();
         }
-        debug!(%unit, ?assignment, "unit is released");
-        self.handover.sent.insert(parcel.clone(), now);
-        let heirs = [assignment.owner, assignment.standby];
-        heirs.into_iter().flatten().filter(|heir| *heir != identity.me).collect()
+        debug!(%unit, ?assignment, "unit released");
+        self.handover.sent.insert(release.clone(), now);
+        let recipients = [assignment.owner, assignment.standby];
+        recipients.into_iter().flatten().filter(|recipient| *recipient != identity.me).collect()
     }
 
-    fn send_release(&self, workspace: &Name, to: MemberId, parcels: &[Parcel]) {
+    fn send_release(&self, workspace: &Name, to: MemberId, releases: &[UnitRelease]) {
         let Some(identity) = &self.identity else { return };
         let Some(address) = self.address(to) else { return };
         let units: Vec<(UnitId, Offset)> =
-            parcels.iter().map(|(_, unit, version)| (*unit, *version)).collect();
+            releases.iter().map(|(_, unit, version)| (*unit, *version)).collect();
         let now = clock::now();
-        let (dedup, blind) = self.parts.gate.dedup.export(now, workspace, &ids(&units));
+        let (dedup, blind) = self.context.gate.dedup.export(now, workspace, &unit_ids(&units));
         let release = Release {
             member: identity.me.0,
             workspace: workspace.to_string(),
@@ -147,34 +145,33 @@
             blind: wire::millis(blind),
             handovers: self.handovers(workspace, &units),
         };
-        debug!(%workspace, %to, units = units.len(), "releasing");
-        let events = self.parts.events.clone();
-        let units = self.inherited(workspace, to, units);
+        debug!(%workspace, %to, units = units.len(), "sending a release of units");
+        let events = self.context.events.clone();
+        let units = self.next_served(workspace, to, units);
         let workspace = Arc::clone(workspace);
         let done = move |reply: Option<reply::Body>| {
             if wire::accepted(reply.as_ref()) {
-                // Control may have ended in the meantime.
+                // The control thread may have ended.
                 let _ = events.send(Event::ReleaseDone { workspace, units });
             }
         };
-        self.parts.outbox.call(address, call::Body::Release(release), wire::CALL, Box::new(done));
+        self.context.outbox.call(address, call::Body::Release(release), wire::CALL, Box::new(done));
     }
 
-    /// Returns what the upstream gave out for the next holder of each unit.
+    /// Returns the handover data that the upstream returned for each unit, empty if none.
     fn handovers(&self, workspace: &Name, units: &[(UnitId, Offset)]) -> Vec<String> {
         let Some(service) = self.state.service(workspace).filter(|service| service.founded) else {
             return Vec::new();
         };
-        let handover = |unit| self.holding.way.handover(&service.numbers(unit)).to_string();
+        let handover = |unit| self.upstream.mode.handover(&service.numbers(unit)).to_string();
         units.iter().map(|(unit, _)| handover(*unit)).collect()
     }
 
-    /// Returns the units that a member is to serve next: as owner, or as standby of a closed owner.
+    /// Returns the units that a member serves next: as owner, or as standby of this closed member.
     ///
-    /// A message carries units of both kinds, those that the member serves next
-    /// and those for which it stands by. Only the first are done with its reply;
-    /// were the message judged as a whole, a mixed one would be sent for ever.
-    fn inherited(
+    /// A message also carries units for which the member is only the standby. Its reply completes
+    /// only the units returned here; judged as a whole, a mixed message would be resent forever.
+    fn next_served(
         &self,
         workspace: &Name,
         member: MemberId,
@@ -182,25 +179,25 @@
     ) -> Vec<(UnitId, Offset)> {
         let me = self.identity.as_ref().map(|identity| identity.me);
         let service = self.state.service(workspace);
-        let inherits = |(unit, _): &(UnitId, Offset)| {
+        let serves_next = |(unit, _): &(UnitId, Offset)| {
             let assignment = service.and_then(|service| service.assignment(*unit));
             assignment.is_some_and(|a| a.owner == Some(member) || a.owner == me)
         };
-        units.into_iter().filter(inherits).collect()
+        units.into_iter().filter(serves_next).collect()
     }
 
-    /// Notes that the new server of units knows of their release.
+    /// Records that the new owner has acknowledged the release of units.
     pub(super) fn on_release_done(&mut self, workspace: &Name, units: &[(UnitId, Offset)]) {
         for (unit, version) in units {
-            self.handover.done.insert((Arc::clone(workspace), *unit, *version));
+            self.handover.acknowledged.insert((Arc::clone(workspace), *unit, *version));
         }
-        let done = &self.handover.done;
-        self.handover.open.retain(|parcel| !done.contains(parcel));
+        let acknowledged = &self.handover.acknowledged;
+        self.handover.pending.retain(|release| !acknowledged.contains(release));
     }
 
-    /// Takes in a release by another member, with what it remembers of the units.
+    /// Handles a release by another member, with the deduplication state of the units.
     pub(super) fn on_release(&mut self, release: &Release) {
-        self.depend(release.units.iter().map(|unit| unit.version).max().unwrap_or(0));
+        self.require_record(release.units.iter().map(|unit| unit.version).max().unwrap_or(0));
         let Some(identity) = &mut self.identity else { return };
         let from = MemberId(release.member);
         let workspace = Name::from(release.workspace.as_str());
@@ -211,13 +208,13 @@
         self.inherit(from, &workspace, release);
         let handovers = release.units.iter().zip(&release.handovers);
         for (unit, handover) in handovers.filter(|(_, handover)| !handover.is_empty()) {
-            let place = (Arc::clone(&workspace), wire::unit_id(unit));
-            self.roles.handovers.insert(place, Name::from(handover.as_str()));
+            let unit_key = (Arc::clone(&workspace), wire::unit_id(unit));
+            self.roles.handovers.insert(unit_key, Name::from(handover.as_str()));
         }
         self.dirty = true;
     }
 
-    /// Returns the address of a member for other members.
+    /// Returns the peer address of a member.
     pub(super) fn address(&self, member: MemberId) -> Option<std::net::SocketAddr> {
         self.state.member(member).and_then(crate::view::peer_address)
     }
@@ -231,6 +228,6 @@
     }
 }
 
-fn ids(units: &[(UnitId, Offset)]) -> Vec<UnitId> {
+fn unit_ids(units: &[(UnitId, Offset)]) -> Vec<UnitId> {
     units.iter().map(|(unit, _)| *unit).collect()
 }
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -1,4 +1,4 @@
-//! Renewals, grants and votes.
+//! Lease protocol: renewals, grants and votes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,35 +11,35 @@
 use tracing::{info, warn};
 
 use super::Control;
-use super::concern::concerned;
-use super::identity::Retiring;
+use super::identity::EndReason;
+use super::vote_recipients::vote_recipients;
 use crate::metrics::Counter;
 use crate::view::peer_address;
 use crate::wire;
 
-/// Time between two sendings of the same votes, while they are new.
-const AGAIN: Duration = Duration::from_millis(400);
+/// Interval at which recent votes are sent again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The same once they are old, for example while the log is down and no eviction is recorded.
-const LATER: Duration = Duration::from_secs(5);
+/// Interval at which old votes are sent again, for example while the log is down.
+const OLD_RESEND_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Age from which a vote is old.
-const OLD: Duration = Duration::from_secs(2);
+/// Age from which votes are sent at the longer interval.
+const OLD_VOTE_AGE: Duration = Duration::from_secs(2);
 
-/// Votes of this member about others.
+/// Times of this member's votes.
 #[derive(Debug, Default)]
 pub(super) struct Voting {
     /// When votes were last sent.
-    sent: Time,
-    /// When a new one was last cast.
-    cast: Time,
+    last_sent: Time,
+    /// When a new vote was last cast.
+    last_cast: Time,
 }
 
 impl Control {
-    /// Sends the renewals that are due and publishes the end of the lease.
+    /// Sends the renewals that are due and publishes the expiry of the lease.
     pub(super) fn renew(&mut self, now: Time) {
         let Some(identity) = self.identity.as_mut().filter(|identity| identity.renews()) else {
-            self.parts.shared.lease.set(Time::ZERO);
+            self.context.shared.lease.set(Time::ZERO);
             return;
         };
         let renewals = identity.holder.due(now);
@@ -59,10 +59,10 @@
             seq: renewal.seq,
             version: renewal.version,
             applied: self.state.next(),
-            declared: self.parts.declarations.version(),
+            declared: self.context.declarations.version(),
         };
         let datagram = Datagram { body: Some(datagram::Body::Renew(renew)) };
-        self.parts.transport.send(to, &datagram, renewal.reconnect);
+        self.context.transport.send(to, &datagram, renewal.reconnect);
     }
 
     fn publish_lease(&mut self, now: Time) {
@@ -70,41 +70,41 @@
             return;
         };
         let end = identity.holder.until().unwrap_or(Time::ZERO);
-        let before = self.parts.shared.lease.get();
-        self.parts.shared.lease.set(end);
-        // Rights that waited for the lease are computed anew.
+        let before = self.context.shared.lease.get();
+        self.context.shared.lease.set(end);
+        // Permits that depend on the lease have to be recomputed.
         self.dirty |= before <= now && end > now;
     }
 
-    /// Counts a lease that ended although this member did not mean to stop.
+    /// Counts a lease that expired while this member was not leaving.
     fn count_loss(&mut self, now: Time) {
-        let held = self.parts.shared.lease.get() > now;
+        let held = self.context.shared.lease.get() > now;
         let Some(identity) = &mut self.identity else { return };
-        let meant = matches!(identity.retiring, Some(Retiring::Stop | Retiring::Upstream));
-        if identity.leased && !held && !meant {
-            self.parts.metrics.count(Counter::LeaseLost, 1);
+        let meant = matches!(identity.retiring, Some(EndReason::Stop | EndReason::Upstream));
+        if identity.was_leased && !held && !meant {
+            self.context.metrics.count(Counter::LeaseLost, 1);
         }
-        identity.leased = held;
+        identity.was_leased = held;
     }
 
-    /// Handles a datagram of another member.
-    pub(super) fn datagram(&mut self, now: Time, from: SocketAddr, datagram: Datagram) {
+    /// Handles a datagram from another member.
+    pub(super) fn on_datagram(&mut self, now: Time, from: SocketAddr, datagram: Datagram) {
         match datagram.body {
             Some(datagram::Body::Renew(renew)) => self.on_renew(now, from, &renew),
             Some(datagram::Body::Grant(grant)) => {
                 self.catch_up(now, from, grant.applied);
-                self.follow(now, from, grant.declared);
+                self.fetch_declaration(now, from, grant.declared);
                 self.on_grant(now, &grant);
             }
             Some(datagram::Body::Loads(loads)) => self.on_loads(now, &loads),
-            None => warn!(%from, "datagram without body"),
+            None => warn!(%from, "received a datagram without body, ignoring it"),
         }
     }
 
     fn on_renew(&mut self, now: Time, from: SocketAddr, renew: &Renew) {
         self.catch_up(now, from, renew.applied);
-        self.follow(now, from, renew.declared);
-        self.depend(renew.version);
+        self.fetch_declaration(now, from, renew.declared);
+        self.require_record(renew.version);
         let Some(identity) = &mut self.identity else { return };
         if renew.lessor != identity.me.0 {
             return;
@@ -112,7 +112,7 @@
         let abandoned = identity.holder.abandoned(now);
         let holder = MemberId(renew.holder);
         let answer = identity.lessor.renew(now, holder, renew.version, abandoned);
-        // One that only prepares to make this member its lessor is not voted on.
+        // A holder that only prepares this member as lessor must not be voted on by it.
         let known = self.state.member(holder).filter(|member| member.version == renew.version);
         if known.is_some_and(|member| !member.lessors.contains(&identity.me)) {
             identity.lessor.leave_set(holder, renew.version);
@@ -124,10 +124,10 @@
             version: answer.version,
             granted: answer.granted,
             applied: self.state.next(),
-            declared: self.parts.declarations.version(),
+            declared: self.context.declarations.version(),
         };
         let datagram = Datagram { body: Some(datagram::Body::Grant(grant)) };
-        self.parts.transport.send(from, &datagram, false);
+        self.context.transport.send(from, &datagram, false);
     }
 
     fn on_grant(&mut self, now: Time, grant: &peer::Grant) {
@@ -138,11 +138,11 @@
         let lessor = MemberId(grant.lessor);
         identity.holder.handle_grant(now, lessor, grant.seq, grant.granted, grant.version);
         if !grant.granted {
-            // The log may have ended this identity.
-            self.parts.wanted.need(grant.applied);
+            // The log may contain the eviction of this identity.
+            self.context.read_pacer.request_before(grant.applied);
         }
-        // New lessors are ready while their grants are newer than those of the present ones,
-        // which the next round of duties may miss each time.
+        // New lessors are ready only while their grants are newer than those of the current ones,
+        // which periodic maintenance could miss every time.
         let preparing = identity.holder.preparing() && identity.retiring.is_none();
         self.publish_lease(now);
         if preparing {
@@ -150,24 +150,24 @@
         }
     }
 
-    /// Keeps holder, lessor and tally in step with the folded members.
-    pub(super) fn learn_members(&mut self, now: Time) {
+    /// Updates holder, lessor and tally from the folded members.
+    pub(super) fn update_members(&mut self, now: Time) {
         let state = std::sync::Arc::clone(&self.state);
         let Some(identity) = &mut self.identity else { return };
         let me = identity.me;
         for member in state.members() {
             if member.phase == Phase::Dead {
                 identity.lessor.mark_dead(member.id);
-                // The death of a member that never had lessors stands in for no vote:
-                // it gives up its identity only when it reads of it.
+                // The death of a member without lessors cannot replace its vote: it keeps its
+                // identity until it reads the record.
                 if !member.lessors.is_empty() {
                     identity.tally.record_death(now, member.id);
                 }
-                self.grounds.forget(member.id);
+                self.eviction_reasons.forget(member.id);
                 continue;
             }
             if member.id == me {
-                if idle(&state, me) {
+                if is_unassigned(&state, me) {
                     identity.holder.reset(member.version, &member.lessors);
                 } else {
                     identity.holder.install(member.version, &member.lessors, |id| state.lives(id));
@@ -181,26 +181,30 @@
         identity.rights.prune(me, &state);
     }
 
-    /// Votes on members whose grant has run out.
+    /// Votes on members whose grant has expired, and sends votes again.
     pub(super) fn cast_votes(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
         let leased = identity.holder.holds(now);
         let mut votes = Vec::new();
         for member in identity.lessor.expired(now) {
             if let Some(vote) = identity.lessor.vote(now, member, leased) {
-                warn!(member = %vote.member, "grant has expired, voting");
+                warn!(member = %vote.member, "grant has expired, voting for eviction");
                 identity.tally.vote(identity.me, vote.member, vote.version);
                 votes.push(vote);
             }
         }
         self.dirty |= !votes.is_empty();
         if !votes.is_empty() {
-            self.parts.metrics.count(Counter::LeaseVotes, votes.len() as u64);
-            self.voting.cast = now;
+            self.context.metrics.count(Counter::LeaseVotes, votes.len() as u64);
+            self.voting.last_cast = now;
         }
-        let pause = if now.since(self.voting.cast) < OLD { AGAIN } else { LATER };
-        if now.since(self.voting.sent) >= pause {
-            self.voting.sent = now;
+        let pause = if now.since(self.voting.last_cast) < OLD_VOTE_AGE {
+            RESEND_INTERVAL
+        } else {
+            OLD_RESEND_INTERVAL
+        };
+        if now.since(self.voting.last_sent) >= pause {
+            self.voting.last_sent = now;
             votes = identity.lessor.votes().collect();
         }
         for vote in votes {
@@ -208,26 +212,26 @@
         }
     }
 
-    /// Sends a vote to all that may act on it: lessors, standbys and waiting owners.
+    /// Sends a vote to all members that may act on it: lessors, next owners and standbys.
     fn send_vote(&self, vote: Vote) {
         let Some(identity) = &self.identity else { return };
         let message =
             log::Vote { lessor: identity.me.0, member: vote.member.0, version: vote.version };
-        for member in concerned(&self.state, vote.member) {
+        for member in vote_recipients(&self.state, vote.member) {
             let address = self.state.member(member).and_then(peer_address);
             if let Some(to) = address.filter(|_| member != identity.me) {
                 let call = call::Body::Vote(message);
-                self.parts.outbox.call(to, call, wire::CALL, Box::new(|_| {}));
+                self.context.outbox.call(to, call, wire::CALL, Box::new(|_| {}));
             }
         }
     }
 
-    /// Takes in a vote of another lessor.
-    pub(super) fn vote(&mut self, vote: log::Vote) {
-        self.depend(vote.version);
+    /// Handles a vote of another lessor.
+    pub(super) fn on_vote(&mut self, vote: log::Vote) {
+        self.require_record(vote.version);
         let Some(identity) = &mut self.identity else { return };
         if vote.member == identity.me.0 {
-            info!(lessor = vote.lessor, "a lessor has voted on this member");
+            info!(lessor = vote.lessor, "a lessor has voted for the eviction of this member");
             return;
         }
         identity.tally.vote(MemberId(vote.lessor), MemberId(vote.member), vote.version);
@@ -235,8 +239,8 @@
     }
 }
 
-/// Returns true when the log names a member as owner, standby or prior of nothing.
-pub(super) fn idle(state: &State, member: MemberId) -> bool {
+/// Returns true when no assignment in the log names a member.
+pub(super) fn is_unassigned(state: &State, member: MemberId) -> bool {
     if state.owned(member) > 0 || state.standing_by(member) > 0 {
         return false;
     }
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -1,16 +1,17 @@
 //! Control thread: the only writer of membership, lease and ownership state.
+//!
+//! It folds the replicated log into that state, and handles events of other threads one by one.
 
 mod balance;
 mod catch_up;
-mod concern;
 mod event;
 mod eviction;
 mod fold;
+mod grant_mode;
 mod handover;
-mod holding;
 mod identity;
 mod lease;
-mod ordering;
+mod orders;
 mod placement;
 mod proposal;
 mod publish;
@@ -19,7 +20,8 @@
 mod roles;
 mod snapshot;
 mod stop;
-mod way;
+mod upstream_state;
+mod vote_recipients;
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -40,18 +42,18 @@
 
 use self::balance::Balance;
 pub(crate) use self::event::{Event, PublishReply};
-use self::eviction::Grounds;
+use self::eviction::EvictionReasons;
 use self::fold::Progress;
 use self::handover::Handover;
-use self::holding::Holding;
 use self::identity::Identity;
 use self::lease::Voting;
 use self::proposal::{Proposals, Purpose};
-use self::publish::Answers;
+use self::publish::PublishReplies;
 use self::replication::Replication;
 use self::roles::Roles;
 use self::snapshot::Snapshots;
 use self::stop::Stopping;
+use self::upstream_state::UpstreamState;
 use crate::announce::Announcement;
 use crate::appender::Appender;
 use crate::clock;
@@ -61,27 +63,27 @@
 use crate::outbox::Outbox;
 use crate::peer::Transport;
 use crate::platform::LogService;
+use crate::read_pacer::ReadPacer;
 use crate::recent::Recent;
 use crate::upstream::Outlet;
-use crate::view::{Link, Shared, View};
+use crate::view::{Shared, UpstreamEndpoint, View};
 use crate::vital;
-use crate::wanted::Wanted;
 
-/// Longest time between two rounds of the control thread.
-const ROUND: Duration = Duration::from_millis(50);
+/// Longest time between two rounds of the control loop.
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Further events that are handled before a round.
+/// Queued events handled before each round, beyond the first.
 ///
-/// Guards against a member that falls behind: a round looks at all units, and answers to orders and
-/// releases come by the dozen. With a round for each, orders waited until their grants had lapsed.
-const EVENTS: usize = 64;
+/// Guards against a backlog: a round iterates over all units, so one round per event would delay
+/// orders until their grants have expired.
+const EVENTS_PER_ROUND: usize = 64;
 
-/// Time between two rounds of slow duties: proposals, lessors, placement.
-const DUTIES: Duration = Duration::from_millis(200);
+/// Interval of periodic maintenance: proposals, lessors, placement, balancing, snapshots.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Place of this process, from its settings.
+/// Failure domains and addresses of this process, published in its `Join` record.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Place {
+pub(crate) struct Location {
     pub(crate) vm: String,
     pub(crate) data_centre: String,
     pub(crate) region: String,
@@ -90,121 +92,125 @@
     pub(crate) http: String,
 }
 
-/// What the control thread works with.
-pub(crate) struct Parts {
-    pub(crate) place: Place,
+/// Settings, shared state and channels of the control thread.
+pub(crate) struct ControlContext {
+    pub(crate) location: Location,
     pub(crate) lease: LeaseSettings,
-    /// Bound on a stop.
-    pub(crate) drain: Duration,
-    /// Where a stop is told that nothing is left to hand over.
-    pub(crate) releasing: Sender<()>,
-    /// Time between two decisions of balance.
-    pub(crate) interval: Duration,
+    /// Upper bound on the duration of a graceful shutdown.
+    pub(crate) drain_timeout: Duration,
+    /// Notified when a stopping process has nothing left to hand over.
+    pub(crate) drained: Sender<()>,
+    /// Time between two balancing decisions.
+    pub(crate) balance_interval: Duration,
     pub(crate) balance: BalanceSettings,
     /// Records after which a snapshot is due.
-    pub(crate) records: u64,
+    pub(crate) snapshot_records: u64,
     pub(crate) shared: Arc<Shared>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) transport: Transport,
     pub(crate) outbox: Outbox,
     pub(crate) appender: Appender,
     pub(crate) recent: Arc<Recent>,
-    pub(crate) wanted: Arc<Wanted>,
+    pub(crate) read_pacer: Arc<ReadPacer>,
     pub(crate) events: Sender<Event>,
     pub(crate) metrics: Metrics,
-    /// Log service, for the records that a snapshot covers.
+    /// Log service, to trim the records that a snapshot covers.
     pub(crate) log: Arc<dyn LogService>,
     pub(crate) declarations: Arc<Declarations>,
-    /// Client of the upstream, for orders to it.
+    /// Client that sends orders to the upstream.
     pub(crate) outlet: Arc<dyn Outlet>,
-    /// How the upstream announces itself, and how it is told what to hold.
+    /// Settings of the upstream: heartbeats and grants.
     pub(crate) upstream: Upstream,
 }
 
-/// Join of an identity that is not yet in the log.
+/// `Join` that is not yet in the log.
 #[derive(Debug, Clone, Copy)]
 struct Joining {
     nonce: u64,
-    /// When the record was first handed to the appender.
+    /// When the record was first submitted.
     start: Time,
 }
 
-/// Announcement of the upstream and when it came.
+/// Last announcement of the upstream, and when it was received.
 #[derive(Debug, Clone)]
 struct Announced {
     announcement: Announcement,
     at: Time,
 }
 
-/// Control state.
+/// State of the control thread.
 pub(crate) struct Control {
-    parts: Parts,
+    context: ControlContext,
     replica: Replica,
     proposals: Proposals,
-    /// Answers to recent publishes through this member.
-    answers: Answers,
+    /// Replies to recent publishes through this member.
+    publish_replies: PublishReplies,
     identity: Option<Identity>,
     joining: Option<Joining>,
     announced: Option<Announced>,
-    link: Option<Link>,
-    holding: Holding,
+    endpoint: Option<UpstreamEndpoint>,
+    upstream: UpstreamState,
     /// Declared configuration in force.
     declared: Option<Arc<Declared>>,
     /// When another member was last asked for the declared configuration.
-    followed: Time,
+    config_queried: Time,
     roles: Roles,
     replication: Replication,
     handover: Handover,
-    /// Grounds for evictions of other members.
-    grounds: Grounds,
-    /// When a workspace was first seen with slots that have no owner.
+    /// Reasons to evict other members.
+    eviction_reasons: EvictionReasons,
+    /// When each workspace was first seen with slots that have no owner.
     vacant: HashMap<Name, Time>,
     balance: Balance,
     state: Arc<State>,
     progress: Progress,
     snapshots: Snapshots,
     voting: Voting,
-    /// When the slow duties were last done.
-    duties: Time,
+    /// When the periodic maintenance last ran.
+    last_maintenance: Time,
     stopping: Option<Stopping>,
-    /// True when rights must be computed anew.
+    /// True when the published view is out of date.
     dirty: bool,
-    /// True while the gate takes no new requests.
+    /// True while the gate accepts no new requests.
     closed: bool,
 }
 
 impl Control {
     /// Starts the control thread; it ends when the process may exit.
-    pub(crate) fn start(parts: Parts, events: Receiver<Event>) -> thread::JoinHandle<()> {
-        vital::spawn("control", move || Self::new(parts).run(&events))
+    pub(crate) fn start(
+        context: ControlContext,
+        events: Receiver<Event>,
+    ) -> thread::JoinHandle<()> {
+        vital::spawn("control", move || Self::new(context).run(&events))
     }
 
-    fn new(parts: Parts) -> Self {
-        let proposals = Proposals::new(parts.appender.clone());
-        let holding = Holding::new(clock::now(), parts.upstream.grants, parts.upstream.hold);
+    fn new(context: ControlContext) -> Self {
+        let proposals = Proposals::new(context.appender.clone());
+        let upstream =
+            UpstreamState::new(clock::now(), context.upstream.grants, context.upstream.hold);
         Self {
             proposals,
-            answers: Answers::default(),
-            parts,
+            publish_replies: PublishReplies::default(),
+            context,
             replica: Replica::default(),
             identity: None,
             joining: None,
             announced: None,
-            link: None,
-            holding,
+            endpoint: None,
+            upstream,
             declared: None,
-            followed: Time::ZERO,
+            config_queried: Time::ZERO,
             roles: Roles::default(),
             replication: Replication::default(),
             handover: Handover::default(),
-            grounds: Grounds::default(),
+            eviction_reasons: EvictionReasons::default(),
             vacant: HashMap::new(),
             balance: Balance::default(),
             state: Arc::default(),
             progress: Progress::default(),
             snapshots: Snapshots::new(clock::now()),
             voting: Voting::default(),
-            duties: Time::ZERO,
+            last_maintenance: Time::ZERO,
             stopping: None,
             dirty: true,
             closed: false,
@@ -219,7 +225,7 @@
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            for event in events.try_iter().take(EVENTS) {
+            for event in events.try_iter().take(EVENTS_PER_ROUND) {
                 self.handle(clock::now(), event);
             }
             let now = clock::now();
@@ -232,41 +238,41 @@
 
     fn pause(&self, now: Time) -> Duration {
         let renewal = self.identity.as_ref().map(|identity| identity.holder.next_due(now));
-        let next = [renewal, self.holding.next(now)].into_iter().flatten().min();
-        next.map_or(ROUND, |next| next.since(now).min(ROUND))
+        let next = [renewal, self.upstream.next_change(now)].into_iter().flatten().min();
+        next.map_or(MAX_ROUND_INTERVAL, |next| next.since(now).min(MAX_ROUND_INTERVAL))
     }
 
     fn handle(&mut self, now: Time, event: Event) {
         match event {
             Event::Batch(batch, done) => {
-                self.batch(now, &batch);
-                // The reader may have ended with the process.
+                self.on_batch(now, &batch);
+                // The reader thread may have ended.
                 let _ = done.send(());
             }
-            // What the log service itself has brought in the meantime is not wanted.
+            // The log service has already delivered these records.
             Event::Relayed(batch) if batch.next < self.replica.wanted() => {}
-            Event::Relayed(batch) => self.batch(now, &batch),
-            Event::Datagram(from, datagram) => self.datagram(now, from, datagram),
-            Event::Vote(vote) => self.vote(vote),
+            Event::Relayed(batch) => self.on_batch(now, &batch),
+            Event::Datagram(from, datagram) => self.on_datagram(now, from, datagram),
+            Event::Vote(vote) => self.on_vote(vote),
             Event::Released(release) => self.on_release(&release),
             Event::ReleaseDone { workspace, units } => self.on_release_done(&workspace, &units),
             Event::SyncDone { workspace, units, standby } => {
                 self.on_sync_done(&workspace, &units, MemberId(standby));
             }
-            Event::Announced(announcement) => self.announce(now, announcement),
+            Event::Announced(announcement) => self.on_announcement(now, announcement),
             Event::Publish(id, publish, reply) => self.publish(now, id, publish, &reply),
-            Event::Heartbeat(heartbeat, reply) => self.heartbeat(now, heartbeat, reply),
-            Event::Misplaced(workspace, unit) => {
-                self.misplaced(&workspace, unit);
+            Event::Heartbeat(heartbeat, reply) => self.on_heartbeat(now, heartbeat, reply),
+            Event::UnitDenied(workspace, unit) => {
+                self.on_unit_denied(&workspace, unit);
             }
             Event::UpstreamLeaves(instance, reply) => {
                 self.on_upstream_leaves(now, &instance);
                 self.refresh(now);
-                // The sender may have gone away.
+                // The sender may have disconnected.
                 let _ = reply.send(());
             }
-            Event::Ordered(number, answer) => self.on_ordered(now, number, &answer),
-            Event::Version(from, version) => self.follow(now, from, version),
+            Event::OrderAnswered(number, answer) => self.on_order_answered(now, number, &answer),
+            Event::DeclaredVersion(from, version) => self.fetch_declaration(now, from, version),
             Event::Declared(declared) => {
                 self.declared = Some(declared);
                 self.dirty = true;
@@ -276,32 +282,32 @@
         }
     }
 
-    /// Takes over what the folded state says.
-    fn folded(&mut self, now: Time) {
+    /// Updates what depends on the folded state after records were folded.
+    fn on_folded(&mut self, now: Time) {
         self.dirty = true;
-        // What the records call for, for example a new standby to be told, is done at once.
-        self.duties = Time::ZERO;
+        // Maintenance that the records require, such as a sync to a new standby, runs at once.
+        self.last_maintenance = Time::ZERO;
         self.find_identity();
         self.trust_members();
-        self.learn_members(now);
+        self.update_members(now);
         self.find_draining();
     }
 
     fn round(&mut self, now: Time) {
-        self.dirty |= self.holding.is_stale(now);
-        self.dirty |= self.paused(now) && !self.parts.shared.view().closed;
+        self.dirty |= self.upstream.is_stale(now);
+        self.dirty |= self.closed_for_restart(now) && !self.context.shared.view().closed;
         self.renew(now);
         self.cast_votes(now);
         self.refresh(now);
-        self.give_orders(now);
-        self.hand_over(now);
-        self.answer_report(now);
-        if now.since(self.duties) >= DUTIES {
-            self.duties = now;
+        self.send_orders(now);
+        self.release_units(now);
+        self.answer_heartbeat(now);
+        if now.since(self.last_maintenance) >= MAINTENANCE_INTERVAL {
+            self.last_maintenance = now;
             self.proposals.expire(now);
             self.join(now);
             self.evict(now);
-            self.place(now);
+            self.propose_placement(now);
             self.replicate(now);
             self.retire(now);
             self.balance(now);
@@ -309,52 +315,52 @@
         }
     }
 
-    /// Appends a `Join` once the log is folded to its end.
+    /// Proposes a `Join` once the log is folded to its end.
     fn join(&mut self, now: Time) {
-        if self.identity.is_some() || !self.progress.caught || self.stopping.is_some() {
+        if self.identity.is_some() || !self.progress.caught_up || self.stopping.is_some() {
             return;
         }
         let joining = *self
             .joining
             .get_or_insert_with(|| Joining { nonce: rand::rng().random(), start: now });
-        let place = &self.parts.place;
+        let location = &self.context.location;
         let join = Join {
-            vm: place.vm.clone(),
+            vm: location.vm.clone(),
             nonce: joining.nonce,
-            data_centre: place.data_centre.clone(),
-            region: place.region.clone(),
-            rack: place.rack.clone(),
-            peer: place.peer.clone(),
-            http: place.http.clone(),
-            fingerprint: self.parts.transport.fingerprint().to_vec(),
+            data_centre: location.data_centre.clone(),
+            region: location.region.clone(),
+            rack: location.rack.clone(),
+            peer: location.peer.clone(),
+            http: location.http.clone(),
+            fingerprint: self.context.transport.fingerprint().to_vec(),
         };
         self.proposals.propose(now, Purpose::Join, record::Body::Join(join));
     }
 
-    /// Takes the identity that the log gave to this process.
+    /// Adopts the member id that the log has assigned to this process.
     fn find_identity(&mut self) {
         let Some(joining) = self.joining else { return };
-        let vm = &self.parts.place.vm;
+        let vm = &self.context.location.vm;
         let mine =
             self.state.members().find(|member| member.nonce == joining.nonce && *member.vm == **vm);
         let Some(member) = mine else { return };
-        info!(member = %member.id, "joined");
+        info!(member = %member.id, "joined the cluster");
         self.joining = None;
-        self.identity = Some(Identity::new(member.id, joining.start, self.parts.lease));
-        self.parts.shared.joined.store(true, Ordering::Release);
+        self.identity = Some(Identity::new(member.id, joining.start, self.context.lease));
+        self.context.shared.joined.store(true, Ordering::Release);
     }
 
-    /// Computes the rights anew and publishes them.
+    /// Recomputes the rights of this member and publishes a new view.
     fn refresh(&mut self, now: Time) {
         if !self.dirty {
             return;
         }
         self.dirty = false;
         let mut permits = self.permits(now);
-        self.want(&permits);
-        self.hold_back(now, &mut permits);
+        self.update_orders(&permits);
+        self.withhold_permits(now, &mut permits);
         let permits = Arc::new(permits);
-        self.take_up_roles(now, &permits);
+        self.update_roles(now, &permits);
         self.prune_synced();
         let view = View {
             me: self.identity.as_ref().map(|identity| identity.me),
@@ -363,16 +369,19 @@
             permits,
             synced: Arc::new(self.replication.synced.clone()),
             expired: Arc::new(self.expired(now)),
-            link: self.link.clone(),
-            closed: self.closed || self.leaving() || self.holding.closed(now) || self.paused(now),
+            endpoint: self.endpoint.clone(),
+            closed: self.closed
+                || self.leaving()
+                || self.upstream.closed(now)
+                || self.closed_for_restart(now),
         };
-        self.parts.shared.publish(view);
+        self.context.shared.publish(view);
         if self.declared.is_some() {
-            self.parts.shared.configured.store(true, Ordering::Release);
+            self.context.shared.configured.store(true, Ordering::Release);
         }
     }
 
-    /// Returns the routes in force: those that are declared, or those of the log.
+    /// Returns the routes in force: the declared ones if there are any, else those of the log.
     fn routes(&self) -> Arc<Routes> {
         if let Some(declared) = &self.declared {
             return Arc::new(declared.routes.clone());
@@ -380,9 +389,9 @@
         Arc::new(self.state.routes().values().cloned().collect())
     }
 
-    /// Tells the transport which certificates belong to members that are not dead.
+    /// Restricts the transport to certificates of members that are not dead.
     fn trust_members(&self) {
         let live = self.state.members().filter(|member| member.phase != Phase::Dead);
-        self.parts.transport.trust(live.map(|member| member.fingerprint.as_slice()));
+        self.context.transport.trust(live.map(|member| member.fingerprint.as_slice()));
     }
 }
--- a/acaciaringd/src/control/ordering.rs
+++ b/acaciaringd/src/control/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an upstream that is told by calls what to hold.
+//! Orders that grant and release keys of an upstream that is managed by calls.
 
 use std::cell::LazyCell;
 use std::sync::Arc;
@@ -8,24 +8,24 @@
 use acaciaring_core::{Name, Time, UnitId};
 use tracing::{debug, info, warn};
 
-use super::way::Way;
+use super::grant_mode::GrantMode;
 use super::{Control, Event};
 use crate::upstream::OrderCall;
 use crate::view::{Permit, Permits};
 
 impl Control {
-    /// Takes over which units the upstream is to hold, by the rights of this member.
-    pub(super) fn want(&mut self, permits: &Permits) {
-        if !matches!(self.holding.way, Way::Called(_)) {
+    /// Sets the units that the upstream is to hold, according to the permits of this member.
+    pub(super) fn update_orders(&mut self, permits: &Permits) {
+        if !matches!(self.upstream.mode, GrantMode::Call(_)) {
             return;
         }
-        let wanted = self.wanted_by(permits);
-        if let Way::Called(orders) = &mut self.holding.way {
+        let wanted = self.wanted_units(permits);
+        if let GrantMode::Call(orders) = &mut self.upstream.mode {
             orders.set_wanted(&wanted);
         }
     }
 
-    fn wanted_by(&self, permits: &Permits) -> Vec<Wanted> {
+    fn wanted_units(&self, permits: &Permits) -> Vec<Wanted> {
         let attachment =
             self.attachment().filter(|attachment| self.is_attached_upstream(attachment));
         let Some(attachment) = attachment else { return Vec::new() };
@@ -38,66 +38,69 @@
         for (unit, permit) in units {
             let Permit::Serve { token, .. } = *permit else { continue };
             let keys = service.numbers(*unit);
-            let place = (Arc::clone(workspace), *unit);
-            let handover = self.roles.handovers.get(&place);
+            let unit_key = (Arc::clone(workspace), *unit);
+            let handover = self.roles.handovers.get(&unit_key);
             let handover = handover.map_or_else(|| Name::from(""), Arc::clone);
             wanted.push(Wanted { unit: *unit, token, keys, handover });
         }
         wanted
     }
 
-    /// Gives the orders that are due.
+    /// Sends the orders that are due.
     ///
-    /// The view without what is to be released is published before the requests in flight are
+    /// The view without the units to be released is published before the requests in flight are
     /// counted, see [`crate::inflight::Inflight`].
-    pub(super) fn give_orders(&mut self, now: Time) {
-        let lease = self.parts.shared.lease.get();
-        let (Some(link), Way::Called(orders)) = (&self.link, &mut self.holding.way) else { return };
-        let inflight = &self.parts.shared.inflight;
-        let busy = LazyCell::new(|| inflight.keys(&link.workspace));
+    pub(super) fn send_orders(&mut self, now: Time) {
+        let lease = self.context.shared.lease.get();
+        let (Some(endpoint), GrantMode::Call(orders)) = (&self.endpoint, &mut self.upstream.mode)
+        else {
+            return;
+        };
+        let inflight = &self.context.shared.inflight;
+        let busy = LazyCell::new(|| inflight.keys(&endpoint.workspace));
         let idle = |first, last| busy.range(u64::from(first)..=u64::from(last)).next().is_none();
         let issued = orders.decide(now, lease, idle);
         for Issued { number, order, deadline: reach, may_connect: connects } in issued {
             let call = OrderCall {
-                address: link.address,
+                address: endpoint.address,
                 order,
                 reach,
                 connects,
-                instance: Arc::clone(&link.instance),
+                instance: Arc::clone(&endpoint.instance),
             };
-            debug!(number, order = ?call.order, "order to the upstream");
-            let (outlet, events) = (Arc::clone(&self.parts.outlet), self.parts.events.clone());
-            self.parts.transport.runtime().spawn(async move {
+            debug!(number, order = ?call.order, "sending an order to the upstream");
+            let (outlet, events) = (Arc::clone(&self.context.outlet), self.context.events.clone());
+            self.context.transport.runtime().spawn(async move {
                 let answer = outlet.order(call).await;
-                // Control may have ended in the meantime.
-                let _ = events.send(Event::Ordered(number, answer));
+                // The control thread may have ended.
+                let _ = events.send(Event::OrderAnswered(number, answer));
             });
         }
     }
 
-    /// Takes in what came of an order.
-    pub(super) fn on_ordered(&mut self, now: Time, number: u64, answer: &Answer) {
-        let Way::Called(orders) = &mut self.holding.way else { return };
+    /// Handles the answer to an order.
+    pub(super) fn on_order_answered(&mut self, now: Time, number: u64, answer: &Answer) {
+        let GrantMode::Call(orders) = &mut self.upstream.mode else { return };
         let Some(settled) = orders.complete(now, number, answer) else { return };
         log(&settled, answer);
         self.dirty |= settled.changed;
-        // An upstream that carries out orders lives, also when its reports do not get here.
+        // An executed order proves that the upstream is alive, even if its reports are lost.
         if let (Answer::Done { .. }, Some(announced)) = (answer, &mut self.announced) {
             announced.at = now;
         }
     }
 
-    /// Notes that the upstream has refused a request for a unit that it should hold.
-    pub(super) fn misplaced(&mut self, workspace: &Name, unit: UnitId) {
-        info!(%workspace, %unit, "the upstream does not hold what it was given");
+    /// Handles the refusal of a request for a unit that the upstream should hold.
+    pub(super) fn on_unit_denied(&mut self, workspace: &Name, unit: UnitId) {
+        info!(%workspace, %unit, "the upstream refused a request for a unit granted to it");
         let service = self.state.service(workspace);
         let keys = service.map(|service| service.numbers(unit)).unwrap_or_default();
-        self.holding.way.deny(unit, &keys);
+        self.upstream.mode.deny(unit, &keys);
         self.dirty = true;
     }
 }
 
-/// Writes a line for each order that changes what this process believes.
+/// Logs orders that were refused, changed the known state, or have an unknown result.
 fn log(settled: &Completion, answer: &Answer) {
     let Order { first, last, token, action } = &settled.order;
     let what = match action {
--- a/acaciaringd/src/control/placement.rs
+++ b/acaciaringd/src/control/placement.rs
@@ -1,4 +1,4 @@
-//! Attachment of the upstream, choice of lessors, first assignment of slots.
+//! Attachment of the upstream, choice of lessors, and assignment of slots without owner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,29 +10,29 @@
 use acaciaring_schema::log::{Assign, Attach, Lessors, record};
 use tracing::info;
 
-use super::lease::idle;
+use super::lease::is_unassigned;
 use super::proposal::{Proposal, Purpose};
 use super::{Announced, Control};
 use crate::announce::{Announcement, Phase};
 use crate::declared::Declared;
 use crate::metrics::Counter;
-use crate::view::Link;
+use crate::view::UpstreamEndpoint;
 
-/// Time for which members may join before slots without owner are assigned.
-const SETTLE: Duration = Duration::from_secs(1);
+/// Time for which slots stay without owner before they are assigned, so that more members can join.
+const ASSIGN_DELAY: Duration = Duration::from_secs(1);
 
 /// Slots of a declared service.
 ///
-/// With 16 numbers each, a few busy neighbours fall into several slots; more would cost each
-/// member time at every record.
-const SLOTS: u32 = 4096;
+/// Each slot covers 16 key numbers, so that a few busy neighbouring keys fall into several slots;
+/// more slots would make the fold of each record slower.
+const DECLARED_SLOTS: u32 = 4096;
 
-/// Delay of an assignment per rank, so that not all members append it.
-const STAGGER: Duration = Duration::from_millis(300);
+/// Delay per rank, so that not every member proposes the assignment.
+const RANK_DELAY: Duration = Duration::from_millis(300);
 
 impl Control {
-    /// Proposes what this member lacks: an attachment, better lessors, owners for slots.
-    pub(super) fn place(&mut self, now: Time) {
+    /// Proposes an attachment, better lessors and owners for slots, where they are missing.
+    pub(super) fn propose_placement(&mut self, now: Time) {
         self.leave_without_log(now);
         if self.retiring() {
             return;
@@ -42,17 +42,17 @@
         self.assign(now);
     }
 
-    /// Takes in an announcement of the upstream beside this member.
-    pub(super) fn announce(&mut self, now: Time, announcement: Announcement) {
+    /// Handles an announcement of the local upstream.
+    pub(super) fn on_announcement(&mut self, now: Time, announcement: Announcement) {
         if announcement.phase == Phase::Draining {
-            if self.link.is_some() {
-                info!("the upstream is leaving");
+            if self.endpoint.is_some() {
+                info!("the upstream is leaving, moving its units to other members");
             }
             self.announced = None;
             self.detach(now);
             return;
         }
-        let link = Link {
+        let endpoint = UpstreamEndpoint {
             workspace: Arc::from(announcement.workspace.as_str()),
             address: announcement.address,
             fenced: announcement.fenced,
@@ -60,16 +60,16 @@
             received: now,
             instance: Arc::from(announcement.instance.as_str()),
         };
-        self.parts.gate.announce(now, &announcement);
-        self.link = Some(link);
+        self.context.gate.announce(now, &announcement);
+        self.endpoint = Some(endpoint);
         self.announced = Some(Announced { announcement, at: now });
         self.dirty = true;
     }
 
-    /// Attaches the upstream once this member can serve.
+    /// Proposes to attach the upstream once this member holds its lease.
     ///
-    /// Without a lease it would be given units that nobody serves, and with
-    /// units it could no longer exchange lessors that are gone for others.
+    /// Without a lease it would own units that nobody serves, and a member that owns units can no
+    /// longer replace lessors that are gone.
     fn attach(&mut self, now: Time) {
         let Some(announced) = &self.announced else { return };
         let announcement = &announced.announcement;
@@ -93,12 +93,11 @@
         }
     }
 
-    /// Proposes a better lessor set; from here on the majorities of both sets are needed.
+    /// Proposes a better lessor set; once proposed, majorities of both sets are needed.
     ///
-    /// A member that holds its lease asks the new lessors first. One that has none and owns
-    /// nothing leaves out those that do not answer. Guards against a start of all members in which
-    /// some VMs end for good: a newcomer whose lessors they were would wait until they are
-    /// evicted, and its upstream would have no keys as long.
+    /// A member that holds its lease first obtains grants from the new lessors. One without lease
+    /// and units leaves out lessors that do not answer: it would otherwise have no lease until dead
+    /// ones are evicted, for example after a restart of all VMs in which some do not return.
     pub(super) fn improve_lessors(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
         let Some(member) = self.state.member(identity.me) else { return };
@@ -106,8 +105,8 @@
             return;
         }
         let holds = identity.holder.holds(now);
-        let choosy = !holds && idle(&self.state, identity.me);
-        let silent = if choosy { identity.holder.unresponsive() } else { Vec::new() };
+        let skips_silent = !holds && is_unassigned(&self.state, identity.me);
+        let silent = if skips_silent { identity.holder.unresponsive() } else { Vec::new() };
         let Some(lessors) = self.state.better_lessors_but(member, &silent) else {
             return identity.holder.prepare(&[]);
         };
@@ -137,13 +136,13 @@
         self.vacant.retain(|workspace, _| vacant.contains(workspace));
         for workspace in vacant {
             let since = *self.vacant.entry(Arc::clone(&workspace)).or_insert(now);
-            if now.since(since) < SETTLE + STAGGER * rank {
+            if now.since(since) < ASSIGN_DELAY + RANK_DELAY * rank {
                 continue;
             }
             let slots = self.slots(&workspace);
             let body = record::Body::Assign(Assign { workspace: workspace.to_string(), slots });
             if self.proposals.propose(now, Purpose::Assign(Arc::clone(&workspace)), body) {
-                info!(%workspace, "proposing owners for slots without one");
+                info!(%workspace, "proposing owners for slots without owner");
             }
         }
     }
@@ -158,10 +157,10 @@
         declared.filter(lacks).cloned().collect()
     }
 
-    /// Returns the count of slots into which a declared service is divided, 0 for others.
+    /// Returns the number of slots of a declared service that is divided by key, 0 for others.
     fn slots(&self, workspace: &Name) -> u32 {
         let keyed = |declared: &Arc<Declared>| declared.keyed.contains(workspace);
-        if self.declared.as_ref().is_some_and(keyed) { SLOTS } else { 0 }
+        if self.declared.as_ref().is_some_and(keyed) { DECLARED_SLOTS } else { 0 }
     }
 
     fn assignable(&self, service: &Service) -> bool {
@@ -174,7 +173,7 @@
             && members.any(|member| member.alive() && !member.lessors.is_empty())
     }
 
-    /// Submits a proposal, and takes back what was given up for it when it cannot be queued.
+    /// Submits a proposal; restores the rights given up for it if it cannot be queued.
     pub(super) fn submit(&mut self, proposal: Proposal, body: record::Body) {
         let (renounced, changed) = (proposal.renounced.clone(), proposal.changed.clone());
         let purpose = proposal.purpose.clone();
@@ -188,15 +187,15 @@
         }
     }
 
-    /// Learns what became of an own proposal.
-    pub(super) fn settled(&mut self, proposal: &Proposal, record: &Folded) {
+    /// Handles the outcome of an own proposal.
+    pub(super) fn on_settled(&mut self, proposal: &Proposal, record: &Folded) {
         let applied = matches!(record.outcome, Outcome::Applied);
         if !applied {
             info!(purpose = ?proposal.purpose, outcome = ?record.outcome, "proposal was not applied");
         }
         if applied && matches!(proposal.purpose, Purpose::Split(_)) {
             let keys = proposal.changed.len() as u64;
-            self.parts.metrics.count(Counter::UnitsSplit, keys);
+            self.context.metrics.count(Counter::UnitsSplit, keys);
         }
         if let Some(identity) = &mut self.identity {
             if proposal.purpose == Purpose::Lessors && !applied {
@@ -217,7 +216,7 @@
     }
 }
 
-/// Takes back what was given up for a record that is not and will not be applied.
+/// Restores the rights given up for a record that is not and will not be applied.
 fn restore(rights: &mut Rights, purpose: &Purpose, renounced: &[(Name, UnitId, Offset)]) {
     for (workspace, unit, version) in renounced {
         rights.cancel_renounce(workspace, *unit, *version);
--- a/acaciaringd/src/control/proposal.rs
+++ b/acaciaringd/src/control/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals of this member that are not yet settled.
+//! Log records that this member has proposed and whose outcome is not yet known.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use super::event::PublishReply;
 use crate::appender::{Appender, RecordId};
 
-/// Time after which a proposal that was not seen in the log is proposed anew.
+/// Time after which a proposal that was not seen in the log is dropped and may be repeated.
 ///
-/// Only proposals that name a version, or that are idempotent, are dropped this
-/// way: the first to be folded makes the others stale.
-const LIFE: Duration = Duration::from_secs(5);
+/// Only for proposals that name a version or are idempotent: the first one folded makes the others
+/// stale.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Further time for the outcome of a try that is under way, so that the operator gets a final answer.
-const LAST: Duration = Duration::from_secs(2);
+/// Extra time for an append attempt in progress, so that the operator gets a definite result.
+const ATTEMPT_GRACE: Duration = Duration::from_secs(2);
 
-/// Records in doubt that are kept.
-const DOUBTS: usize = 256;
+/// Maximum number of in-doubt records that are remembered.
+const MAX_IN_DOUBT: usize = 256;
 
-/// What a proposal is for; at most one of each is open.
+/// Purpose of a proposal; at most one proposal per purpose is open.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) enum Purpose {
     Join,
@@ -46,9 +46,9 @@
 pub(crate) struct Proposal {
     pub(crate) purpose: Purpose,
     pub(crate) since: Time,
-    /// Standby roles that are renounced until the outcome is known.
+    /// Standby roles renounced until the outcome is known, with the version of the assignment.
     pub(crate) renounced: Vec<(Name, UnitId, Offset)>,
-    /// Hot keys of a split or merge whose outcome is not known.
+    /// Hot keys that the proposal splits or merges.
     pub(crate) changed: Vec<(Name, UnitId)>,
     pub(crate) reply: Option<Sender<PublishReply>>,
 }
@@ -57,16 +57,16 @@
 pub(crate) struct Proposals {
     appender: Appender,
     open: HashMap<RecordId, Proposal>,
-    doubts: Doubts,
+    in_doubt: InDoubt,
 }
 
-/// Records that were given up although they may have been appended.
+/// Abandoned records that may have been appended all the same, oldest first.
 #[derive(Debug, Default)]
-struct Doubts(VecDeque<RecordId>);
+struct InDoubt(VecDeque<RecordId>);
 
 impl Proposals {
     pub(crate) fn new(appender: Appender) -> Self {
-        Self { appender, open: HashMap::new(), doubts: Doubts::default() }
+        Self { appender, open: HashMap::new(), in_doubt: InDoubt::default() }
     }
 
     /// Returns true while a proposal for the purpose is open.
@@ -86,12 +86,12 @@
         self.submit(proposal, body)
     }
 
-    /// Proposes a record with all that depends on its outcome.
+    /// Submits a proposal; returns false if one for its purpose is open or the queue is full.
     pub(crate) fn submit(&mut self, proposal: Proposal, body: record::Body) -> bool {
         self.submit_as(rand::rng().random(), proposal, body)
     }
 
-    /// Proposes a record under an id that was chosen elsewhere.
+    /// Submits a proposal under a given id; returns false in the same cases.
     pub(crate) fn submit_as(
         &mut self,
         id: RecordId,
@@ -109,20 +109,20 @@
         true
     }
 
-    /// Appends a record whose outcome nobody waits for.
+    /// Appends a record without tracking its outcome.
     pub(crate) fn append(&self, record: Record) {
         if let Ok(id) = RecordId::try_from(record.id.as_slice()) {
             self.appender.propose(id, record);
         }
     }
 
-    /// Returns true when an earlier proposal with this id may have been appended.
+    /// Returns true when an abandoned proposal with this id may have been appended.
     pub(crate) fn in_doubt(&self, id: &RecordId) -> bool {
-        self.doubts.0.contains(id)
+        self.in_doubt.0.contains(id)
     }
 
-    /// Gives an open proposal another to answer to; returns false when there is none.
-    pub(crate) fn answer_to(&mut self, id: &RecordId, reply: &Sender<PublishReply>) -> bool {
+    /// Replaces the reply channel of an open proposal; returns false when there is none.
+    pub(crate) fn set_reply(&mut self, id: &RecordId, reply: &Sender<PublishReply>) -> bool {
         let proposal = self.open.get_mut(id);
         proposal.is_some_and(|proposal| {
             proposal.reply = Some(reply.clone());
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Takes the proposal that a folded record settles.
+    /// Removes and returns the proposal that a folded record settles.
     pub(crate) fn settle(&mut self, id: &RecordId, outcome: &Outcome) -> Option<Proposal> {
         if matches!(outcome, Outcome::Duplicate) {
             return None;
@@ -139,48 +139,49 @@
         self.open.remove(id)
     }
 
-    /// Drops proposals that may be repeated under a new id.
+    /// Drops timed-out proposals that may be repeated under a new id.
     ///
-    /// A record whose role was renounced stays: its outcome must be known before
-    /// the role may be used again. So does a join, which must not be folded twice.
+    /// A record with renounced roles or changed keys is kept: its outcome must be known before they
+    /// may be used again. So is a join, which must not be folded twice.
     pub(crate) fn expire(&mut self, now: Time) {
-        let (appender, doubts) = (&self.appender, &mut self.doubts);
+        let (appender, in_doubt) = (&self.appender, &mut self.in_doubt);
         self.open.retain(|id, proposal| {
             let keep = proposal.purpose == Purpose::Join
                 || !proposal.renounced.is_empty()
                 || !proposal.changed.is_empty()
-                || now.since(proposal.since) < LIFE
-                || (appender.trying(id) && now.since(proposal.since) < LIFE + LAST);
+                || now.since(proposal.since) < PROPOSAL_TIMEOUT
+                || (appender.attempt_in_progress(id)
+                    && now.since(proposal.since) < PROPOSAL_TIMEOUT + ATTEMPT_GRACE);
             if !keep {
-                doubts.abandon(appender, id, proposal);
+                in_doubt.abandon(appender, id, proposal);
             }
             keep
         });
     }
 
-    /// Forgets all proposals of an identity that was given up.
+    /// Abandons all proposals, when the identity that made them has ended.
     pub(crate) fn clear(&mut self) {
         for (id, proposal) in self.open.drain() {
-            self.doubts.abandon(&self.appender, &id, &proposal);
+            self.in_doubt.abandon(&self.appender, &id, &proposal);
         }
     }
 }
 
-impl Doubts {
-    /// Ends the tries of a proposal; an operator hears of it only if nothing was or will be appended.
+impl InDoubt {
+    /// Stops append attempts; answers the operator only if the record is certainly not appended.
     fn abandon(&mut self, appender: &Appender, id: &RecordId, proposal: &Proposal) {
-        let tried = appender.settle(id);
+        let may_exist = appender.settle(id);
         let Some(reply) = &proposal.reply else { return };
-        if tried {
+        if may_exist {
             self.add(*id);
         } else if !self.0.contains(id) {
-            // The operator may have gone away.
+            // The operator may have disconnected.
             let _ = reply.send(PublishReply::NotAppended);
         }
     }
 
     fn add(&mut self, id: RecordId) {
-        if self.0.len() == DOUBTS {
+        if self.0.len() == MAX_IN_DOUBT {
             self.0.pop_front();
         }
         self.0.push_back(id);
--- a/acaciaringd/src/control/publish.rs
+++ b/acaciaringd/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Documents that operators publish through this member.
+//! Publication of operators' documents through this member.
 
 use std::collections::VecDeque;
 
@@ -11,30 +11,30 @@
 use super::event::PublishReply;
 use super::proposal::{Proposal, Purpose};
 
-/// Answers that are kept for a repeat.
-const KEPT: usize = 256;
+/// Maximum number of replies that are remembered for retries.
+const MAX_REPLIES: usize = 256;
 
-/// Answers to recent publishes, so that a repeat with the same id gets the same one.
+/// Replies to recent publishes, so that a retry with the same id gets the same reply.
 #[derive(Debug, Default)]
-pub(super) struct Answers {
-    kept: VecDeque<(RecordId, PublishReply)>,
+pub(super) struct PublishReplies {
+    replies: VecDeque<(RecordId, PublishReply)>,
 }
 
-impl Answers {
+impl PublishReplies {
     fn find(&self, id: &RecordId) -> Option<&PublishReply> {
-        self.kept.iter().find(|(other, _)| other == id).map(|(_, reply)| reply)
+        self.replies.iter().find(|(other, _)| other == id).map(|(_, reply)| reply)
     }
 
-    fn keep(&mut self, id: RecordId, reply: PublishReply) {
-        if self.kept.len() == KEPT {
-            self.kept.pop_front();
+    fn insert(&mut self, id: RecordId, reply: PublishReply) {
+        if self.replies.len() == MAX_REPLIES {
+            self.replies.pop_front();
         }
-        self.kept.push_back((id, reply));
+        self.replies.push_back((id, reply));
     }
 }
 
 impl Control {
-    /// Appends a document on behalf of an operator, once for all repeats of an id.
+    /// Appends a document on behalf of an operator, once for all retries with the same id.
     pub(super) fn publish(
         &mut self,
         now: Time,
@@ -42,12 +42,12 @@
         publish: Publish,
         reply: &Sender<PublishReply>,
     ) {
-        if let Some(answer) = self.settled_answer(&id) {
-            // The operator may have gone away.
+        if let Some(answer) = self.known_reply(&id) {
+            // The operator may have disconnected.
             let _ = reply.send(answer);
             return;
         }
-        if self.proposals.answer_to(&id, reply) {
+        if self.proposals.set_reply(&id, reply) {
             return;
         }
         let proposal = Proposal {
@@ -59,25 +59,25 @@
         };
         let queued = self.proposals.submit_as(id, proposal, record::Body::Publish(publish));
         if !queued && !self.proposals.in_doubt(&id) {
-            // The operator may have gone away.
+            // The operator may have disconnected.
             let _ = reply.send(PublishReply::NotAppended);
         }
     }
 
-    fn settled_answer(&self, id: &RecordId) -> Option<PublishReply> {
-        let known = self.answers.find(id).cloned();
+    fn known_reply(&self, id: &RecordId) -> Option<PublishReply> {
+        let known = self.publish_replies.find(id).cloned();
         known.or_else(|| self.state.remembers(id).then_some(PublishReply::Before))
     }
 
-    /// Tells the operator, and a repeat, what became of an own publish.
+    /// Sends the outcome of a publish to the operator and remembers it for retries.
     pub(super) fn published(&mut self, proposal: &Proposal, record: &Folded) {
         let Purpose::Publish(id) = proposal.purpose else { return };
         let answer =
             PublishReply::Folded { offset: record.offset, outcome: record.outcome.clone() };
         if let Some(reply) = &proposal.reply {
-            // The operator may have gone away.
+            // The operator may have disconnected.
             let _ = reply.send(answer.clone());
         }
-        self.answers.keep(id, answer);
+        self.publish_replies.insert(id, answer);
     }
 }
--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -1,4 +1,4 @@
-//! End of an identity: stop of the process, lost upstream, lost lease.
+//! Retirement of an identity: stop of the process, lost upstream, lost lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 
 use super::Control;
 use super::handover::Handover;
-use super::identity::Retiring;
+use super::identity::EndReason;
 use super::proposal::{Proposal, Purpose};
 use super::replication::Replication;
 
-/// Time without announcement after which the upstream counts as lost.
-const SILENCE: Duration = Duration::from_secs(3);
+/// Time without announcement after which the upstream is considered lost.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The same when the upstream has refused a connection since: its process is gone.
-const REFUSED_SILENCE: Duration = Duration::from_millis(700);
+/// The same after the upstream has refused a connection, which means that its process is gone.
+const REFUSED_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Time after which a stop no longer waits for the log and releases without it.
-const LOG: Duration = Duration::from_secs(2);
+/// Time after which a retiring member stops waiting for its `Leave` record and releases its units.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Control {
-    /// Drives the end of this identity, if it has begun.
+    /// Advances the retirement of this identity, if it has begun.
     pub(super) fn retire(&mut self, now: Time) {
         self.watch_upstream(now);
         self.watch_lease(now);
@@ -32,52 +32,52 @@
         let me = identity.me;
         let Some(retiring) = identity.retiring else { return };
         match self.state.member(me).map(|member| member.phase) {
-            Some(Phase::Alive) if retiring == Retiring::Lease && self.resumes() => {
-                self.start_over();
+            Some(Phase::Alive) if retiring == EndReason::Lease && self.reattaches() => {
+                self.replace_identity();
             }
-            Some(Phase::Alive) if retiring == Retiring::Lease => self.exit(now),
+            Some(Phase::Alive) if retiring == EndReason::Lease => self.exit(now),
             Some(Phase::Alive) => self.leave(now),
-            Some(Phase::Leaving) if self.releasing(now) || self.vouching(now) => {}
+            Some(Phase::Leaving) if self.releasing(now) || self.has_live_grants(now) => {}
             Some(Phase::Leaving) => self.exit(now),
             Some(Phase::Dead) | None => self.end_identity(),
         }
     }
 
-    /// Returns true when the next identity of this process takes the place of this one by its attachment.
+    /// Returns true when the attachment of this process's next identity replaces this one.
     ///
-    /// One that was never attached is replaced by nothing, so it says itself that it has ended. Else
-    /// those that chose it as lessor would wait for its eviction: after a start of all machines
-    /// together one had no lease for seven seconds.
-    fn resumes(&self) -> bool {
-        self.holding.reports && self.attachment().is_some()
+    /// An identity that was never attached is not replaced, so it must propose `Exit`: members that
+    /// chose it as lessor would otherwise have no lease until it is evicted.
+    fn reattaches(&self) -> bool {
+        self.upstream.has_reported && self.attachment().is_some()
     }
 
     fn watch_upstream(&mut self, now: Time) {
         let Some(announced) = &self.announced else { return };
-        let refused = self.parts.shared.refused.get() > announced.at;
-        let beat = self.parts.upstream.beat;
-        let silence = if refused { REFUSED_SILENCE.max(beat * 2) } else { SILENCE.max(beat * 4) };
-        if now.since(announced.at) < silence {
+        let refused = self.context.shared.upstream_refused.get() > announced.at;
+        let beat = self.context.upstream.beat;
+        let timeout =
+            if refused { REFUSED_TIMEOUT.max(beat * 2) } else { ANNOUNCE_TIMEOUT.max(beat * 4) };
+        if now.since(announced.at) < timeout {
             return;
         }
-        warn!(refused, "the upstream has not announced itself, taking it out");
+        warn!(refused, "upstream announcements timed out, detaching the upstream");
         self.announced = None;
         self.detach(now);
     }
 
-    /// Takes the upstream out: its units pass to others and this process joins anew without it.
+    /// Detaches the upstream: its units move to others and this process joins again without it.
     pub(super) fn detach(&mut self, now: Time) {
         let attached = self.attachment().is_some();
         let identity = self.identity.as_mut().filter(|_| attached);
-        if identity.is_some_and(|identity| identity.retire(now, Retiring::Upstream)) {
+        if identity.is_some_and(|identity| identity.retire(now, EndReason::Upstream)) {
             self.report_leaving();
         }
     }
 
-    /// Gives the identity up when its lease is lost for good.
+    /// Retires the identity when its lease is lost for good.
     ///
-    /// An evicted member finds `Dead` in the log; one that cannot read the log
-    /// is refused by its lessors. Either way nothing is served: the lease is over.
+    /// An evicted member finds `Dead` in the log; one that cannot read the log is refused by its
+    /// lessors. In both cases the lease has expired and nothing is served.
     fn watch_lease(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
         let dead = !self.state.lives(identity.me);
@@ -85,23 +85,23 @@
         let holder = &identity.holder;
         let lost = holder.refused() || holder.abandoned(now) || holder.quorum_lost(now, alive);
         if identity.retiring.is_none() && (dead || lost) {
-            warn!(member = %identity.me, dead, "identity is lost, joining anew");
-            identity.retire(now, Retiring::Lease);
+            warn!(member = %identity.me, dead, "lease is lost for good, joining again");
+            identity.retire(now, EndReason::Lease);
             identity.lessor.stop();
         }
     }
 
-    /// Proposes `Leave` once this member serves all that it owns.
+    /// Proposes `Leave` once this member serves all units that it owns.
     ///
-    /// While it still waits for the release of a unit by a former owner, the
-    /// record would make it that unit's `prior` and nobody would wait for the
-    /// former owner any more. What it serves already is passed on meanwhile.
+    /// While it still waits for a former owner to release a unit, the record would make it that
+    /// unit's `prior`, and nobody would wait for the former owner. Units that it serves already are
+    /// switched over meanwhile.
     fn leave(&mut self, now: Time) {
         if self.proposals.pending(&Purpose::Leave) {
             return;
         }
-        if self.waits_for_units() {
-            return self.pass_on_served(now);
+        if self.awaits_releases() {
+            return self.switch_over_served(now);
         }
         let Some(identity) = &mut self.identity else { return };
         let mut renounced: Vec<(Name, UnitId, Offset)> = Vec::new();
@@ -109,9 +109,11 @@
             let workspace = &service.workspace;
             for (unit, assignment) in service.units() {
                 if assignment.standby == Some(identity.me) {
-                    // Taken over, and still held: whoever stands by next could serve beside it.
-                    let way = &self.holding.way;
-                    if self.holding.reports && way.may_hold(now, unit, &service.numbers(unit)) {
+                    // Held since a takeover: the next standby could serve it at the same time.
+                    let mode = &self.upstream.mode;
+                    if self.upstream.has_reported
+                        && mode.may_hold(now, unit, &service.numbers(unit))
+                    {
                         return;
                     }
                     renounced.push((Arc::clone(workspace), unit, assignment.version));
@@ -135,22 +137,22 @@
         self.submit(proposal, body);
     }
 
-    /// Returns true while something is in flight or held that this member has not passed on.
+    /// Returns true while units are unreleased, in flight or held by the upstream.
     fn releasing(&self, now: Time) -> bool {
         !self.all_released() || self.holds_any(now)
     }
 
-    /// Returns true while a process that is told to stop still vouches for a member that stays.
+    /// Returns true while a stopping process has unexpired grants to members that stay.
     ///
-    /// One whose upstream has left does not wait: its next identity serves the next upstream.
-    fn vouching(&self, now: Time) -> bool {
+    /// A process that only lost its upstream does not wait: it joins again at once.
+    fn has_live_grants(&self, now: Time) -> bool {
         let Some(identity) = &self.identity else { return false };
         let stays = |id| self.state.member(id).is_some_and(Member::alive);
-        identity.retiring == Some(Retiring::Stop) && identity.lessor.has_active_grant(now, stays)
+        identity.retiring == Some(EndReason::Stop) && identity.lessor.has_active_grant(now, stays)
     }
 
-    /// Returns true while this member owns a unit that a former owner has not released to it.
-    fn waits_for_units(&self) -> bool {
+    /// Returns true while a former owner has not released a unit that this member owns.
+    fn awaits_releases(&self) -> bool {
         let Some(identity) = &self.identity else { return false };
         self.state.services().any(|service| {
             let mine = service.units().filter(|(_, a)| a.owner == Some(identity.me));
@@ -159,7 +161,7 @@
         })
     }
 
-    /// Proposes `Exit`: nothing is served or granted under this identity any more.
+    /// Proposes `Exit`; from here on nothing is served or granted under this identity.
     fn exit(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
         identity.lessor.stop();
@@ -167,36 +169,33 @@
         self.proposals.propose(now, Purpose::Exit, body);
     }
 
-    /// Returns true when nothing is in flight and the new servers of all units know it.
+    /// Returns true when no requests are in flight and all releases are acknowledged.
     pub(super) fn all_released(&self) -> bool {
         let done = |((workspace, unit), version): (&(Name, UnitId), &Offset)| {
-            self.handover.done.contains(&(Arc::clone(workspace), *unit, *version))
+            self.handover.acknowledged.contains(&(Arc::clone(workspace), *unit, *version))
         };
-        self.parts.shared.inflight.total() == 0 && self.handover.draining.iter().all(done)
+        self.context.shared.inflight.total() == 0 && self.handover.draining.iter().all(done)
     }
 
-    /// Releases to the standbys when the log does not record that this member leaves.
+    /// Releases units to their standbys when the `Leave` of this member is not folded in time.
     ///
-    /// The owner may always release to the standby under the recorded version,
-    /// so a planned stop cuts off nothing while the log is down, and an upstream
-    /// that is leaving gets no new work.
+    /// An owner may always release to the standby under the recorded version. So a planned stop
+    /// interrupts no requests while the log is down, and a leaving upstream gets no new ones.
     pub(super) fn leave_without_log(&mut self, now: Time) {
         let Some(identity) = &self.identity else { return };
-        let meant = matches!(identity.retiring, Some(Retiring::Stop | Retiring::Upstream));
+        let meant = matches!(identity.retiring, Some(EndReason::Stop | EndReason::Upstream));
         let leaving =
             self.state.member(identity.me).is_some_and(|member| member.phase != Phase::Alive);
-        if !meant || leaving || self.closed || now.since(identity.since) < LOG {
+        if !meant || leaving || self.closed || now.since(identity.retiring_since) < LEAVE_TIMEOUT {
             return;
         }
-        warn!(
-            "the log does not record that this member leaves, releasing to the standbys without it"
-        );
+        warn!("`Leave` was not recorded in time, releasing units to their standbys");
         self.closed = true;
         self.dirty = true;
         self.find_draining();
     }
 
-    /// Returns true once the log says that this member leaves: it takes no new requests.
+    /// Returns true once `Leave` is folded; this member then accepts no new requests.
     pub(super) fn leaving(&self) -> bool {
         let me = self.identity.as_ref().map(|identity| identity.me);
         let member = me.and_then(|me| self.state.member(me));
@@ -205,23 +204,23 @@
 
     pub(super) fn end_identity(&mut self) {
         let Some(identity) = self.identity.take() else { return };
-        info!(member = %identity.me, "identity has ended");
+        info!(member = %identity.me, "member identity has ended");
         self.proposals.clear();
         self.replication = Replication::default();
         self.handover = Handover::default();
-        self.grounds.clear();
+        self.eviction_reasons.clear();
         self.closed = false;
         self.forget_roles();
-        self.parts.shared.lease.set(Time::ZERO);
+        self.context.shared.lease.set(Time::ZERO);
         self.dirty = true;
     }
 
-    /// Returns true while this process has no identity, or one that is about to end.
+    /// Returns true while this process has no identity, or one that is retiring.
     pub(super) fn retiring(&self) -> bool {
         self.identity.as_ref().is_none_or(|identity| identity.retiring.is_some())
     }
 
-    /// Returns what this member serves by the log's word, `None` before that is recorded.
+    /// Returns the attachment of this member, `None` before it is in the log.
     pub(super) fn attachment(&self) -> Option<&Attachment> {
         self.state.member(self.identity.as_ref()?.me)?.attachment.as_ref()
     }
--- a/acaciaringd/src/control/snapshot.rs
+++ b/acaciaringd/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the folded state, so that the log's retention may take old records.
+//! Snapshots of the folded state, so that the log service can drop old records.
 
 use std::sync::Arc;
 
@@ -10,56 +10,62 @@
 use super::Control;
 use crate::metrics::Counter;
 
-/// Further records per rank before a member writes the snapshot in place of a lower one.
-const STAGGER: u64 = 50;
+/// Extra records per rank after which a member writes the snapshot in place of a lower rank.
+const RECORDS_PER_RANK: u64 = 50;
 
-/// Time after which even a quiet log gets a snapshot.
-const AGE: std::time::Duration = std::time::Duration::from_mins(10);
+/// Age of the newest snapshot after which another is written, if there are new records.
+const MAX_AGE: std::time::Duration = std::time::Duration::from_mins(10);
 
-/// Time per rank before a member stands in for a lower one.
-const STAND_IN: std::time::Duration = std::time::Duration::from_secs(20);
+/// Extra age per rank, and the least time between two snapshots of one member.
+const DELAY_PER_RANK: std::time::Duration = std::time::Duration::from_secs(20);
 
-/// What this member knows of the log's snapshots.
+/// Snapshots in the log, as known to this member.
 #[derive(Debug)]
 pub(super) struct Snapshots {
-    /// End of the newest one, and when it was first seen.
+    /// End of the newest snapshot, and when it was first seen.
     covered: Offset,
-    seen: Time,
-    /// When this member last wrote one, and where that ends.
-    wrote: Time,
-    own: Offset,
-    /// Empty records behind what the newest one covers.
+    first_seen: Time,
+    /// When this member last wrote a snapshot, and where that ends.
+    last_written: Time,
+    own_end: Offset,
+    /// Offsets of empty records after the end of the newest snapshot.
     ///
-    /// Who writes a snapshot drops as many records as it covers, by empty ones; were they news, each
-    /// snapshot would soon call for the next.
-    empty: Vec<Offset>,
+    /// Trimming appends one empty record per record that a snapshot covers. They must not count
+    /// towards the next snapshot, or each snapshot would soon trigger another.
+    empty_records: Vec<Offset>,
 }
 
 impl Snapshots {
-    /// Begins at `now`, as if a snapshot had just been seen.
+    /// Creates the state as if a snapshot had been seen at `now`.
     pub(super) fn new(now: Time) -> Self {
-        Self { covered: 0, seen: now, wrote: Time::ZERO, own: 0, empty: Vec::new() }
+        Self {
+            covered: 0,
+            first_seen: now,
+            last_written: Time::ZERO,
+            own_end: 0,
+            empty_records: Vec::new(),
+        }
     }
 
-    /// Notes which of the records are empty.
-    pub(super) fn note(&mut self, folded: &[Folded]) {
+    /// Records the offsets of empty records.
+    pub(super) fn track_empty(&mut self, folded: &[Folded]) {
         let empty = folded.iter().filter(|record| record.id.is_none());
-        self.empty.extend(empty.map(|record| record.offset));
+        self.empty_records.extend(empty.map(|record| record.offset));
     }
 }
 
 impl Control {
-    /// Lets the log service drop what this member's own snapshot covers.
+    /// Has the log service drop the records that this member's own snapshot covers.
     fn trim(&self, covered: Offset) {
-        if self.snapshots.own != covered {
+        if self.snapshots.own_end != covered {
             return;
         }
-        let log = Arc::clone(&self.parts.log);
-        // It may wait for the log service, for which the control thread must not.
-        self.parts.transport.runtime().spawn_blocking(move || log.trim(covered));
+        let log = Arc::clone(&self.context.log);
+        // Blocks on the log service, which the control thread must never do.
+        self.context.transport.runtime().spawn_blocking(move || log.trim(covered));
     }
 
-    /// Writes a snapshot when one is due and it falls to this member.
+    /// Writes a snapshot when one is due for the rank of this member.
     pub(super) fn snapshot(&mut self, now: Time) {
         let Some(identity) = &self.identity else { return };
         let Some(rank) = self.state.snapshot_rank(identity.me) else { return };
@@ -67,23 +73,25 @@
         let newest = self.replica.snapshot_next();
         if newest != self.snapshots.covered {
             self.trim(newest);
-            self.snapshots.empty.retain(|offset| *offset >= newest);
+            self.snapshots.empty_records.retain(|offset| *offset >= newest);
             self.snapshots.covered = newest;
-            self.snapshots.seen = now;
+            self.snapshots.first_seen = now;
         }
-        let records = self.parts.records.saturating_add(STAGGER * u64::from(rank));
-        let age = AGE.saturating_add(STAND_IN.saturating_mul(rank));
-        let empty = u64::try_from(self.snapshots.empty.len()).unwrap_or(u64::MAX);
+        let records =
+            self.context.snapshot_records.saturating_add(RECORDS_PER_RANK * u64::from(rank));
+        let age = MAX_AGE.saturating_add(DELAY_PER_RANK.saturating_mul(rank));
+        let empty = u64::try_from(self.snapshots.empty_records.len()).unwrap_or(u64::MAX);
         let due = snapshot::due(self.state.next().saturating_sub(empty), newest, records);
-        let aged = self.state.next() > newest && snapshot::aged(now, self.snapshots.seen, age);
-        if !due && !aged || now.since(self.snapshots.wrote) < STAND_IN {
+        let aged =
+            self.state.next() > newest && snapshot::aged(now, self.snapshots.first_seen, age);
+        if !due && !aged || now.since(self.snapshots.last_written) < DELAY_PER_RANK {
             return;
         }
-        self.snapshots.wrote = now;
-        self.snapshots.own = self.state.next();
+        self.snapshots.last_written = now;
+        self.snapshots.own_end = self.state.next();
         let chunks = snapshot::chunk(&self.state, rand::random(), CHUNK_SIZE);
         info!(next = self.state.next(), records = chunks.len(), "writing a snapshot");
-        self.parts.metrics.count(Counter::LogSnapshots, 1);
+        self.context.metrics.count(Counter::LogSnapshots, 1);
         for record in chunks {
             self.proposals.append(record);
         }
--- /dev/null
+++ b/acaciaringd/src/control/upstream_state.rs
@@ -0,0 +1,305 @@
+//! Grants to the local upstream, and heartbeats that report the keys that it holds.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use acaciaring_core::holds::{Granted, ReportOutcome, Wanted};
+use acaciaring_core::rights::Right;
+use acaciaring_core::state::{Attachment, Member, Service, State};
+use acaciaring_core::{Name, Time, UnitId};
+use acaciaring_schema::settings::UpstreamGrants;
+use tokio::sync::oneshot;
+use tracing::{debug, info, warn};
+
+use super::Control;
+use super::grant_mode::GrantMode;
+use super::identity::EndReason;
+use super::proposal::Purpose;
+use crate::announce::Phase;
+use crate::heartbeat::{Heartbeat, HeartbeatReply};
+use crate::view::{Permit, Permits};
+
+/// Time for which a leaving upstream still gets requests while its units move to others.
+///
+/// It must get no new requests two seconds after it reports that it is leaving; the rest is margin
+/// for requests on their way to it.
+const LEAVING_GRACE: Duration = Duration::from_secs(1);
+
+/// Longest delay of the reply to a heartbeat while a move is pending.
+///
+/// Longer than a move usually takes, and well below the reply timeout of the upstream.
+const MAX_REPLY_DELAY: Duration = Duration::from_millis(250);
+
+/// Grants and heartbeats of the local upstream.
+#[derive(Debug)]
+pub(super) struct UpstreamState {
+    pub(super) mode: GrantMode,
+    /// True once the upstream has sent a heartbeat.
+    pub(super) has_reported: bool,
+    /// Since when the upstream is leaving.
+    leaving: Option<Time>,
+    /// Heartbeat whose reply waits for a move.
+    delayed: Option<DelayedReply>,
+    /// Next timed change, as of the last check.
+    expected_change: Option<Time>,
+}
+
+/// Heartbeat whose reply is delayed until it reflects a pending move.
+///
+/// A moving unit has no server from the reply that leaves it out until the reply that grants it to
+/// the next upstream, so a reply that just misses a move costs a whole heartbeat interval.
+#[derive(Debug)]
+struct DelayedReply {
+    reply: oneshot::Sender<HeartbeatReply>,
+    max_ranges: usize,
+    until: Time,
+}
+
+impl UpstreamState {
+    pub(super) fn new(now: Time, grants: UpstreamGrants, hold: Duration) -> Self {
+        Self {
+            mode: GrantMode::new(now, grants, hold),
+            has_reported: false,
+            leaving: None,
+            delayed: None,
+            expected_change: None,
+        }
+    }
+
+    /// Returns true once a leaving upstream must get no more requests.
+    pub(super) fn closed(&self, now: Time) -> bool {
+        self.leaving.is_some_and(|since| now >= since + LEAVING_GRACE)
+    }
+
+    /// Returns the time of the next timed change.
+    pub(super) fn next_change(&self, now: Time) -> Option<Time> {
+        let delayed = self.delayed.as_ref().map(|delayed| delayed.until);
+        let effect = match &self.mode {
+            GrantMode::Heartbeat(holds) => holds.next_effect(now),
+            GrantMode::Call(orders) => Some(orders.next_due()),
+        };
+        [effect, self.closes_at(now), delayed].into_iter().flatten().min()
+    }
+
+    /// Returns when a leaving upstream must get no more requests, if that time has not passed.
+    fn closes_at(&self, now: Time) -> Option<Time> {
+        self.leaving.map(|since| since + LEAVING_GRACE).filter(|close| now < *close)
+    }
+
+    /// Returns true if a timed change has happened since the last check.
+    pub(super) fn is_stale(&mut self, now: Time) -> bool {
+        let next = match &self.mode {
+            GrantMode::Call(orders) if orders.has_expired(now) => return true,
+            // Answers to orders mark the view as out of date themselves.
+            GrantMode::Call(_) => self.closes_at(now),
+            GrantMode::Heartbeat(_) => self.next_change(now),
+        };
+        let stale = self.has_reported && next != self.expected_change;
+        self.expected_change = next;
+        stale
+    }
+}
+
+impl Control {
+    /// Handles a heartbeat of the upstream; the reply grants the units that it is to hold.
+    pub(super) fn on_heartbeat(
+        &mut self,
+        now: Time,
+        heartbeat: Heartbeat,
+        reply: oneshot::Sender<HeartbeatReply>,
+    ) {
+        let report = self.upstream.mode.report(now, &heartbeat);
+        let Heartbeat { announcement, sequence, max_ranges, .. } = heartbeat;
+        let (instance, born) = (Name::from(announcement.instance.as_str()), announcement.born);
+        if report == ReportOutcome::Stale {
+            info!(%instance, born, sequence, "ignoring an outdated heartbeat of the upstream");
+            // The sender may have disconnected.
+            let _ = reply.send(HeartbeatReply::default());
+            return;
+        }
+        self.upstream.has_reported = true;
+        if report == ReportOutcome::NewIncarnation {
+            info!(%instance, born, "the upstream has restarted");
+            self.upstream.leaving = None;
+        }
+        if self.attached_to_earlier(&instance) {
+            self.announced = None;
+            self.endpoint = None;
+            self.detach(now);
+        } else if announcement.phase == Phase::Draining {
+            self.upstream_leaves(now);
+        } else if self.upstream.leaving.is_none() {
+            self.on_announcement(now, announcement);
+        }
+        self.dirty = true;
+        self.plan_when_due(now);
+        // Only one reply is delayed at a time: one that still has to wait is dropped here, and its
+        // sender sends a new heartbeat.
+        self.answer_heartbeat(now);
+        self.upstream.delayed =
+            Some(DelayedReply { reply, max_ranges, until: now + MAX_REPLY_DELAY });
+        self.answer_heartbeat(now);
+    }
+
+    /// Sends the delayed reply, once no pending move is about to change it.
+    pub(super) fn answer_heartbeat(&mut self, now: Time) {
+        let Some(until) = self.upstream.delayed.as_ref().map(|delayed| delayed.until) else {
+            return;
+        };
+        if now < until && self.move_pending() {
+            return;
+        }
+        let Some(DelayedReply { reply, max_ranges, .. }) = self.upstream.delayed.take() else {
+            return;
+        };
+        let answer = HeartbeatReply { grants: self.grants(now, max_ranges) };
+        debug!(ranges = answer.grants.as_ref().map(|(rows, _)| rows.len()), "heartbeat answered");
+        // The sender may have disconnected.
+        let _ = reply.send(answer);
+        self.dirty = true;
+    }
+
+    /// Returns true while a pending move to or from this member will change the reply.
+    ///
+    /// Replies to an upstream that is managed by calls carry no grants.
+    fn move_pending(&self) -> bool {
+        if matches!(self.upstream.mode, GrantMode::Call(_)) {
+            return false;
+        }
+        let Some(identity) = &self.identity else { return false };
+        let me = Some(identity.me);
+        let Some(Attachment { workspace, .. }) = self.attachment() else { return false };
+        if self.proposals.pending(&Purpose::Switchover(Arc::clone(workspace))) {
+            return true;
+        }
+        let Some(service) = self.state.service(workspace) else { return false };
+        // A dead former owner releases nothing.
+        let alive = |id| self.state.member(id).is_some_and(Member::alive);
+        service.units().any(|(unit, assignment)| {
+            let prior = assignment.prior.filter(|prior| Some(*prior) != me && alive(*prior));
+            assignment.owner == me && prior.is_some() && !identity.rights.serving(workspace, unit)
+        })
+    }
+
+    /// Handles the notice that the upstream is leaving and stops its heartbeats.
+    pub(super) fn on_upstream_leaves(&mut self, now: Time, instance: &Name) {
+        let present = self.upstream.mode.start();
+        if present.is_none_or(|present| present.instance == *instance) {
+            self.upstream_leaves(now);
+        }
+        self.dirty = true;
+    }
+
+    fn upstream_leaves(&mut self, now: Time) {
+        if self.upstream.leaving.is_none() {
+            info!("the upstream is leaving, moving its units to other members");
+            self.upstream.leaving = Some(now);
+        }
+        self.announced = None;
+        self.detach(now);
+    }
+
+    /// Returns true while this identity is attached to an earlier instance of the upstream.
+    fn attached_to_earlier(&self, instance: &Name) -> bool {
+        self.attachment().is_some_and(|attachment| attachment.instance != *instance)
+    }
+
+    /// Returns the grants of a reply and their duration, `None` when the reply can grant nothing.
+    fn grants(&mut self, now: Time, max_ranges: usize) -> Option<(Vec<Granted>, Duration)> {
+        if matches!(self.upstream.mode, GrantMode::Call(_)) {
+            return None;
+        }
+        let attachment = self.attachment()?;
+        if !self.is_attached_upstream(attachment) {
+            return None;
+        }
+        let workspace = Arc::clone(&attachment.workspace);
+        let state = Arc::clone(&self.state);
+        let lease = self.context.shared.lease.get();
+        let wanted = self.grantable_units(now, &state, state.service(&workspace)?);
+        match &mut self.upstream.mode {
+            GrantMode::Heartbeat(holds) => holds.grant(now, lease, &wanted, max_ranges),
+            GrantMode::Call(_) => None,
+        }
+    }
+
+    /// Returns true when the running instance of the upstream is the attached one.
+    pub(super) fn is_attached_upstream(&self, attachment: &Attachment) -> bool {
+        let present = self.upstream.mode.start();
+        present.is_some_and(|present| present.instance == attachment.instance)
+    }
+
+    /// Returns the units that may be granted to the upstream now.
+    fn grantable_units(&mut self, now: Time, state: &State, service: &Service) -> Vec<Wanted> {
+        let Some(identity) = &mut self.identity else { return Vec::new() };
+        let me = Some(identity.me);
+        let live = identity.live(now, state);
+        let mut wanted = Vec::new();
+        for (unit, assignment) in service.units() {
+            if assignment.owner != me && assignment.standby != me {
+                continue;
+            }
+            let right = identity.right(now, &live, &service.workspace, unit, assignment);
+            let Right::Serve { token, .. } = right else { continue };
+            let mut handover = None;
+            if !self.upstream.mode.serves(now, unit, token, || service.numbers(unit)) {
+                debug!(%unit, token = token.0, ?assignment, "granting a unit to the upstream");
+                let unit_key = (Arc::clone(&service.workspace), unit);
+                handover = self.roles.handovers.get(&unit_key).map(Arc::clone);
+            }
+            let handover = handover.unwrap_or_else(|| Name::from(""));
+            wanted.push(Wanted { unit, token, keys: service.numbers(unit), handover });
+        }
+        wanted
+    }
+
+    /// Downgrades permits to `Wait` while the upstream does not hold the units yet.
+    pub(super) fn withhold_permits(&self, now: Time, permits: &mut Permits) {
+        if !self.upstream.has_reported {
+            return;
+        }
+        for (workspace, units) in permits.iter_mut() {
+            let service = self.state.service(workspace);
+            let keys = |unit| service.map(|service| service.numbers(unit)).unwrap_or_default();
+            for (unit, permit) in units.iter_mut() {
+                if let Permit::Serve { token, .. } = *permit
+                    && !self.upstream.mode.serves(now, *unit, token, || keys(*unit))
+                {
+                    *permit = Permit::Wait;
+                }
+            }
+        }
+    }
+
+    /// Returns true while the upstream may hold keys of a unit.
+    pub(super) fn upstream_holds(&self, now: Time, workspace: &Name, unit: UnitId) -> bool {
+        let Some(service) = self.state.service(workspace).filter(|s| s.founded) else {
+            return false;
+        };
+        self.upstream.mode.may_hold(now, unit, &service.numbers(unit))
+    }
+
+    /// Returns true while the upstream may hold any keys.
+    pub(super) fn holds_any(&self, now: Time) -> bool {
+        self.upstream.has_reported && self.upstream.mode.may_hold_any(now)
+    }
+
+    /// Returns true when a restarted process can take over the upstream without a move of units.
+    pub(super) fn resumable(&self) -> bool {
+        self.upstream.has_reported && self.announced.is_some() && self.attachment().is_some()
+    }
+
+    /// Ends an identity whose lease is lost, so that this process joins again at once.
+    ///
+    /// Guards against keys without server after the loss of many members at once: proofs of expiry
+    /// take long when lessors are gone. The old identity no longer serves or grants anything, and
+    /// the attachment of the next one replaces it.
+    pub(super) fn replace_identity(&mut self) {
+        if let Some(identity) = &mut self.identity {
+            warn!(member = %identity.me, "lease is lost, replacing this identity with a new one");
+            identity.lessor.stop();
+            identity.retiring = Some(EndReason::Lease);
+        }
+        self.end_identity();
+    }
+}
--- a/acaciaringd/src/reader.rs
+++ b/acaciaringd/src/reader.rs
@@ -12,23 +12,22 @@
 use crate::clock;
 use crate::control::Event;
 use crate::platform::LogService;
+use crate::read_pacer::ReadPacer;
 use crate::vital;
-use crate::wanted::Wanted;
 
-/// Records in one read.
-const LIMIT: usize = 512;
+/// Maximum number of records in one read of the log service.
+const READ_LIMIT: usize = 512;
 
-/// Records asked of another member.
-const RELAYED: u32 = 512;
+/// Maximum number of records requested from another member.
+const RELAY_LIMIT: u32 = 512;
 
-/// Pause after a failed read, at first.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Initial pause after a failed read; doubles up to the maximum.
+const INITIAL_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest pause after failed reads.
+/// Maximum pause after failed reads.
 ///
-/// The log service counts refused reads too; with it a service that returns is noticed within
-/// a second.
-const LONGEST: Duration = Duration::from_secs(1);
+/// The log service counts failed reads too, and its recovery is to be detected quickly.
+const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// Reads records from another member when the log service cannot be reached.
 pub(crate) type Relay = Box<dyn Fn(u64, u32) -> Option<Batch> + Send>;
@@ -38,24 +37,25 @@
     log: Arc<dyn LogService>,
     wait: Duration,
     relay: Relay,
-    wanted: Arc<Wanted>,
+    read_pacer: Arc<ReadPacer>,
     events: Sender<Event>,
 ) {
-    let backoff = Backoff::new(PAUSE, LONGEST);
-    let reader = Reader { log, wait, relay, wanted, events, failing: false, begun: false, backoff };
+    let backoff = Backoff::new(INITIAL_PAUSE, MAX_PAUSE);
+    let reader =
+        Reader { log, wait, relay, read_pacer, events, failing: false, has_read: false, backoff };
     vital::spawn("log-reader", move || reader.run());
 }
 
 struct Reader {
     log: Arc<dyn LogService>,
-    /// Time for which a read waits for a new record.
+    /// Time for which a read blocks until there is a new record.
     wait: Duration,
     relay: Relay,
-    wanted: Arc<Wanted>,
+    read_pacer: Arc<ReadPacer>,
     events: Sender<Event>,
     failing: bool,
-    /// True once a read has said where the log ends.
-    begun: bool,
+    /// True once a read of the log service has succeeded.
+    has_read: bool,
     /// Pauses after failed reads.
     backoff: Backoff,
 }
@@ -63,12 +63,12 @@
 impl Reader {
     fn run(mut self) {
         loop {
-            let from = self.wanted.wait();
+            let from = self.read_pacer.wait();
             let Some(batch) = self.read(from) else {
                 thread::sleep(self.backoff.pause());
                 continue;
             };
-            self.wanted.answered(clock::now());
+            self.read_pacer.answered(clock::now());
             if !self.deliver(batch) {
                 return;
             }
@@ -77,29 +77,30 @@
 
     /// Reads from the log service, else from another member.
     fn read(&mut self, from: u64) -> Option<Batch> {
-        // The first read must not wait for a record: a quiet log would hold up the start.
-        let wait = if self.begun { self.wait } else { Duration::ZERO };
-        match self.log.read(from, LIMIT, wait) {
+        // The first read must not block: the start would be delayed until there is a new record.
+        let wait = if self.has_read { self.wait } else { Duration::ZERO };
+        match self.log.read(from, READ_LIMIT, wait) {
             Ok(batch) => {
-                self.begun = true;
+                self.has_read = true;
                 self.backoff.reset();
                 if self.failing {
-                    info!("the log can be read again");
+                    info!("log service can be read again");
                 }
                 self.failing = false;
                 Some(batch)
             }
             Err(error) => {
                 if !self.failing {
-                    warn!(%error, "the log cannot be read, asking other members");
+                    warn!(%error, "cannot read from the log service, reading from other members");
                 }
                 self.failing = true;
-                (self.relay)(from, RELAYED)
+                (self.relay)(from, RELAY_LIMIT)
             }
         }
     }
 
-    /// Hands a batch to control and waits until it is folded, so that the next read starts behind it.
+    /// Sends a batch to the control thread and waits until it is folded, so that the next read
+    /// starts after it; returns false when the control thread has ended.
     fn deliver(&self, batch: Batch) -> bool {
         let (done, folded): (Sender<()>, Receiver<()>) = bounded(1);
         if self.events.send(Event::Batch(batch, done)).is_err() {
