--- a/acaciaringd/src/daemon/edges.rs
+++ b/acaciaringd/src/daemon/edges.rs
@@ -79,7 +79,7 @@
 
     /// Counts the verdict of an answer, also of one that the listener gave itself.
     pub fn told(&self, verdict: Verdict) {
-        self.router.told(verdict);
+        self.router.count_verdict(verdict);
     }
 
     /// Returns true while callers are to come to this member.
--- a/acaciaringd/src/daemon/late.rs
+++ b/acaciaringd/src/daemon/late.rs
@@ -6,7 +6,7 @@
 use acaciaring_schema::peer::{Answer, Datagram, Request, call, reply};
 
 use crate::handler::PeerHandler;
-use crate::peer::{CancelFlag, Handler, Pending};
+use crate::peer::{BoxFuture, CancelFlag, Handler};
 
 /// Handler that is set after the transport has started, for they need each other.
 #[derive(Default)]
@@ -31,11 +31,11 @@
         }
     }
 
-    fn call(&self, call: call::Body) -> Pending<'_, reply::Body> {
+    fn call(&self, call: call::Body) -> BoxFuture<'_, reply::Body> {
         self.get().call(call)
     }
 
-    fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> Pending<'a, Answer> {
+    fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> BoxFuture<'a, Answer> {
         self.get().request(request, cancelled)
     }
 }
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -37,7 +37,7 @@
 use crate::ration::Ration;
 use crate::reader;
 use crate::recent::Recent;
-use crate::router::{Lingerers, Outages, Router, Shares, Spans, Suspects};
+use crate::router::{Outages, Router, Suspects, TimeoutHistory, TrafficSplits, WaitLimit};
 use crate::view::Shared;
 use crate::wanted::Wanted;
 use crate::web::{self, WebError};
@@ -132,9 +132,12 @@
         let declarations = Arc::new(Declarations::new(decoder, events.clone()));
 
         let late = Arc::new(LateHandler::default());
-        let transport =
-            Transport::metered(options::peer_settings(settings), late.clone(), metrics.clone())
-                .context(PeerSnafu)?;
+        let transport = Transport::with_metrics(
+            options::peer_settings(settings),
+            late.clone(),
+            metrics.clone(),
+        )
+        .context(PeerSnafu)?;
         let page = address.map(|address| page(address, &metrics, &transport)).transpose()?;
         let log = edges.log(transport.runtime());
         let outbox = Outbox::new(&transport);
@@ -164,15 +167,15 @@
             choice: Mutex::new(Choice::new(ChoiceSettings::default())),
             budgets: options::budgets(settings),
             suspects: Suspects::default(),
-            full: Mutex::default(),
+            full_queues: Mutex::default(),
             outages: Outages::default(),
             metrics: metrics.clone(),
-            lingerers: Lingerers::new(settings.entry.workers as usize / LINGERERS),
-            shares: Shares::default(),
-            spans: Spans::default(),
+            wait_limit: WaitLimit::new(settings.entry.workers as usize / LINGERERS),
+            splits: TrafficSplits::default(),
+            timeouts: TimeoutHistory::default(),
             declarations: Arc::clone(&declarations),
-            lines: Ration::new(LINES),
-            late: Ration::new(LATE_LINES),
+            log_limit: Ration::new(LINES),
+            late_limit: Ration::new(LATE_LINES),
             pulse: Pulse::start(transport.runtime()),
         };
         let admin = MemberAdmin {
@@ -282,6 +285,6 @@
     let wanted = Arc::new(Wanted::new(settings.log.rate.min(settings.log.reads)));
     // Who is refused may have joined by a record that was not read here yet.
     let asked = Arc::clone(&wanted);
-    transport.on_refused(move || asked.ask());
+    transport.on_untrusted(move || asked.ask());
     wanted
 }
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -16,7 +16,7 @@
 use crate::gate::GateSettings;
 use crate::peer::PeerSettings;
 use crate::platform::{LogClient, LogTimeouts};
-use crate::router::{Budgets, CommonBudget};
+use crate::router::{ClusterBudget, RetryBudgets};
 
 /// Room for headers and the like in a message between members, in bytes.
 const ENVELOPE: u64 = 256 << 10;
@@ -43,8 +43,8 @@
         authority: settings.tls.authority.clone().unwrap_or_default(),
         workers: settings.peer.workers as usize,
         threads: settings.traffic.threads as usize,
-        limit: message_limit(settings),
-        arrival: settings.peer.arrival,
+        message_limit: message_limit(settings),
+        ack_timeout: settings.peer.arrival,
         connect: settings.peer.connect,
     }
 }
@@ -79,11 +79,11 @@
 }
 
 /// Returns the budgets of retries: of each class, and of all members together.
-pub(super) fn budgets(settings: &Settings) -> Budgets {
+pub(super) fn budgets(settings: &Settings) -> RetryBudgets {
     let limits = &settings.limits;
     let retries = RetrySettings { share: limits.retry_ratio, ..RetrySettings::default() };
-    let common = CommonBudget { burst: limits.retry_burst.into(), window: limits.retry_window };
-    Budgets::new(retries, common)
+    let common = ClusterBudget { burst: limits.retry_burst.into(), window: limits.retry_window };
+    RetryBudgets::new(retries, common)
 }
 
 /// Returns how heat is measured.
--- a/acaciaringd/src/handler.rs
+++ b/acaciaringd/src/handler.rs
@@ -14,7 +14,7 @@
 use crate::control::Event;
 use crate::declared::Declarations;
 use crate::gate::Gate;
-use crate::peer::{CancelFlag, Handler, Pending};
+use crate::peer::{BoxFuture, CancelFlag, Handler};
 use crate::platform::{AppendError, LogService};
 use crate::recent::Recent;
 use crate::status;
@@ -36,11 +36,11 @@
         let _ = self.events.send(Event::Datagram(from, datagram));
     }
 
-    fn call(&self, call: call::Body) -> Pending<'_, reply::Body> {
+    fn call(&self, call: call::Body) -> BoxFuture<'_, reply::Body> {
         Box::pin(self.serve(call))
     }
 
-    fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> Pending<'a, Answer> {
+    fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> BoxFuture<'a, Answer> {
         Box::pin(self.run(request, cancelled))
     }
 }
--- a/acaciaringd/src/metrics/page.rs
+++ b/acaciaringd/src/metrics/page.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, StatusCode};
 
 use super::Metrics;
-use crate::peer::Pending;
+use crate::peer::BoxFuture;
 use crate::web::{Response, Site, text};
 
 /// Path of the page.
@@ -15,7 +15,7 @@
 pub(crate) struct MetricsSite(pub(crate) Metrics);
 
 impl Site for MetricsSite {
-    fn answer(&self, head: Parts, _body: Bytes) -> Pending<'_, Response> {
+    fn answer(&self, head: Parts, _body: Bytes) -> BoxFuture<'_, Response> {
         let answer = match (head.method, head.uri.path()) {
             (Method::GET, PATH) => text(StatusCode::OK, self.0.text()),
             (_, PATH) => text(StatusCode::METHOD_NOT_ALLOWED, ""),
--- a/acaciaringd/src/peer/attempt.rs
+++ b/acaciaringd/src/peer/attempt.rs
@@ -93,7 +93,7 @@
     let clock = clock::now().since_start().as_micros();
     request.clock = u64::try_from(clock).unwrap_or(0);
     let call = Call { body: Some(call::Body::Request(request)) };
-    let frame = match frame::encode(&call, shared.settings.limit) {
+    let frame = match frame::encode(&call, shared.settings.message_limit) {
         Ok(frame) => frame,
         Err(size) => {
             error!(%to, size, "request exceeds the limit");
--- a/acaciaringd/src/peer/exchange.rs
+++ b/acaciaringd/src/peer/exchange.rs
@@ -77,7 +77,7 @@
     left: Duration,
 ) -> Result<reply::Body, CallError> {
     let deadline = Instant::now() + left;
-    let frame = frame::encode(&Call { body: Some(body) }, shared.settings.limit)
+    let frame = frame::encode(&Call { body: Some(body) }, shared.settings.message_limit)
         .or_else(|size| TooLargeSnafu { peer: to, size }.fail())?;
     let mut sent = send(shared, to, frame, Repeat::Once, deadline).await?;
     let reply = watched(shared, &sent.link, PATIENCE, sent.reader.next::<Reply>());
@@ -144,7 +144,7 @@
             continue;
         }
         let limit = deadline.min(Instant::now() + patience(shared, &link.conn, frame.len()));
-        let opened = time::timeout_at(limit, link.open(shared.settings.limit)).await;
+        let opened = time::timeout_at(limit, link.open(shared.settings.message_limit)).await;
         let Ok(Some((mut stream, reader))) = opened else {
             continue;
         };
@@ -205,7 +205,7 @@
     conn: &Connection,
     body: call::Body,
 ) -> Option<reply::Body> {
-    let limit = shared.settings.limit;
+    let limit = shared.settings.message_limit;
     let frame = frame::encode(&Call { body: Some(body) }, limit).ok()?;
     let (mut stream, mut reader) = link::open(conn, limit).await?;
     stream.write_chunk(frame).await.ok()?;
--- a/acaciaringd/src/peer/mod.rs
+++ b/acaciaringd/src/peer/mod.rs
@@ -34,4 +34,4 @@
 pub use self::error::{CallError, ConnectError, PeerError};
 pub use self::settings::PeerSettings;
 pub use self::traffic::Traffic;
-pub use self::transport::{Handler, Pending, Transport};
+pub use self::transport::{BoxFuture, Handler, Transport};
--- a/acaciaringd/src/peer/patience.rs
+++ b/acaciaringd/src/peer/patience.rs
@@ -26,7 +26,7 @@
 /// Guards against a member that is far or short of processor: judged by a fixed time it would be
 /// asked on one new connection after the other, none of them faster.
 pub(super) fn arrival(shared: &Shared, conn: &Connection) -> Duration {
-    shared.settings.arrival + conn.rtt().min(LONGEST) * TRIPS
+    shared.settings.ack_timeout + conn.rtt().min(LONGEST) * TRIPS
 }
 
 /// Waits for a reply as long as a span; longer when this process was late itself.
--- a/acaciaringd/src/peer/run.rs
+++ b/acaciaringd/src/peer/run.rs
@@ -126,7 +126,7 @@
 fn finish(shared: &Shared, attempt: u64, answer: Answer) -> Bytes {
     let body = reply::Body::Answer(answer);
     let reply = Reply { body: Some(body) };
-    let (reply, frame) = match frame::encode(&reply, shared.settings.limit) {
+    let (reply, frame) = match frame::encode(&reply, shared.settings.message_limit) {
         Ok(frame) => (reply, frame),
         Err(size) => {
             error!(attempt, size, "answer exceeds the limit");
--- a/acaciaringd/src/peer/serve.rs
+++ b/acaciaringd/src/peer/serve.rs
@@ -118,7 +118,7 @@
 /// Answers the call on one stream.
 async fn stream_task(shared: Arc<Shared>, sender: Sender, mut send: SendStream, recv: RecvStream) {
     let Sender { address: from, process, conn } = sender;
-    let mut reader = FrameReader::new(recv, shared.settings.limit);
+    let mut reader = FrameReader::new(recv, shared.settings.message_limit);
     let call = reader.next::<Call>().await;
     let body = call.and_then(|call| call.body.ok_or(FrameError::Unknown));
     let body = match body {
@@ -224,7 +224,7 @@
 }
 
 pub(super) fn encode(shared: &Shared, body: reply::Body) -> Result<Bytes, usize> {
-    frame::encode(&Reply { body: Some(body) }, shared.settings.limit)
+    frame::encode(&Reply { body: Some(body) }, shared.settings.message_limit)
 }
 
 /// Writes the only or last message of a stream; returns whether it is one that may be sent.
--- a/acaciaringd/src/peer/settings.rs
+++ b/acaciaringd/src/peer/settings.rs
@@ -20,11 +20,11 @@
     /// Threads that move packets and run the handler.
     pub threads: usize,
     /// Time within which a request is acknowledged; later the connection is suspect.
-    pub arrival: Duration,
+    pub ack_timeout: Duration,
     /// Time for which a message waits for a connection; the handshake goes on for some time after it.
     pub connect: Duration,
     /// Largest message in bytes.
-    pub limit: usize,
+    pub message_limit: usize,
 }
 
 impl Default for PeerSettings {
@@ -36,9 +36,9 @@
             authority: PathBuf::new(),
             workers: 16,
             threads: 2,
-            arrival: Duration::from_millis(60),
+            ack_timeout: Duration::from_millis(60),
             connect: Duration::from_millis(500),
-            limit: 4 << 20,
+            message_limit: 4 << 20,
         }
     }
 }
--- a/acaciaringd/src/peer/tests.rs
+++ b/acaciaringd/src/peer/tests.rs
@@ -29,7 +29,7 @@
 /// Writes raw bytes on a new stream and returns the error with which the peer answers.
 async fn provoke(shared: &Arc<Shared>, to: SocketAddr, bytes: Bytes, finish: bool) -> FrameError {
     let link = shared.pool.get(shared, to, 0).await.unwrap();
-    let (mut stream, mut reader) = link.open(shared.settings.limit).await.unwrap();
+    let (mut stream, mut reader) = link.open(shared.settings.message_limit).await.unwrap();
     stream.write_chunk(bytes).await.unwrap();
     if finish {
         stream.finish().unwrap();
@@ -226,10 +226,10 @@
     let sender = shared(&client.transport);
     let sent = Request { left: 5000, ..request("a") };
     let call = Call { body: Some(call::Body::Request(sent)) };
-    let frame = frame::encode(&call, sender.settings.limit).unwrap();
+    let frame = frame::encode(&call, sender.settings.message_limit).unwrap();
     let (link, mut reader) = sender.runtime.block_on(async {
         let link = sender.pool.get(sender, to, 0).await.unwrap();
-        let (mut stream, reader) = link.open(sender.settings.limit).await.unwrap();
+        let (mut stream, reader) = link.open(sender.settings.message_limit).await.unwrap();
         stream.write_chunk(frame).await.unwrap();
         stream.finish().unwrap();
         (link, reader)
--- a/acaciaringd/src/peer/transport.rs
+++ b/acaciaringd/src/peer/transport.rs
@@ -43,7 +43,7 @@
 const STEP: Duration = Duration::from_millis(10);
 
 /// Outcome of a handler that may wait.
-pub type Pending<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
+pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
 /// What a member does with the messages of others.
 pub trait Handler: Send + Sync + 'static {
@@ -53,10 +53,10 @@
     fn datagram(&self, from: SocketAddr, datagram: Datagram);
 
     /// Answers a call; may wait, must not block.
-    fn call(&self, call: call::Body) -> Pending<'_, reply::Body>;
+    fn call(&self, call: call::Body) -> BoxFuture<'_, reply::Body>;
 
     /// Runs a request; may wait, must not block. `request.left` is the time left now.
-    fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> Pending<'a, Answer>;
+    fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> BoxFuture<'a, Answer>;
 }
 
 /// What the tasks of a transport share.
@@ -119,7 +119,7 @@
     /// Fails when a certificate or key cannot be used, the address cannot be
     /// bound or a thread cannot be started.
     pub fn start(settings: PeerSettings, handler: Arc<dyn Handler>) -> Result<Self, PeerError> {
-        Self::metered(settings, handler, Metrics::none())
+        Self::with_metrics(settings, handler, Metrics::none())
     }
 
     /// Does the same as [`Transport::start`], with metrics of the connections.
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// As for [`Transport::start`].
-    pub fn metered(
+    pub fn with_metrics(
         settings: PeerSettings,
         handler: Arc<dyn Handler>,
         metrics: Metrics,
@@ -280,8 +280,8 @@
     }
 
     /// Sets once what is called, at the handshake, when a certificate is not accepted.
-    pub fn on_refused(&self, refused: impl Fn() + Send + Sync + 'static) {
-        self.inner.shared.trusted.on_refused(Box::new(refused));
+    pub fn on_untrusted(&self, refused: impl Fn() + Send + Sync + 'static) {
+        self.inner.shared.trusted.on_untrusted(Box::new(refused));
     }
 
     /// Returns the bytes moved so far.
--- a/acaciaringd/src/peer/trust.rs
+++ b/acaciaringd/src/peer/trust.rs
@@ -57,7 +57,7 @@
 
     /// Sets once what is called when a certificate is not accepted: it may belong to a member of
     /// which this one has not read yet.
-    pub(super) fn on_refused(&self, refused: Refused) {
+    pub(super) fn on_untrusted(&self, refused: Refused) {
         let _ = self.refused.set(refused);
     }
 
--- a/acaciaringd/src/router/budgets.rs
+++ b/acaciaringd/src/router/budgets.rs
@@ -10,7 +10,7 @@
 
 /// Retries of one service that all members together may make, beyond the share of first tries.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct CommonBudget {
+pub(crate) struct ClusterBudget {
     /// Retries in each window.
     pub(crate) burst: f64,
     pub(crate) window: Duration,
@@ -20,15 +20,15 @@
 ///
 /// With one for all, an overload of one class would use up the retries that the others need.
 #[derive(Debug)]
-pub(crate) struct Budgets {
+pub(crate) struct RetryBudgets {
     settings: RetrySettings,
-    common: CommonBudget,
+    common: ClusterBudget,
     buckets: Mutex<HashMap<(Name, Name), RetryBudget>>,
 }
 
-impl Budgets {
+impl RetryBudgets {
     /// Makes budgets that are full.
-    pub(crate) fn new(settings: RetrySettings, common: CommonBudget) -> Self {
+    pub(crate) fn new(settings: RetrySettings, common: ClusterBudget) -> Self {
         Self { settings, common, buckets: Mutex::default() }
     }
 
--- a/acaciaringd/src/router/budgets/tests.rs
+++ b/acaciaringd/src/router/budgets/tests.rs
@@ -6,10 +6,10 @@
 use acaciaring_core::route::Repeat;
 use acaciaring_core::{Name, Reason, Refusal, Time};
 
-use super::{Budgets, CommonBudget};
+use super::{ClusterBudget, RetryBudgets};
 
 /// Common budget that binds nobody.
-const AMPLE: CommonBudget = CommonBudget { burst: 1e6, window: Duration::from_secs(10) };
+const AMPLE: ClusterBudget = ClusterBudget { burst: 1e6, window: Duration::from_secs(10) };
 
 /// First try of a request, refused by a member while another may take it.
 const BUSY: Failure = Failure {
@@ -27,7 +27,7 @@
 // same service, is tried again all the same.
 #[test]
 fn a_class_leaves_the_retries_of_others() {
-    let budgets = Budgets::new(RetrySettings::default(), AMPLE);
+    let budgets = RetryBudgets::new(RetrySettings::default(), AMPLE);
     let now = Time::ZERO + Duration::from_secs(1);
     let (lab, samples, grade) = (Name::from("lab"), Name::from("samples"), Name::from("grade"));
     let next = |class| budgets.next(now, 1, &lab, class, &BUSY);
@@ -41,13 +41,13 @@
 // seconds they may repeat 50 requests in all; each spends a part of that, not a budget of its own.
 #[test]
 fn members_share_the_retries_of_a_service() {
-    let common = CommonBudget { burst: 50.0, window: Duration::from_secs(10) };
+    let common = ClusterBudget { burst: 50.0, window: Duration::from_secs(10) };
     let (members, lab, grade) = (10, Name::from("lab"), Name::from("grade"));
     let failure = Failure { refusal: Refusal::unknown(Reason::LostAnswer), ..BUSY };
     let mut allowed = 0;
     for _ in 0..members {
         let budgets =
-            Budgets::new(RetrySettings { share: 0.0, ..RetrySettings::default() }, common);
+            RetryBudgets::new(RetrySettings { share: 0.0, ..RetrySettings::default() }, common);
         for tenth in 0..100 {
             let now = Time::ZERO + Duration::from_millis(100 * tenth);
             let decision = budgets.next(now, members, &lab, &grade, &failure);
@@ -60,7 +60,7 @@
 // A class allows two tries. The second may be made, a third may not, however full the budget is.
 #[test]
 fn a_class_bounds_the_tries_of_a_request() {
-    let budgets = Budgets::new(RetrySettings::default(), AMPLE);
+    let budgets = RetryBudgets::new(RetrySettings::default(), AMPLE);
     let (lab, grade) = (Name::from("lab"), Name::from("grade"));
     let failure = |tries| Failure { tries, most: 2, ..BUSY };
     let next = |tries| budgets.next(Time::ZERO, 1, &lab, &grade, &failure(tries));
--- a/acaciaringd/src/router/keyed.rs
+++ b/acaciaringd/src/router/keyed.rs
@@ -14,7 +14,7 @@
 use super::{COME_BACK, Plan, Router, Silence, Try};
 use crate::clock;
 use crate::metrics::{Counter, Timer};
-use crate::peer::Pending;
+use crate::peer::BoxFuture;
 use crate::view::View;
 
 /// Search for a member that may serve the key that every request may take.
@@ -85,7 +85,7 @@
             self.note_outage(plan, &search);
             let now = clock::now();
             if now >= search.soon && place.is_none() {
-                place = self.lingerers.enter();
+                place = self.wait_limit.enter();
             }
             if now >= search.end || (now >= search.soon && place.is_none()) {
                 return Err(search.give_up());
@@ -104,7 +104,7 @@
         plan: &'a Plan,
         after: Duration,
         mut search: Search,
-    ) -> Pending<'a, Result<Answer, Refusal>> {
+    ) -> BoxFuture<'a, Result<Answer, Refusal>> {
         Box::pin(async move {
             sleep(after).await;
             search.prolong(plan);
--- a/acaciaringd/src/router/lingerers.rs
+++ b/acaciaringd/src/router/lingerers.rs
@@ -4,16 +4,16 @@
 
 /// Requests that search for longer than others, at most a fixed number.
 #[derive(Debug)]
-pub(crate) struct Lingerers {
+pub(crate) struct WaitLimit {
     count: AtomicUsize,
     limit: usize,
 }
 
 /// Place of one request; free again when dropped.
 #[derive(Debug)]
-pub(crate) struct LingererGuard<'a>(&'a Lingerers);
+pub(crate) struct LingererGuard<'a>(&'a WaitLimit);
 
-impl Lingerers {
+impl WaitLimit {
     /// Makes places for `limit` requests.
     pub(crate) const fn new(limit: usize) -> Self {
         Self { count: AtomicUsize::new(0), limit }
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -27,13 +27,13 @@
 use rand::Rng;
 use tracing::{debug, info};
 
-pub(crate) use self::budgets::{Budgets, CommonBudget};
-pub(crate) use self::lingerers::Lingerers;
+pub(crate) use self::budgets::{ClusterBudget, RetryBudgets};
+pub(crate) use self::lingerers::WaitLimit;
 pub(crate) use self::outages::Outages;
 use self::outcome::{Load, Try, arrived, come_back, judge, whole};
-pub(crate) use self::shares::Shares;
+pub(crate) use self::shares::TrafficSplits;
 use self::silence::Silence;
-pub(crate) use self::spans::Spans;
+pub(crate) use self::spans::TimeoutHistory;
 pub(crate) use self::suspects::Suspects;
 use crate::clock;
 use crate::declared::Declarations;
@@ -64,22 +64,22 @@
     pub(crate) gate: Arc<Gate>,
     pub(crate) transport: Transport,
     pub(crate) choice: Mutex<Choice>,
-    pub(crate) budgets: Budgets,
+    pub(crate) budgets: RetryBudgets,
     pub(crate) suspects: Suspects,
     /// What members refused a moment ago, being full.
-    pub(crate) full: Mutex<FullQueues>,
+    pub(crate) full_queues: Mutex<FullQueues>,
     pub(crate) outages: Outages,
     pub(crate) metrics: Metrics,
-    pub(crate) lingerers: Lingerers,
+    pub(crate) wait_limit: WaitLimit,
     /// Shares of routes that are shared out.
-    pub(crate) shares: Shares,
+    pub(crate) splits: TrafficSplits,
     /// Times that callers of each class state.
-    pub(crate) spans: Spans,
+    pub(crate) timeouts: TimeoutHistory,
     pub(crate) declarations: Arc<Declarations>,
     /// Bound on the lines about requests without an answer.
-    pub(crate) lines: Ration,
+    pub(crate) log_limit: Ration,
     /// Bound on the lines about requests that were answered late.
-    pub(crate) late: Ration,
+    pub(crate) late_limit: Ration,
     /// How late this process is.
     pub(crate) pulse: Arc<Pulse>,
 }
@@ -128,7 +128,7 @@
 
     /// Writes a line for a request that was refused before a member was chosen, within the bound of such lines.
     fn note_unplanned(&self, label: &str, answer: &EntryAnswer) {
-        let Some(left_out) = self.lines.admit(clock::now()) else { return };
+        let Some(left_out) = self.log_limit.admit(clock::now()) else { return };
         let reason = answer.reason.map_or("", Reason::as_str);
         info!(
             request = label,
@@ -143,7 +143,7 @@
     /// Writes a line for a request without a whole answer of an upstream, within the bound of such lines.
     fn note(&self, plan: &Plan, refusal: Refusal) {
         let now = clock::now();
-        let Some(left_out) = self.lines.admit(now) else { return };
+        let Some(left_out) = self.log_limit.admit(now) else { return };
         let view = self.shared.view();
         info!(
             request = plan.label,
@@ -165,7 +165,7 @@
     }
 
     /// Counts the verdict of a request, also of one that the entry refuses itself.
-    pub(crate) fn told(&self, verdict: Verdict) {
+    pub(crate) fn count_verdict(&self, verdict: Verdict) {
         let counter = match verdict {
             Verdict::Answered => Counter::RequestsAnswered,
             Verdict::NotRun => Counter::RequestsNotRun,
@@ -178,7 +178,7 @@
     fn note_late(&self, plan: &Plan, answer: &Answer) {
         let now = clock::now();
         let Some(aim) = plan.aim.filter(|aim| now > *aim) else { return };
-        let Some(left_out) = self.late.admit(now) else { return };
+        let Some(left_out) = self.late_limit.admit(now) else { return };
         info!(
             request = plan.label,
             service = &*plan.route.workspace,
@@ -204,7 +204,7 @@
         self.check_standing()?;
         let route = view.routes.find(request.host.as_deref(), &request.path);
         let route = Arc::clone(route.ok_or_else(|| self.unrouted())?);
-        let route = self.shares.pick(route);
+        let route = self.splits.pick(route);
         if request.body.len() as u64 > route.body {
             let refusal = Refusal::not_run(Reason::BadRequest);
             return Err(EntryAnswer::refusal_with(refusal, TOO_LARGE));
@@ -242,10 +242,9 @@
     /// What is critical is never put off for its caller's having waited.
     fn aim(&self, route: &Route, class: &Class, request: &EntryRequest) -> Option<Time> {
         let target = class.target?;
-        let waited = request
-            .deadline
-            .filter(|_| class.rank != Rank::Critical)
-            .map(|asked| self.spans.waited(request.received, &route.workspace, &class.name, asked));
+        let waited = request.deadline.filter(|_| class.rank != Rank::Critical).map(|asked| {
+            self.timeouts.waited(request.received, &route.workspace, &class.name, asked)
+        });
         Some(request.received + target.saturating_sub(waited.unwrap_or_default()))
     }
 
@@ -335,13 +334,13 @@
         let Refusal { reason: Reason::Busy, retry: Some(retry), .. } = refusal else { return };
         if self.shared.view().me != Some(target) {
             let now = clock::now();
-            self.full.lock().note(now, target, plan.slack(now), retry);
+            self.full_queues.lock().note(now, target, plan.slack(now), retry);
         }
     }
 
     /// Returns the refusal of a request whose owner would refuse it, being full.
     fn refuse_full(&self, now: Time, plan: &Plan, owner: MemberId) -> Option<Refusal> {
-        let retry = self.full.lock().refuses(now, owner, plan.slack(now))?;
+        let retry = self.full_queues.lock().refuses(now, owner, plan.slack(now))?;
         plan.last.store(owner.0, Ordering::Relaxed);
         Some(self.full_refusal(retry))
     }
@@ -356,7 +355,7 @@
         members: &mut Vec<MemberId>,
         tried: &[MemberId],
     ) -> Option<Refusal> {
-        let retry = self.full.lock().retain(now, members, plan.slack(now));
+        let retry = self.full_queues.lock().retain(now, members, plan.slack(now));
         let over = members.iter().all(|member| tried.contains(member));
         retry.filter(|_| over).map(|retry| self.full_refusal(retry))
     }
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -12,7 +12,7 @@
 use super::{COME_BACK, Load, Plan, Router, Silence, Try, arrived};
 use crate::clock;
 use crate::metrics::Counter;
-use crate::peer::Pending;
+use crate::peer::BoxFuture;
 use crate::view::View;
 
 /// Members that may take a request.
@@ -88,7 +88,7 @@
         plan: &'a Plan,
         after: Duration,
         progress: Progress,
-    ) -> Pending<'a, Result<Answer, Refusal>> {
+    ) -> BoxFuture<'a, Result<Answer, Refusal>> {
         Box::pin(async move {
             sleep(after).await;
             self.metrics.count(Counter::RequestsRetried, 1);
--- a/acaciaringd/src/router/shares.rs
+++ b/acaciaringd/src/router/shares.rs
@@ -11,14 +11,14 @@
 /// The part that is owed most gets the next request, so that each span of requests is shared out
 /// by weight as evenly as whole requests allow; a random choice would stray in short spans.
 #[derive(Debug, Default)]
-pub(crate) struct Shares {
+pub(crate) struct TrafficSplits {
     owed: Mutex<HashMap<Place, Vec<i64>>>,
 }
 
 /// Host and prefix of a route, with its weights: other weights begin anew.
 type Place = (Option<Arc<str>>, Arc<str>, Vec<u32>);
 
-impl Shares {
+impl TrafficSplits {
     /// Returns the part of a route that serves its next request, or the route itself.
     pub(crate) fn pick(&self, route: Arc<Route>) -> Arc<Route> {
         if route.parts.is_empty() {
--- a/acaciaringd/src/router/shares/tests.rs
+++ b/acaciaringd/src/router/shares/tests.rs
@@ -24,7 +24,7 @@
 fn each_short_span_of_requests_is_shared_out_by_weight() {
     let parts = vec![(90, route("books", Vec::new())), (10, route("lab", Vec::new()))];
     let whole = route("books", parts);
-    let shares = Shares::default();
+    let shares = TrafficSplits::default();
     for _ in 0..5 {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for _ in 0..20 {
@@ -37,5 +37,5 @@
 #[test]
 fn a_route_without_parts_is_itself() {
     let whole = route("books", Vec::new());
-    assert_eq!(Shares::default().pick(Arc::clone(&whole)), whole);
+    assert_eq!(TrafficSplits::default().pick(Arc::clone(&whole)), whole);
 }
--- a/acaciaringd/src/router/spans.rs
+++ b/acaciaringd/src/router/spans.rs
@@ -22,7 +22,7 @@
 /// overload in which it counts like a new one: its answer is wanted as soon as was that of its
 /// first try, and it would be served late after it was passed by others that can wait.
 #[derive(Debug, Default)]
-pub(crate) struct Spans {
+pub(crate) struct TimeoutHistory {
     seen: Mutex<HashMap<(Name, Name), Longest>>,
 }
 
@@ -33,7 +33,7 @@
     before: Duration,
 }
 
-impl Spans {
+impl TimeoutHistory {
     /// Returns for how long a caller that states `asked` has probably been waiting.
     pub(super) fn waited(
         &self,
--- a/acaciaringd/src/router/spans/tests.rs
+++ b/acaciaringd/src/router/spans/tests.rs
@@ -2,7 +2,7 @@
 
 use acaciaring_core::{Name, Time};
 
-use super::Spans;
+use super::TimeoutHistory;
 
 const DAY: Duration = Duration::from_secs(2);
 
@@ -10,7 +10,7 @@
     Time::from_start(Duration::from_secs(seconds))
 }
 
-fn waited(spans: &Spans, now: Time, class: &str, asked: Duration) -> Duration {
+fn waited(spans: &TimeoutHistory, now: Time, class: &str, asked: Duration) -> Duration {
     spans.waited(now, &Name::from("permits"), &Name::from(class), asked)
 }
 
@@ -18,7 +18,7 @@
 // nothing of the first visit but that the clerk has less time than others of the kind.
 #[test]
 fn a_caller_that_comes_back_is_known_by_its_time() {
-    let spans = Spans::default();
+    let spans = TimeoutHistory::default();
     assert_eq!(waited(&spans, at(1), "look", DAY), Duration::ZERO);
     let back = Duration::from_millis(1500);
     assert_eq!(waited(&spans, at(2), "look", back), Duration::from_millis(500));
@@ -29,7 +29,7 @@
 // they had waited; then the old span is forgotten.
 #[test]
 fn a_span_that_nobody_states_any_more_is_forgotten() {
-    let spans = Spans::default();
+    let spans = TimeoutHistory::default();
     waited(&spans, at(1), "look", DAY);
     let short = DAY / 2;
     assert_eq!(waited(&spans, at(61), "look", short), short);
--- a/acaciaringd/src/upstream/outlet.rs
+++ b/acaciaringd/src/upstream/outlet.rs
@@ -11,7 +11,7 @@
 use tracing::error;
 
 use crate::header::Headers;
-use crate::peer::{CancelFlag, Pending};
+use crate::peer::{BoxFuture, CancelFlag};
 use crate::upstream::cancel::Canceller;
 use crate::upstream::{Fence, Upstream, UpstreamAnswer, UpstreamCall};
 
@@ -67,12 +67,12 @@
         &'a self,
         call: OutletCall,
         cancelled: &'a CancelFlag,
-    ) -> Pending<'a, Result<UpstreamAnswer, Refusal>>;
+    ) -> BoxFuture<'a, Result<UpstreamAnswer, Refusal>>;
 
     /// Gives an order once and waits for its answer, up to its reach.
     ///
     /// An upstream whose protocol knows no orders takes none.
-    fn order(&self, _call: OrderCall) -> Pending<'_, Answer> {
+    fn order(&self, _call: OrderCall) -> BoxFuture<'_, Answer> {
         Box::pin(future::ready(Answer::Rejected))
     }
 }
@@ -115,7 +115,7 @@
         &'a self,
         call: OutletCall,
         cancelled: &'a CancelFlag,
-    ) -> Pending<'a, Result<UpstreamAnswer, Refusal>> {
+    ) -> BoxFuture<'a, Result<UpstreamAnswer, Refusal>> {
         Box::pin(self.run(call, cancelled))
     }
 }
--- a/acaciaringd/src/web/server.rs
+++ b/acaciaringd/src/web/server.rs
@@ -27,7 +27,7 @@
 use tracing::{debug, warn};
 
 use crate::declared::CallerLimits;
-use crate::peer::Pending;
+use crate::peer::BoxFuture;
 use crate::web::io::Watched;
 
 /// Answer to a caller.
@@ -90,7 +90,7 @@
     }
 
     /// Answers a whole request.
-    fn answer(&self, head: Parts, body: Bytes) -> Pending<'_, Response>;
+    fn answer(&self, head: Parts, body: Bytes) -> BoxFuture<'_, Response>;
 
     /// Answers a request that is not whole; it has not run, and its connection ends.
     fn refuse(&self, fault: Fault) -> Response {
--- a/acaciaringd/tests/peer_held_up.rs
+++ b/acaciaringd/tests/peer_held_up.rs
@@ -25,7 +25,7 @@
     fn new() -> Self {
         let authority = Authority::new();
         let server = Node::echo(authority.settings());
-        let patient = PeerSettings { arrival: PATIENCE, ..authority.settings() };
+        let patient = PeerSettings { ack_timeout: PATIENCE, ..authority.settings() };
         let client = Node::echo(patient);
         let forwarder = Forwarder::start(server.transport.local_addr());
         let stage = Self { client, server, forwarder, _authority: authority };
--- a/acaciaringd/tests/peer_support/mod.rs
+++ b/acaciaringd/tests/peer_support/mod.rs
@@ -16,7 +16,7 @@
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
 // The parent names the module, for this file serves unit and integration tests.
-use super::peer::{CancelFlag, Handler, PeerSettings, Pending, Transport};
+use super::peer::{BoxFuture, CancelFlag, Handler, PeerSettings, Transport};
 
 /// Longest wait for a condition that holds on any machine that works.
 pub const PATIENCE: Duration = Duration::from_secs(20);
@@ -80,11 +80,11 @@
         self.datagrams.send((from, datagram)).unwrap();
     }
 
-    fn call(&self, _: call::Body) -> Pending<'_, reply::Body> {
+    fn call(&self, _: call::Body) -> BoxFuture<'_, reply::Body> {
         Box::pin(async { reply::Body::Done(Done { accepted: true }) })
     }
 
-    fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> Pending<'a, Answer> {
+    fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> BoxFuture<'a, Answer> {
         self.runs.fetch_add(1, Ordering::SeqCst);
         let (run, cancelled) = (Arc::clone(&self.run), cancelled.clone());
         // Tests block in their handlers.
--- a/acaciaringd/tests/web_stop.rs
+++ b/acaciaringd/tests/web_stop.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use acaciaringd::peer::Pending;
+use acaciaringd::peer::BoxFuture;
 use acaciaringd::web::{Response, Server, Site, text};
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -23,7 +23,7 @@
 struct Large;
 
 impl Site for Large {
-    fn answer(&self, _head: Parts, _body: Bytes) -> Pending<'_, Response> {
+    fn answer(&self, _head: Parts, _body: Bytes) -> BoxFuture<'_, Response> {
         Box::pin(async { text(StatusCode::OK, vec![b'x'; SIZE]) })
     }
 }
