--- a/acaciaringd/src/peer/attempt.rs
+++ b/acaciaringd/src/peer/attempt.rs
@@ -16,8 +16,8 @@
 use crate::clock;
 use crate::peer::exchange::{self, Sent, abandon, answers, cancel, watched};
 use crate::peer::frame::{self, FrameError, FrameReader};
-use crate::peer::patience;
 use crate::peer::search::{Found, Search, Subject};
+use crate::peer::timeouts;
 use crate::peer::transport::Shared;
 
 /// Silent intervals after which a connection with a running request is tested.
@@ -188,7 +188,7 @@
             biased;
             reply = answer(&mut self.sent.reader) => Some(reply),
             Ok(None) = delivered => None,
-            () = patience::pass(patience) => {
+            () = timeouts::pass(patience) => {
                 let silent = self.sent.link.received() == before;
                 if silent || !answers(self.shared, &self.sent.link.conn).await {
                     return self.recover().await;
--- a/acaciaringd/src/peer/exchange.rs
+++ b/acaciaringd/src/peer/exchange.rs
@@ -20,7 +20,7 @@
 };
 use crate::peer::frame::{self, Code, FrameReader};
 use crate::peer::link::{self, Link};
-use crate::peer::patience;
+use crate::peer::timeouts;
 use crate::peer::transport::Shared;
 
 /// Tries to deliver a cancellation; the deadline of the attempt ends its work in the end.
@@ -173,8 +173,8 @@
     let mut received = None;
     let mut quiet = 0;
     loop {
-        let span = patience::arrival(shared, &link.conn);
-        if let Some(reply) = patience::within(span, &mut reply).await {
+        let span = timeouts::arrival(shared, &link.conn);
+        if let Some(reply) = timeouts::within(span, &mut reply).await {
             return Some(reply);
         }
         let seen = link.received();
@@ -192,8 +192,8 @@
 /// Asks on one connection whether an attempt has arrived; `None` without a timely reply.
 pub(super) async fn probe(shared: &Shared, conn: &Connection, attempt: u64) -> Option<bool> {
     let body = call::Body::Probe(Probe { attempt });
-    let span = patience::arrival(shared, conn);
-    match patience::within(span, ask(shared, conn, body)).await?? {
+    let span = timeouts::arrival(shared, conn);
+    match timeouts::within(span, ask(shared, conn, body)).await?? {
         reply::Body::Probe(ProbeReply { arrived }) => Some(arrived),
         _ => None,
     }
@@ -225,7 +225,7 @@
 /// Returns the time within which the receiver acknowledges a message of so many bytes.
 pub(super) fn patience(shared: &Shared, conn: &Connection, size: usize) -> Duration {
     let transfer = u64::try_from(size / BYTES_PER_MILLI).unwrap_or(u64::MAX);
-    patience::arrival(shared, conn) + Duration::from_millis(transfer)
+    timeouts::arrival(shared, conn) + Duration::from_millis(transfer)
 }
 
 pub(super) fn millis(span: Duration) -> u32 {
--- a/acaciaringd/src/peer/mod.rs
+++ b/acaciaringd/src/peer/mod.rs
@@ -7,14 +7,13 @@
 
 mod attempt;
 mod cancel;
-mod desk;
 mod error;
 mod exchange;
 mod frame;
+mod inflight;
 mod lags;
-mod lanes;
+mod limiter;
 mod link;
-mod patience;
 mod pool;
 mod run;
 mod search;
@@ -24,6 +23,7 @@
 #[cfg(test)]
 mod tests;
 mod threads;
+mod timeouts;
 mod tls;
 mod traffic;
 mod transport;
--- a/acaciaringd/src/peer/tests.rs
+++ b/acaciaringd/src/peer/tests.rs
@@ -12,8 +12,8 @@
 use acaciaring_schema::peer::{Call, Reply, Request, StatusQuery, call, reply};
 
 use crate::peer;
-use crate::peer::desk::Desk;
 use crate::peer::frame::{self, Code, FrameError};
+use crate::peer::inflight::Desk;
 use crate::peer::transport::Shared;
 use crate::peer::{PeerSettings, RequestOutcome, Transport};
 
--- a/acaciaringd/src/router/keyed.rs
+++ b/acaciaringd/src/router/keyed.rs
@@ -9,7 +9,7 @@
 use acaciaring_schema::peer::Answer;
 use tokio::time::sleep;
 
-use super::asked::Asked;
+use super::member_backoff::Asked;
 use super::outcome::LOST;
 use super::{COME_BACK, Plan, Router, Silence, Try};
 use crate::clock;
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -1,16 +1,16 @@
 //! Entry: finds the route and the owner of a caller's request, and brings the answer back.
 
-mod asked;
-mod budgets;
 mod keyed;
-mod lingerers;
+mod member_backoff;
 mod outages;
 mod outcome;
 mod pooled;
-mod shares;
-mod silence;
-mod spans;
+mod retry_budgets;
+mod stalled;
 mod suspects;
+mod timeout_history;
+mod traffic_splits;
+mod wait_limit;
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -27,14 +27,14 @@
 use rand::Rng;
 use tracing::{debug, info};
 
-pub(crate) use self::budgets::{ClusterBudget, RetryBudgets};
-pub(crate) use self::lingerers::WaitLimit;
 pub(crate) use self::outages::Outages;
 use self::outcome::{Load, Try, arrived, come_back, judge, whole};
-pub(crate) use self::shares::TrafficSplits;
-use self::silence::Silence;
-pub(crate) use self::spans::TimeoutHistory;
+pub(crate) use self::retry_budgets::{ClusterBudget, RetryBudgets};
+use self::stalled::Silence;
 pub(crate) use self::suspects::Suspects;
+pub(crate) use self::timeout_history::TimeoutHistory;
+pub(crate) use self::traffic_splits::TrafficSplits;
+pub(crate) use self::wait_limit::WaitLimit;
 use crate::clock;
 use crate::declared::Declarations;
 use crate::entry::{EntryAnswer, EntryRequest};
