--- a/acaciaringd/src/router/keyed.rs
+++ b/acaciaringd/src/router/keyed.rs
@@ -9,97 +9,98 @@
 use acaciaring_schema::peer::Answer;
 use tokio::time::sleep;
 
-use super::member_backoff::Asked;
-use super::outcome::LOST;
-use super::{COME_BACK, Plan, Router, Silence, Try};
+use super::member_backoff::MemberBackoff;
+use super::outcome::LOST_ANSWER;
+use super::{AttemptOutcome, Plan, RETRY_AFTER, Router, StalledAttempt};
 use crate::clock;
 use crate::metrics::{Counter, Timer};
 use crate::peer::BoxFuture;
 use crate::view::View;
 
 /// Search for a member that may serve the key that every request may take.
-const PATIENCE: Duration = Duration::from_millis(150);
+const SEARCH_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Search that a few requests at a time may take.
 ///
 /// It covers a takeover after a loss. A thread that waits for one serves nobody
 /// else, so that the keys of one lost member could hold up all others if every
 /// request waited; those beyond the bound are told when to come back.
-const LONG_PATIENCE: Duration = Duration::from_millis(2500);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Progress of one request.
 struct Search {
     /// Time up to which every request may search.
-    soon: Time,
+    soft_end: Time,
     end: Time,
     tries: u32,
     hint: Option<MemberId>,
     /// What the caller is told if the search ends here.
-    last: Refusal,
+    last_refusal: Refusal,
     /// True once a try may have reached an upstream.
-    lost: bool,
+    may_have_run: bool,
     /// Tries that an upstream has seen or may have seen, and that may be repeated.
-    repeats: u32,
-    asked: Asked,
+    reruns: u32,
+    backoff: MemberBackoff,
 }
 
 /// What a search has come to after a try.
 enum Step {
     Answered(Answer),
     /// No member served the request; the search goes on.
-    Missed,
+    NotServed,
     /// The member has gone silent; the request may be given elsewhere meanwhile, after this pause.
-    Silent(Silence, Duration),
+    Stalled(StalledAttempt, Duration),
 }
 
 impl Router {
     /// Brings a request to the owner of its key.
-    pub(super) async fn keyed(&self, plan: &Plan) -> Result<Answer, Refusal> {
+    pub(super) async fn route_keyed(&self, plan: &Plan) -> Result<Answer, Refusal> {
         let now = clock::now();
         let search = Search {
-            soon: plan.deadline.min(now + PATIENCE),
-            end: plan.deadline.min(now + self.patience()),
+            soft_end: plan.deadline.min(now + SEARCH_TIMEOUT),
+            end: plan.deadline.min(now + self.search_timeout()),
             tries: 0,
             hint: None,
-            last: Refusal::not_run(Reason::Unreachable).after(COME_BACK),
-            lost: false,
-            repeats: 0,
-            asked: Asked::default(),
+            last_refusal: Refusal::not_run(Reason::Unreachable).after(RETRY_AFTER),
+            may_have_run: false,
+            reruns: 0,
+            backoff: MemberBackoff::default(),
         };
-        self.seek(plan, search).await
+        self.find_owner(plan, search).await
     }
 
     /// Searches for a member that serves the key.
-    async fn seek(&self, plan: &Plan, mut search: Search) -> Result<Answer, Refusal> {
-        let mut place = None;
+    async fn find_owner(&self, plan: &Plan, mut search: Search) -> Result<Answer, Refusal> {
+        let mut permit = None;
         loop {
-            match self.search(plan, &mut search).await? {
+            match self.try_member(plan, &mut search).await? {
                 Step::Answered(answer) => return Ok(answer),
-                Step::Missed => {}
-                Step::Silent(silence, after) => {
-                    let answer = self.beside(silence, self.seek_on(plan, after, search)).await?;
+                Step::NotServed => {}
+                Step::Stalled(stalled, after) => {
+                    let answer =
+                        self.race_stalled(stalled, self.resume_search(plan, after, search)).await?;
                     self.end_outage(&self.shared.view(), plan);
                     return Ok(answer);
                 }
             }
-            self.note_outage(plan, &search);
+            self.record_outage(plan, &search);
             let now = clock::now();
-            if now >= search.soon && place.is_none() {
-                place = self.wait_limit.enter();
+            if now >= search.soft_end && permit.is_none() {
+                permit = self.wait_limit.try_acquire();
             }
-            if now >= search.end || (now >= search.soon && place.is_none()) {
+            if now >= search.end || (now >= search.soft_end && permit.is_none()) {
                 return Err(search.give_up());
             }
             if search.hint.is_none() {
-                let end = if place.is_some() { search.end } else { search.soon };
+                let end = if permit.is_some() { search.end } else { search.soft_end };
                 // What has changed may name another member, or let one be asked again.
-                self.shared.changed(search.asked.pause(now).min(end.since(now))).await;
+                self.shared.changed(search.backoff.next_delay(now).min(end.since(now))).await;
             }
         }
     }
 
     /// Goes on with a search after a pause.
-    fn seek_on<'a>(
+    fn resume_search<'a>(
         &'a self,
         plan: &'a Plan,
         after: Duration,
@@ -107,8 +108,8 @@
     ) -> BoxFuture<'a, Result<Answer, Refusal>> {
         Box::pin(async move {
             sleep(after).await;
-            search.prolong(plan);
-            self.seek(plan, search).await
+            search.extend(plan);
+            self.find_owner(plan, search).await
         })
     }
 
@@ -116,75 +117,76 @@
     ///
     /// A caller that is told at once when to come back is served as soon as one that waits, and
     /// may do something else meanwhile; only the wait for a move that is under way is shorter.
-    fn patience(&self) -> Duration {
-        if self.shared.declares { PATIENCE } else { LONG_PATIENCE }
+    fn search_timeout(&self) -> Duration {
+        if self.shared.declares { SEARCH_TIMEOUT } else { TAKEOVER_TIMEOUT }
     }
 
     /// Makes one try, if there is a member to try; an error is the final answer.
-    async fn search(&self, plan: &Plan, search: &mut Search) -> Result<Step, Refusal> {
+    async fn try_member(&self, plan: &Plan, search: &mut Search) -> Result<Step, Refusal> {
         let view = self.shared.view();
         let version = assignment(&view, plan).map(|assignment| assignment.version);
-        let target = self.target(&view, plan, search);
-        let target = target.filter(|target| search.asked.may(clock::now(), *target, version));
+        let target = self.next_target(&view, plan, search);
+        let target = target.filter(|target| search.backoff.allows(clock::now(), *target, version));
         let Some(target) = target else {
             search.hint = None;
-            return Ok(Step::Missed);
+            return Ok(Step::NotServed);
         };
         if let Some(refusal) = self.refuse_full(clock::now(), plan, target) {
-            return Err(search.settle(refusal));
+            return Err(search.final_refusal(refusal));
         }
         self.count_try(search);
         search.tries += 1;
         search.hint = None;
-        let ended = match self.attempt(plan, &view, target).await {
-            Ok(ended) => ended,
-            Err(silence) => {
+        let outcome = match self.attempt(plan, &view, target).await {
+            Ok(outcome) => outcome,
+            Err(stalled) => {
                 self.suspects.add(clock::now(), target);
-                if let Some(after) = self.leave(plan, search, LOST) {
-                    return Ok(Step::Silent(silence, after));
+                if let Some(after) = self.rerun_delay(plan, search, LOST_ANSWER) {
+                    return Ok(Step::Stalled(stalled, after));
                 }
-                let ended = self.wait(silence).await;
-                search.prolong(plan);
-                ended
+                let outcome = self.await_stalled(stalled).await;
+                search.extend(plan);
+                outcome
             }
         };
-        match ended {
-            Try::Whole(answer) => {
+        match outcome {
+            AttemptOutcome::Answered(answer) => {
                 self.suspects.clear(target);
                 self.end_outage(&view, plan);
                 return Ok(Step::Answered(answer));
             }
-            Try::Refused { refusal, owner, .. } => {
+            AttemptOutcome::Refused { refusal, owner, .. } => {
                 self.suspects.clear(target);
-                self.note_full(plan, target, refusal);
-                search.refused(plan, refusal)?;
-                search.asked.note(clock::now(), target, version);
+                self.record_full(plan, target, refusal);
+                search.handle_refusal(plan, refusal)?;
+                search.backoff.record(clock::now(), target, version);
                 if refusal.verdict == Verdict::Unknown || refusal.reason == Reason::Shed {
-                    self.repeat(plan, search, refusal).await?;
+                    self.await_rerun(plan, search, refusal).await?;
                 }
                 let now = clock::now();
                 if refusal.reason == Reason::Draining {
                     // A member that stops while the log is down has released to the standby.
                     self.suspects.add(now, target);
                 }
-                let known = |owner: &MemberId| {
-                    self.suspects.contains(now, *owner) || !search.asked.may(now, *owner, version)
+                let unavailable = |owner: &MemberId| {
+                    self.suspects.contains(now, *owner)
+                        || !search.backoff.allows(now, *owner, version)
                 };
                 search.hint =
-                    owner.filter(|owner| refusal.reason == Reason::NotOwner && !known(owner));
+                    owner.filter(|owner| refusal.reason == Reason::NotOwner && !unavailable(owner));
             }
-            Try::Undelivered => {
+            AttemptOutcome::Undelivered => {
                 self.suspects.add(clock::now(), target);
-                search.asked.note(clock::now(), target, version);
+                search.backoff.record(clock::now(), target, version);
             }
-            Try::Lost => {
+            AttemptOutcome::Lost => {
                 self.suspects.add(clock::now(), target);
-                search.asked.note(clock::now(), target, version);
-                search.lose(LOST);
-                self.repeat(plan, search, LOST).await?;
+                search.backoff.record(clock::now(), target, version);
+                search.mark_lost(LOST_ANSWER);
+                self.await_rerun(plan, search, LOST_ANSWER).await?;
             }
         }
-        Ok(Step::Missed)
+        Ok(Step::NotServed)
     }
 
     fn count_try(&self, search: &Search) {
@@ -197,7 +199,7 @@
     }
 
     /// Notes that a unit had no server, unless there is another member to ask at once.
-    fn note_outage(&self, plan: &Plan, search: &Search) {
+    fn record_outage(&self, plan: &Plan, search: &Search) {
         let view = self.shared.view();
         let unit = plan.key.and_then(|key| view.unit(&plan.route.workspace, key));
         if let Some(unit) = unit.filter(|_| search.hint.is_none()) {
@@ -215,16 +217,16 @@
     }
 
     /// Waits for leave to give the upstream a request again; an error is the final answer.
-    async fn repeat(
+    async fn await_rerun(
         &self,
         plan: &Plan,
         search: &mut Search,
         refusal: Refusal,
     ) -> Result<(), Refusal> {
-        let after = self.leave(plan, search, refusal).ok_or_else(|| search.give_up())?;
+        let after = self.rerun_delay(plan, search, refusal).ok_or_else(|| search.give_up())?;
         if after > Duration::ZERO {
             sleep(after).await;
-            search.prolong(plan);
+            search.extend(plan);
         }
         Ok(())
     }
@@ -237,7 +239,7 @@
     ///
     /// An upstream that refuses requests while it has places by its own word takes the next one
     /// as likely as not, and no other may serve the key.
-    fn leave(&self, plan: &Plan, search: &mut Search, refusal: Refusal) -> Option<Duration> {
+    fn rerun_delay(&self, plan: &Plan, search: &mut Search, refusal: Refusal) -> Option<Duration> {
         if plan.class.repeat == Repeat::Once && refusal.verdict == Verdict::Unknown {
             // Nobody remembers a request whose identity is used once: a second try could run it again.
             return (!plan.class.single).then_some(Duration::ZERO);
@@ -247,25 +249,27 @@
             refusal,
             repeat: plan.class.repeat,
             left: plan.deadline.since(now),
-            tries: search.repeats + 1,
+            tries: search.reruns + 1,
             redirects: 0,
             arrived: true,
             elsewhere: false,
             most: plan.class.tries,
         };
-        let RetryDecision::Retry { after } = self.allowed(now, plan, &failure) else { return None };
-        search.repeats += 1;
+        let RetryDecision::Retry { after } = self.decide_retry(now, plan, &failure) else {
+            return None;
+        };
+        search.reruns += 1;
         Some(after)
     }
 
     /// Chooses where the next try goes: a hint, the owner, or the standby while the owner cannot be reached.
-    fn target(&self, view: &View, plan: &Plan, search: &Search) -> Option<MemberId> {
+    fn next_target(&self, view: &View, plan: &Plan, search: &Search) -> Option<MemberId> {
         if let Some(hint) = search.hint {
             return Some(hint);
         }
         let assignment = assignment(view, plan)?;
         let now = clock::now();
-        let owner = assignment.owner.filter(|owner| !self.suspects.avoids(now, *owner));
+        let owner = assignment.owner.filter(|owner| !self.suspects.should_avoid(now, *owner));
         owner.or(assignment.standby).or(assignment.owner)
     }
 }
@@ -278,17 +282,17 @@
 
 impl Search {
     /// Lets a search go on for as long as a new one, after it has waited.
-    fn prolong(&mut self, plan: &Plan) {
-        self.soon = plan.deadline.min(clock::now() + PATIENCE);
-        self.end = self.end.max(self.soon);
-        self.asked.clear();
+    fn extend(&mut self, plan: &Plan) {
+        self.soft_end = plan.deadline.min(clock::now() + SEARCH_TIMEOUT);
+        self.end = self.end.max(self.soft_end);
+        self.backoff.reset();
     }
 
     /// Decides after a refusal; an error is the final answer.
     ///
     /// A request that may run once is safe to try again after a lost try: the
     /// owner and the standby remember its identity, and run it at most once.
-    fn refused(&mut self, plan: &Plan, refusal: Refusal) -> Result<(), Refusal> {
+    fn handle_refusal(&mut self, plan: &Plan, refusal: Refusal) -> Result<(), Refusal> {
         match refusal.reason {
             Reason::NotOwner
             | Reason::NoLease
@@ -296,30 +300,30 @@
             | Reason::Draining
             | Reason::Shed => {}
             Reason::LostAnswer if plan.class.repeat == Repeat::Idempotent => {}
-            _ => return Err(self.settle(refusal)),
+            _ => return Err(self.final_refusal(refusal)),
         }
         if refusal.verdict == Verdict::Unknown {
-            self.lose(refusal);
+            self.mark_lost(refusal);
         }
-        self.last = refusal.after(refusal.retry.unwrap_or(COME_BACK));
+        self.last_refusal = refusal.after(refusal.retry.unwrap_or(RETRY_AFTER));
         Ok(())
     }
 
     /// Notes a try that may have run.
-    fn lose(&mut self, refusal: Refusal) {
-        self.lost = true;
-        self.last = refusal.after(COME_BACK);
+    fn mark_lost(&mut self, refusal: Refusal) {
+        self.may_have_run = true;
+        self.last_refusal = refusal.after(RETRY_AFTER);
     }
 
     /// Returns the final answer; "not run" only if no try may have run.
-    fn settle(&self, refusal: Refusal) -> Refusal {
-        if self.lost {
+    fn final_refusal(&self, refusal: Refusal) -> Refusal {
+        if self.may_have_run {
             return Refusal { verdict: Verdict::Unknown, ..refusal };
         }
         refusal
     }
 
     fn give_up(&self) -> Refusal {
-        self.settle(self.last)
+        self.final_refusal(self.last_refusal)
     }
 }
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -28,9 +28,11 @@
 use tracing::{debug, info};
 
 pub(crate) use self::outages::Outages;
-use self::outcome::{Load, Try, arrived, come_back, judge, whole};
+use self::outcome::{
+    AttemptOutcome, Load, classify, entry_answer, reached_upstream, with_retry_after,
+};
 pub(crate) use self::retry_budgets::{ClusterBudget, RetryBudgets};
-use self::stalled::Silence;
+use self::stalled::StalledAttempt;
 pub(crate) use self::suspects::Suspects;
 pub(crate) use self::timeout_history::TimeoutHistory;
 pub(crate) use self::traffic_splits::TrafficSplits;
@@ -47,16 +49,16 @@
 use crate::wire;
 
 /// HTTP status of a body above the route's limit.
-const TOO_LARGE: u16 = 413;
+const PAYLOAD_TOO_LARGE: u16 = 413;
 
 /// Shortest time that a message states.
-const MILLI: Duration = Duration::from_millis(1);
+const MIN_AIM: Duration = Duration::from_millis(1);
 
 /// When a caller may come back after its request could not reach an owner.
-const COME_BACK: Duration = Duration::from_millis(300);
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Part of the time that a member named after which those come back whom the entry refuses for it.
-const RETURN: Range<f64> = 0.75..1.25;
+const RETRY_JITTER: Range<f64> = 0.75..1.25;
 
 /// Entry of one process.
 pub(crate) struct Router {
@@ -98,7 +100,7 @@
     received: Time,
     /// Tries so far, and the member of the last one, for the logs.
     tries: AtomicU32,
-    last: AtomicU64,
+    last_member: AtomicU64,
 }
 
 impl Plan {
@@ -117,7 +119,7 @@
         let answer = match self.plan(request) {
             Ok(plan) => self.route(&plan).await,
             Err(answer) => {
-                self.note_unplanned(&label, &answer);
+                self.log_refused(&label, &answer);
                 answer
             }
         };
@@ -127,7 +129,7 @@
     }
 
     /// Writes a line for a request that was refused before a member was chosen, within the bound of such lines.
-    fn note_unplanned(&self, label: &str, answer: &EntryAnswer) {
+    fn log_refused(&self, label: &str, answer: &EntryAnswer) {
         let Some(left_out) = self.log_limit.admit(clock::now()) else { return };
         let reason = answer.reason.map_or("", Reason::as_str);
         info!(
@@ -141,7 +143,7 @@
     }
 
     /// Writes a line for a request without a whole answer of an upstream, within the bound of such lines.
-    fn note(&self, plan: &Plan, refusal: Refusal) {
+    fn log_unanswered(&self, plan: &Plan, refusal: Refusal) {
         let now = clock::now();
         let Some(left_out) = self.log_limit.admit(now) else { return };
         let view = self.shared.view();
@@ -153,7 +155,7 @@
             verdict = refusal.verdict.as_str(),
             reason = refusal.reason.as_str(),
             tries = plan.tries.load(Ordering::Relaxed),
-            member = plan.last.load(Ordering::Relaxed),
+            member = plan.last_member.load(Ordering::Relaxed),
             took_ms = wire::millis(now.since(plan.received)),
             left_ms = wire::millis(plan.deadline.since(now)),
             retry_ms = refusal.retry.map(wire::millis),
@@ -175,7 +177,7 @@
     }
 
     /// Writes a line for a request that was answered after its time, within the bound of such lines.
-    fn note_late(&self, plan: &Plan, answer: &Answer) {
+    fn log_late(&self, plan: &Plan, answer: &Answer) {
         let now = clock::now();
         let Some(aim) = plan.aim.filter(|aim| now > *aim) else { return };
         let Some(left_out) = self.late_limit.admit(now) else { return };
@@ -185,7 +187,7 @@
             class = &*plan.class.name,
             key = plan.key.map(|key| key.0),
             tries = plan.tries.load(Ordering::Relaxed),
-            member = plan.last.load(Ordering::Relaxed),
+            member = plan.last_member.load(Ordering::Relaxed),
             took_ms = wire::millis(now.since(plan.received)),
             late_ms = wire::millis(now.since(aim)),
             busy = answer.busy,
@@ -201,28 +203,28 @@
         let read = request.received.since_start();
         request.received = Time::from_start(read.saturating_sub(lag));
         let view = self.shared.view();
-        self.check_standing()?;
+        self.check_membership()?;
         let route = view.routes.find(request.host.as_deref(), &request.path);
         let route = Arc::clone(route.ok_or_else(|| self.unrouted())?);
         let route = self.splits.pick(route);
         if request.body.len() as u64 > route.body {
             let refusal = Refusal::not_run(Reason::BadRequest);
-            return Err(EntryAnswer::refusal_with(refusal, TOO_LARGE));
+            return Err(EntryAnswer::refusal_with(refusal, PAYLOAD_TOO_LARGE));
         }
         let class = route.class(&request.method, &request.path).clone();
-        in_time(&class, lag)?;
+        check_lag(&class, lag)?;
         let key = find_key(&route, &request)?;
         let id = match &request.key {
             Some(text) => RequestId::from_key(&route.workspace, key, text),
             None => RequestId(rand::rng().random()),
         };
-        let span = request.deadline.map_or(class.deadline, |asked| asked.min(class.deadline));
-        let deadline = request.received + span;
+        let timeout = request.deadline.map_or(class.deadline, |asked| asked.min(class.deadline));
+        let deadline = request.received + timeout;
         let aim = self.aim(&route, &class, &request);
         let received = request.received;
         let label = request.label.clone();
         let message = message(request, &route, &class, key, id);
-        let (tries, last) = (AtomicU32::default(), AtomicU64::default());
+        let (tries, last_member) = (AtomicU32::default(), AtomicU64::default());
         Ok(Plan {
             route,
             class,
@@ -233,7 +235,7 @@
             label,
             received,
             tries,
-            last,
+            last_member,
         })
     }
 
@@ -243,7 +245,7 @@
     fn aim(&self, route: &Route, class: &Class, request: &EntryRequest) -> Option<Time> {
         let target = class.target?;
         let waited = request.deadline.filter(|_| class.rank != Rank::Critical).map(|asked| {
-            self.timeouts.waited(request.received, &route.workspace, &class.name, asked)
+            self.timeouts.estimate_wait(request.received, &route.workspace, &class.name, asked)
         });
         Some(request.received + target.saturating_sub(waited.unwrap_or_default()))
     }
@@ -254,28 +256,28 @@
     /// configuration: `accepted` waits for all members but the evicted ones, so
     /// a member that may be evicted must not act on what it knows. Where the configuration is
     /// declared, it is enough that others know this process.
-    fn check_standing(&self) -> Result<(), Refusal> {
-        let may = if self.shared.declares {
+    fn check_membership(&self) -> Result<(), Refusal> {
+        let admitted = if self.shared.declares {
             self.shared.is_known()
         } else {
             clock::now() < self.shared.lease.get()
         };
-        if may {
+        if admitted {
             return Ok(());
         }
-        Err(Refusal::not_run(Reason::NoLease).after(COME_BACK))
+        Err(Refusal::not_run(Reason::NoLease).after(RETRY_AFTER))
     }
 
     /// Returns the refusal of a request without route; a member without configuration knows of none.
     fn unrouted(&self) -> Refusal {
         if self.shared.declares && !self.shared.is_ready() {
-            return Refusal::not_run(Reason::NoLease).after(COME_BACK);
+            return Refusal::not_run(Reason::NoLease).after(RETRY_AFTER);
         }
         Refusal::not_run(Reason::NoRoute)
     }
 
     /// Decides whether a request may be tried again, within what all members share.
-    fn allowed(&self, now: Time, plan: &Plan, failure: &Failure) -> RetryDecision {
+    fn decide_retry(&self, now: Time, plan: &Plan, failure: &Failure) -> RetryDecision {
         let members = self.shared.view().state.members().count();
         let (service, class) = (&plan.route.workspace, &plan.class.name);
         self.budgets.next(now, members, service, class, failure)
@@ -284,43 +286,48 @@
     async fn route(&self, plan: &Plan) -> EntryAnswer {
         self.budgets.first_try(clock::now(), &plan.route.workspace, &plan.class.name);
         let answer = match plan.route.division {
-            Division::Keyed { .. } => self.keyed(plan).await,
-            Division::Pooled => self.pooled(plan).await,
+            Division::Keyed { .. } => self.route_keyed(plan).await,
+            Division::Pooled => self.route_pooled(plan).await,
         };
         match answer {
             Ok(answer) => {
-                self.note_late(plan, &answer);
-                whole(answer)
+                self.log_late(plan, &answer);
+                entry_answer(answer)
             }
             Err(refusal) => {
-                let refusal = come_back(refusal);
-                self.note(plan, refusal);
+                let refusal = with_retry_after(refusal);
+                self.log_unanswered(plan, refusal);
                 EntryAnswer::refusal(refusal)
             }
         }
     }
 
     /// Makes one try at a member; an error is one whose member has gone silent.
-    async fn attempt(&self, plan: &Plan, view: &View, target: MemberId) -> Result<Try, Silence> {
+    async fn attempt(
+        &self,
+        plan: &Plan,
+        view: &View,
+        target: MemberId,
+    ) -> Result<AttemptOutcome, StalledAttempt> {
         let left = plan.deadline.since(clock::now());
         plan.tries.fetch_add(1, Ordering::Relaxed);
-        plan.last.store(target.0, Ordering::Relaxed);
+        plan.last_member.store(target.0, Ordering::Relaxed);
         let request = Request {
             attempt: rand::rng().random(),
             left: wire::millis(left),
             target: target.0,
             applied: view.state.next(),
             declared: self.declarations.version(),
-            aim: plan.aim.map_or(0, |aim| wire::millis(aim.since(clock::now()).max(MILLI))),
+            aim: plan.aim.map_or(0, |aim| wire::millis(aim.since(clock::now()).max(MIN_AIM))),
             ..plan.request.clone()
         };
         if view.me == Some(target) {
             let answer = self.gate.run(&request, &CancelFlag::default()).await;
-            return Ok(judge(RequestOutcome::Answer(answer)));
+            return Ok(classify(RequestOutcome::Answer(answer)));
         }
         match view.peer(target) {
-            Some(address) => self.hop(target, address, request, left).await,
-            None => Ok(Try::Undelivered),
+            Some(address) => self.forward(target, address, request, left).await,
+            None => Ok(AttemptOutcome::Undelivered),
         }
     }
 }
@@ -330,7 +337,7 @@
     ///
     /// The time that is left by now is less than what the member looked at, so the memory holds for
     /// fewer requests than it might, never for more.
-    fn note_full(&self, plan: &Plan, target: MemberId, refusal: Refusal) {
+    fn record_full(&self, plan: &Plan, target: MemberId, refusal: Refusal) {
         let Refusal { reason: Reason::Busy, retry: Some(retry), .. } = refusal else { return };
         if self.shared.view().me != Some(target) {
             let now = clock::now();
@@ -341,14 +348,14 @@
     /// Returns the refusal of a request whose owner would refuse it, being full.
     fn refuse_full(&self, now: Time, plan: &Plan, owner: MemberId) -> Option<Refusal> {
         let retry = self.full_queues.lock().refuses(now, owner, plan.slack(now))?;
-        plan.last.store(owner.0, Ordering::Relaxed);
+        plan.last_member.store(owner.0, Ordering::Relaxed);
         Some(self.full_refusal(retry))
     }
 
     /// Takes out the members that would refuse a request, being full.
     ///
     /// Returns their refusal when only members are left that were tried.
-    fn retain_open(
+    fn exclude_full(
         &self,
         now: Time,
         plan: &Plan,
@@ -356,22 +363,22 @@
         tried: &[MemberId],
     ) -> Option<Refusal> {
         let retry = self.full_queues.lock().retain(now, members, plan.slack(now));
-        let over = members.iter().all(|member| tried.contains(member));
-        retry.filter(|_| over).map(|retry| self.full_refusal(retry))
+        let all_tried = members.iter().all(|member| tried.contains(member));
+        retry.filter(|_| all_tried).map(|retry| self.full_refusal(retry))
     }
 
     /// Returns the refusal of a request that is not sent on; refused alike, callers would return together.
     fn full_refusal(&self, retry: Duration) -> Refusal {
         self.metrics.count(Counter::RequestsFull, 1);
-        let retry = retry.mul_f64(rand::rng().random_range(RETURN));
+        let retry = retry.mul_f64(rand::rng().random_range(RETRY_JITTER));
         Refusal::not_run(Reason::Busy).after(retry)
     }
 }
 
 /// Refuses a request that has waited for so long before it was read that it would hardly be in time.
-fn in_time(class: &Class, lag: Duration) -> Result<(), Refusal> {
-    let hopeless = |target: Duration| lag > target / 2;
-    if class.rank == Rank::Critical || !class.target.is_some_and(hopeless) {
+fn check_lag(class: &Class, lag: Duration) -> Result<(), Refusal> {
+    let too_late = |target: Duration| lag > target / 2;
+    if class.rank == Rank::Critical || !class.target.is_some_and(too_late) {
         return Ok(());
     }
     // Refused together, they would return together.
--- a/acaciaringd/src/router/outages.rs
+++ b/acaciaringd/src/router/outages.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 
 /// Most units that are remembered; further ones are not measured.
-const MOST: usize = 4096;
+const MAX_UNITS: usize = 4096;
 
 /// When units were first found without a server.
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
     /// Notes that a unit has no server.
     pub(crate) fn begin(&self, now: Time, workspace: &Name, unit: UnitId) {
         let mut since = self.since.lock();
-        if since.len() < MOST {
+        if since.len() < MAX_UNITS {
             since.entry((Arc::clone(workspace), unit)).or_insert(now);
         }
     }
--- a/acaciaringd/src/router/outcome.rs
+++ b/acaciaringd/src/router/outcome.rs
@@ -3,13 +3,13 @@
 use acaciaring_core::{MemberId, Reason, Refusal, Verdict};
 use acaciaring_schema::peer::Answer;
 
-use super::COME_BACK;
+use super::RETRY_AFTER;
 use crate::entry::EntryAnswer;
 use crate::peer::RequestOutcome;
 use crate::wire;
 
 /// What a caller is told of a request that may have run.
-pub(super) const LOST: Refusal = Refusal::unknown(Reason::LostAnswer);
+pub(super) const LOST_ANSWER: Refusal = Refusal::unknown(Reason::LostAnswer);
 
 /// What a member reports on its answers.
 #[derive(Debug, Clone, Copy)]
@@ -20,9 +20,9 @@
 }
 
 /// What came of one try.
-pub(super) enum Try {
+pub(super) enum AttemptOutcome {
     /// The upstream answered.
-    Whole(Answer),
+    Answered(Answer),
     /// The member refused.
     Refused { refusal: Refusal, owner: Option<MemberId>, load: Load },
     /// The request did not arrive and never will.
@@ -31,48 +31,48 @@
     Lost,
 }
 
-impl Try {
+impl AttemptOutcome {
     /// Returns the answer, or what the caller is told without a further try.
     pub(super) fn result(self) -> Result<Answer, Refusal> {
         match self {
-            Self::Whole(answer) => Ok(answer),
+            Self::Answered(answer) => Ok(answer),
             Self::Refused { refusal, .. } => Err(refusal),
-            Self::Undelivered => Err(Refusal::not_run(Reason::Unreachable).after(COME_BACK)),
-            Self::Lost => Err(LOST),
+            Self::Undelivered => Err(Refusal::not_run(Reason::Unreachable).after(RETRY_AFTER)),
+            Self::Lost => Err(LOST_ANSWER),
         }
     }
 }
 
 /// Returns true when an upstream has seen a try, or may have.
-pub(super) fn arrived(refusal: Refusal) -> bool {
+pub(super) fn reached_upstream(refusal: Refusal) -> bool {
     refusal.verdict == Verdict::Unknown || refusal.reason == Reason::Shed
 }
 
-pub(super) fn judge(outcome: RequestOutcome) -> Try {
+pub(super) fn classify(outcome: RequestOutcome) -> AttemptOutcome {
     match outcome {
-        RequestOutcome::NotDelivered => Try::Undelivered,
-        RequestOutcome::Lost => Try::Lost,
+        RequestOutcome::NotDelivered => AttemptOutcome::Undelivered,
+        RequestOutcome::Lost => AttemptOutcome::Lost,
         RequestOutcome::Answer(answer) => match wire::refused(&answer) {
             Some(refusal) => {
                 let load = Load { busy: answer.busy, capacity: answer.capacity };
-                Try::Refused { refusal, owner: MemberId::from_wire(answer.owner), load }
+                AttemptOutcome::Refused { refusal, owner: MemberId::from_wire(answer.owner), load }
             }
-            None if answer.length != answer.body.len() as u64 => Try::Lost,
-            None => Try::Whole(answer),
+            None if answer.length != answer.body.len() as u64 => AttemptOutcome::Lost,
+            None => AttemptOutcome::Answered(answer),
         },
     }
 }
 
 /// Adds when to come back to a refusal that does not say it and may end by itself.
-pub(super) fn come_back(refusal: Refusal) -> Refusal {
+pub(super) fn with_retry_after(refusal: Refusal) -> Refusal {
     let lasting = matches!(refusal.reason, Reason::NoRoute | Reason::BadRequest);
     if refusal.verdict != Verdict::NotRun || lasting {
         return refusal;
     }
-    refusal.after(refusal.retry.unwrap_or(COME_BACK))
+    refusal.after(refusal.retry.unwrap_or(RETRY_AFTER))
 }
 
-pub(super) fn whole(answer: Answer) -> EntryAnswer {
+pub(super) fn entry_answer(answer: Answer) -> EntryAnswer {
     EntryAnswer {
         verdict: Verdict::Answered,
         reason: None,
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -8,8 +8,8 @@
 use acaciaring_schema::peer::Answer;
 use tokio::time::sleep;
 
-use super::outcome::LOST;
-use super::{COME_BACK, Load, Plan, Router, Silence, Try, arrived};
+use super::outcome::LOST_ANSWER;
+use super::{AttemptOutcome, Load, Plan, RETRY_AFTER, Router, StalledAttempt, reached_upstream};
 use crate::clock;
 use crate::metrics::Counter;
 use crate::peer::BoxFuture;
@@ -32,58 +32,62 @@
     /// Tries that no upstream has seen.
     unseen: u32,
     /// True once a try may have reached an upstream.
-    lost: bool,
+    may_have_run: bool,
 }
 
 impl Router {
     /// Brings a request to one of the members whose upstream serves the workspace.
-    pub(super) async fn pooled(&self, plan: &Plan) -> Result<Answer, Refusal> {
-        self.tries(plan, Progress::default()).await
+    pub(super) async fn route_pooled(&self, plan: &Plan) -> Result<Answer, Refusal> {
+        self.try_members(plan, Progress::default()).await
     }
 
     /// Makes tries until one is answered or no further one is allowed.
-    async fn tries(&self, plan: &Plan, mut progress: Progress) -> Result<Answer, Refusal> {
+    async fn try_members(&self, plan: &Plan, mut progress: Progress) -> Result<Answer, Refusal> {
         loop {
             let view = self.shared.view();
             let mut candidates = Candidates::find(&view, plan);
             let now = clock::now();
-            let full = self.retain_open(now, plan, &mut candidates.all, &progress.tried);
-            candidates.keep_open();
+            let full = self.exclude_full(now, plan, &mut candidates.all, &progress.tried);
+            candidates.sync_near();
             let refusal = if let Some(refusal) = full {
                 refusal
             } else {
                 let Some(target) = self.choose(now, &candidates, &progress.tried) else {
-                    return Err(progress.settle(self.none(now, &candidates.all)));
+                    return Err(progress.final_refusal(self.no_member(now, &candidates.all)));
                 };
                 progress.tried.push(target);
-                let ended = match self.timed(plan, &view, target).await {
+                let ended = match self.attempt_tracked(plan, &view, target).await {
                     Ok(ended) => ended,
-                    Err(silence) => {
+                    Err(stalled) => {
                         let mut later = progress.clone();
                         later.tries += 1;
-                        if let Some(after) = self.again(plan, &candidates, LOST, &mut later) {
-                            return self.beside(silence, self.tries_on(plan, after, later)).await;
+                        if let Some(after) =
+                            self.retry_delay(plan, &candidates, LOST_ANSWER, &mut later)
+                        {
+                            return self
+                                .race_stalled(stalled, self.resume_tries(plan, after, later))
+                                .await;
                         }
-                        self.wait(silence).await
+                        self.await_stalled(stalled).await
                     }
                 };
-                if let Try::Refused { refusal, .. } = &ended {
-                    self.note_full(plan, target, *refusal);
+                if let AttemptOutcome::Refused { refusal, .. } = &ended {
+                    self.record_full(plan, target, *refusal);
                 }
                 match ended.result() {
                     Ok(answer) => return Ok(answer),
                     Err(refusal) => refusal,
                 }
             };
-            progress.note(refusal);
-            let after = self.again(plan, &candidates, refusal, &mut progress);
-            sleep(after.ok_or_else(|| progress.settle(refusal))?).await;
+            progress.record(refusal);
+            let after = self.retry_delay(plan, &candidates, refusal, &mut progress);
+            sleep(after.ok_or_else(|| progress.final_refusal(refusal))?).await;
             self.metrics.count(Counter::RequestsRetried, 1);
         }
     }
 
     /// Makes further tries after a pause.
-    fn tries_on<'a>(
+    fn resume_tries<'a>(
         &'a self,
         plan: &'a Plan,
         after: Duration,
@@ -92,16 +96,21 @@
         Box::pin(async move {
             sleep(after).await;
             self.metrics.count(Counter::RequestsRetried, 1);
-            self.tries(plan, progress).await
+            self.try_members(plan, progress).await
         })
     }
 
     /// Makes a try and lets the choice learn from it.
-    async fn timed(&self, plan: &Plan, view: &View, target: MemberId) -> Result<Try, Silence> {
-        let flight = Flight::new(self, target);
+    async fn attempt_tracked(
+        &self,
+        plan: &Plan,
+        view: &View,
+        target: MemberId,
+    ) -> Result<AttemptOutcome, StalledAttempt> {
+        let flight = InFlight::new(self, target);
         let outcome = self.attempt(plan, view, target).await;
         // Others are better off elsewhere while the member is silent.
-        flight.end(outcome.as_ref().unwrap_or(&Try::Lost));
+        flight.end(outcome.as_ref().unwrap_or(&AttemptOutcome::Lost));
         outcome
     }
 
@@ -116,15 +125,15 @@
     }
 
     /// Returns the refusal of a request for which there is no member.
-    fn none(&self, now: Time, candidates: &[MemberId]) -> Refusal {
+    fn no_member(&self, now: Time, candidates: &[MemberId]) -> Refusal {
         match self.choice.lock().opening(now, candidates) {
             Some(retry) => Refusal::not_run(Reason::Busy).after(retry),
-            None => Refusal::not_run(Reason::Unreachable).after(COME_BACK),
+            None => Refusal::not_run(Reason::Unreachable).after(RETRY_AFTER),
         }
     }
 
     /// Returns after which pause a further try may go out; `None` when none may.
-    fn again(
+    fn retry_delay(
         &self,
         plan: &Plan,
         candidates: &Candidates,
@@ -139,11 +148,13 @@
             left: plan.deadline.since(now),
             tries: progress.tries,
             redirects: progress.unseen,
-            arrived: arrived(refusal),
+            arrived: reached_upstream(refusal),
             elsewhere,
-            most: progress.most(plan.class.tries),
+            most: progress.max_tries(plan.class.tries),
+        };
+        let RetryDecision::Retry { after } = self.decide_retry(now, plan, &failure) else {
+            return None;
         };
-        let RetryDecision::Retry { after } = self.allowed(now, plan, &failure) else { return None };
         if !elsewhere {
             // Each member was tried; after the pause they may be tried again.
             progress.tried.clear();
@@ -153,14 +164,14 @@
 }
 
 impl Progress {
-    fn note(&mut self, refusal: Refusal) {
+    fn record(&mut self, refusal: Refusal) {
         self.tries += 1;
-        self.unseen += u32::from(!arrived(refusal));
-        self.lost |= refusal.verdict == Verdict::Unknown;
+        self.unseen += u32::from(!reached_upstream(refusal));
+        self.may_have_run |= refusal.verdict == Verdict::Unknown;
     }
 
     /// Returns how many tries a class allows, those not counted that no upstream has seen.
-    fn most(&self, tries: u32) -> u32 {
+    fn max_tries(&self, tries: u32) -> u32 {
         if tries > 0 { tries + self.unseen } else { 0 }
     }
 
@@ -168,8 +179,8 @@
     ///
     /// Guards against a lost answer followed by a refusal elsewhere: the caller would be told
     /// that nothing ran, from the last try alone.
-    fn settle(&self, refusal: Refusal) -> Refusal {
-        let verdict = if self.lost { Verdict::Unknown } else { refusal.verdict };
+    fn final_refusal(&self, refusal: Refusal) -> Refusal {
+        let verdict = if self.may_have_run { Verdict::Unknown } else { refusal.verdict };
         Refusal { verdict, ..refusal }
     }
 }
@@ -178,30 +189,32 @@
 ///
 /// Guards against a panic on the way: the member would count one request in flight for ever and
 /// get less than its share.
-struct Flight<'a> {
+struct InFlight<'a> {
     router: &'a Router,
     target: MemberId,
     start: Time,
     ended: bool,
 }
 
-impl<'a> Flight<'a> {
+impl<'a> InFlight<'a> {
     fn new(router: &'a Router, target: MemberId) -> Self {
         let start = clock::now();
         router.choice.lock().sent(start, target);
         Self { router, target, start, ended: false }
     }
 
-    fn end(mut self, outcome: &Try) {
+    fn end(mut self, outcome: &AttemptOutcome) {
         self.ended = true;
         let now = clock::now();
         let (sent, load) = match outcome {
-            Try::Whole(answer) => {
+            AttemptOutcome::Answered(answer) => {
                 let load = Load { busy: answer.busy, capacity: answer.capacity };
                 (Sent::Answered(now.since(self.start)), Some(load))
             }
-            Try::Refused { refusal, load, .. } => (learn(*refusal, *load), Some(*load)),
-            Try::Undelivered | Try::Lost => (Sent::Failed, None),
+            AttemptOutcome::Refused { refusal, load, .. } => {
+                (choice_feedback(*refusal, *load), Some(*load))
+            }
+            AttemptOutcome::Undelivered | AttemptOutcome::Lost => (Sent::Failed, None),
         };
         let mut choice = self.router.choice.lock();
         choice.done(now, self.target, sent);
@@ -211,7 +224,7 @@
     }
 }
 
-impl Drop for Flight<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         if !self.ended {
             self.router.choice.lock().done(clock::now(), self.target, Sent::Failed);
@@ -223,7 +236,7 @@
 ///
 /// A full queue concerns the class and deadline of the one request: a member that refuses
 /// background work still takes critical work, so it is not left alone for it.
-fn learn(refusal: Refusal, load: Load) -> Sent {
+fn choice_feedback(refusal: Refusal, load: Load) -> Sent {
     match refusal.reason {
         Reason::Busy if load.capacity == 0 => Sent::Refused(refusal.retry),
         Reason::UpstreamDown | Reason::Draining | Reason::LostAnswer => Sent::Failed,
@@ -234,12 +247,12 @@
 impl Candidates {
     /// Finds the members whose upstream serves the workspace.
     fn find(view: &View, plan: &Plan) -> Self {
-        let place = view.me.and_then(|me| view.state.member(me)).map(|me| &me.data_centre);
+        let data_centre = view.me.and_then(|me| view.state.member(me)).map(|me| &me.data_centre);
         let (mut all, mut near) = (Vec::new(), Vec::new());
         let members = view.state.members_of(&plan.route.workspace);
         for member in members.filter(|member| member.alive()) {
             all.push(member.id);
-            if Some(&member.data_centre) == place {
+            if Some(&member.data_centre) == data_centre {
                 near.push(member.id);
             }
         }
@@ -248,7 +261,7 @@
     }
 
     /// Leaves out of those that are near what was taken out of all.
-    fn keep_open(&mut self) {
+    fn sync_near(&mut self) {
         self.near.retain(|id| self.all.contains(id));
         self.own = self.own.filter(|own| self.near.contains(own));
     }
--- a/acaciaringd/src/router/retry_budgets.rs
+++ b/acaciaringd/src/router/retry_budgets.rs
@@ -22,19 +22,19 @@
 #[derive(Debug)]
 pub(crate) struct RetryBudgets {
     settings: RetrySettings,
-    common: ClusterBudget,
+    cluster: ClusterBudget,
     buckets: Mutex<HashMap<(Name, Name), RetryBudget>>,
 }
 
 impl RetryBudgets {
     /// Makes budgets that are full.
-    pub(crate) fn new(settings: RetrySettings, common: ClusterBudget) -> Self {
-        Self { settings, common, buckets: Mutex::default() }
+    pub(crate) fn new(settings: RetrySettings, cluster: ClusterBudget) -> Self {
+        Self { settings, cluster, buckets: Mutex::default() }
     }
 
     /// Notes the first try of a request of a class.
     pub(super) fn first_try(&self, now: Time, workspace: &Name, class: &Name) {
-        self.with(now, workspace, class, |budget| budget.first_try(now));
+        self.with_budget(now, workspace, class, |budget| budget.first_try(now));
     }
 
     /// Decides what to do after a failed try of a request of a class, as one of so many members.
@@ -46,33 +46,33 @@
         class: &Name,
         failure: &Failure,
     ) -> RetryDecision {
-        let part = self.common.burst / self.sharers(members, workspace);
-        self.with(now, workspace, class, |budget| {
-            budget.bound(part, self.common.window, &self.settings);
+        let part = self.cluster.burst / self.bucket_count(members, workspace);
+        self.with_budget(now, workspace, class, |budget| {
+            budget.bound(part, self.cluster.window, &self.settings);
             budget.next(now, &mut rand::rng(), failure)
         })
     }
 
     /// Returns how many buckets the common budget of a service is divided among.
     #[expect(clippy::cast_precision_loss, reason = "a few thousand at most")]
-    fn sharers(&self, members: usize, workspace: &Name) -> f64 {
+    fn bucket_count(&self, members: usize, workspace: &Name) -> f64 {
         let buckets = self.buckets.lock();
         let classes = buckets.keys().filter(|(name, _)| name == workspace).count();
         (members.max(1) * classes.max(1)) as f64
     }
 
-    fn with<T>(
+    fn with_budget<T>(
         &self,
         now: Time,
         workspace: &Name,
         class: &Name,
-        act: impl FnOnce(&mut RetryBudget) -> T,
+        update: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let name = (Arc::clone(workspace), Arc::clone(class));
         let mut buckets = self.buckets.lock();
         let budget =
             buckets.entry(name).or_insert_with(|| RetryBudget::new(now, self.settings.clone()));
-        act(budget)
+        update(budget)
     }
 }
 
--- a/acaciaringd/src/router/retry_budgets/tests.rs
+++ b/acaciaringd/src/router/retry_budgets/tests.rs
@@ -41,13 +41,13 @@
 // seconds they may repeat 50 requests in all; each spends a part of that, not a budget of its own.
 #[test]
 fn members_share_the_retries_of_a_service() {
-    let common = ClusterBudget { burst: 50.0, window: Duration::from_secs(10) };
+    let cluster = ClusterBudget { burst: 50.0, window: Duration::from_secs(10) };
     let (members, lab, grade) = (10, Name::from("lab"), Name::from("grade"));
     let failure = Failure { refusal: Refusal::unknown(Reason::LostAnswer), ..BUSY };
     let mut allowed = 0;
     for _ in 0..members {
         let budgets =
-            RetryBudgets::new(RetrySettings { share: 0.0, ..RetrySettings::default() }, common);
+            RetryBudgets::new(RetrySettings { share: 0.0, ..RetrySettings::default() }, cluster);
         for tenth in 0..100 {
             let now = Time::ZERO + Duration::from_millis(100 * tenth);
             let decision = budgets.next(now, members, &lab, &grade, &failure);
--- a/acaciaringd/src/router/suspects/tests.rs
+++ b/acaciaringd/src/router/suspects/tests.rs
@@ -4,7 +4,7 @@
 
 use acaciaring_core::{MemberId, Time};
 
-use super::{LONGEST, SPAN, Suspects};
+use super::{MAX_SUSPICION, MIN_SUSPICION, Suspects};
 
 const DEAD: MemberId = MemberId(7);
 
@@ -14,13 +14,13 @@
 fn tries_at_a_dead_owner_get_rare() {
     let suspects = Suspects::default();
     let start = Time::ZERO + Duration::from_secs(1);
-    assert!(!suspects.avoids(start, DEAD));
+    assert!(!suspects.should_avoid(start, DEAD));
     suspects.add(start, DEAD);
     let end = start + Duration::from_mins(1);
     let (mut now, mut tries) = (start, Vec::new());
     while now < end {
-        if !suspects.avoids(now, DEAD) {
-            assert!(suspects.avoids(now, DEAD), "a second caller tries at {now:?}");
+        if !suspects.should_avoid(now, DEAD) {
+            assert!(suspects.should_avoid(now, DEAD), "a second caller tries at {now:?}");
             suspects.add(now + Duration::from_millis(500), DEAD);
             tries.push(now);
         }
@@ -28,8 +28,8 @@
     }
     let gaps: Vec<Duration> = tries.windows(2).map(|pair| pair[1].since(pair[0])).collect();
     assert!(gaps.is_sorted(), "{gaps:?}");
-    assert_eq!(tries.first(), Some(&(start + SPAN)));
-    assert_eq!(gaps.last(), Some(&LONGEST));
+    assert_eq!(tries.first(), Some(&(start + MIN_SUSPICION)));
+    assert_eq!(gaps.last(), Some(&MAX_SUSPICION));
 }
 
 #[test]
@@ -37,7 +37,7 @@
     let suspects = Suspects::default();
     let now = Time::ZERO + Duration::from_secs(1);
     suspects.add(now, DEAD);
-    assert!(suspects.avoids(now, DEAD));
+    assert!(suspects.should_avoid(now, DEAD));
     suspects.clear(DEAD);
-    assert!(!suspects.avoids(now, DEAD));
+    assert!(!suspects.should_avoid(now, DEAD));
 }
--- a/acaciaringd/src/router/timeout_history.rs
+++ b/acaciaringd/src/router/timeout_history.rs
@@ -14,7 +14,7 @@
 const WINDOW: Duration = Duration::from_mins(1);
 
 /// Classes that are remembered; beyond it all begin anew.
-const MOST: usize = 4096;
+const MAX_CLASSES: usize = 4096;
 
 /// Longest spans that callers have stated lately, by service and class.
 ///
@@ -23,37 +23,37 @@
 /// first try, and it would be served late after it was passed by others that can wait.
 #[derive(Debug, Default)]
 pub(crate) struct TimeoutHistory {
-    seen: Mutex<HashMap<(Name, Name), Longest>>,
+    seen: Mutex<HashMap<(Name, Name), LongestTimeout>>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Longest {
+struct LongestTimeout {
     start: Time,
-    span: Duration,
-    before: Duration,
+    timeout: Duration,
+    previous: Duration,
 }
 
 impl TimeoutHistory {
     /// Returns for how long a caller that states `asked` has probably been waiting.
-    pub(super) fn waited(
+    pub(super) fn estimate_wait(
         &self,
         now: Time,
         service: &Name,
         class: &Name,
-        asked: Duration,
+        stated: Duration,
     ) -> Duration {
-        let place = (Arc::clone(service), Arc::clone(class));
+        let key = (Arc::clone(service), Arc::clone(class));
         let mut seen = self.seen.lock();
-        if seen.len() > MOST {
+        if seen.len() > MAX_CLASSES {
             seen.clear();
         }
-        let fresh = Longest { start: now, span: asked, before: Duration::ZERO };
-        let longest = seen.entry(place).or_insert(fresh);
+        let fresh = LongestTimeout { start: now, timeout: stated, previous: Duration::ZERO };
+        let longest = seen.entry(key).or_insert(fresh);
         if now.since(longest.start) >= WINDOW {
-            *longest = Longest { start: now, span: asked, before: longest.span };
+            *longest = LongestTimeout { start: now, timeout: stated, previous: longest.timeout };
         }
-        longest.span = longest.span.max(asked);
-        longest.span.max(longest.before).saturating_sub(asked)
+        longest.timeout = longest.timeout.max(stated);
+        longest.timeout.max(longest.previous).saturating_sub(stated)
     }
 }
 
--- a/acaciaringd/src/router/timeout_history/tests.rs
+++ b/acaciaringd/src/router/timeout_history/tests.rs
@@ -4,34 +4,38 @@
 
 use super::TimeoutHistory;
 
-const DAY: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 
 fn at(seconds: u64) -> Time {
     Time::from_start(Duration::from_secs(seconds))
 }
 
-fn waited(spans: &TimeoutHistory, now: Time, class: &str, asked: Duration) -> Duration {
-    spans.waited(now, &Name::from("permits"), &Name::from(class), asked)
+fn estimate_wait(history: &TimeoutHistory, now: Time, class: &str, stated: Duration) -> Duration {
+    history.estimate_wait(now, &Name::from("permits"), &Name::from(class), stated)
 }
 
 // A clerk is refused at a full counter and comes back half a second later. The counter sees
 // nothing of the first visit but that the clerk has less time than others of the kind.
 #[test]
 fn a_caller_that_comes_back_is_known_by_its_time() {
-    let spans = TimeoutHistory::default();
-    assert_eq!(waited(&spans, at(1), "look", DAY), Duration::ZERO);
-    let back = Duration::from_millis(1500);
-    assert_eq!(waited(&spans, at(2), "look", back), Duration::from_millis(500));
-    assert_eq!(waited(&spans, at(2), "sign", back), Duration::ZERO, "classes are apart");
+    let history = TimeoutHistory::default();
+    assert_eq!(estimate_wait(&history, at(1), "look", TIMEOUT), Duration::ZERO);
+    let retried = Duration::from_millis(1500);
+    assert_eq!(estimate_wait(&history, at(2), "look", retried), Duration::from_millis(500));
+    assert_eq!(
+        estimate_wait(&history, at(2), "sign", retried),
+        Duration::ZERO,
+        "classes are apart"
+    );
 }
 
 // Callers are told to wait for a shorter time than before. For two minutes the new ones look as if
 // they had waited; then the old span is forgotten.
 #[test]
 fn a_span_that_nobody_states_any_more_is_forgotten() {
-    let spans = TimeoutHistory::default();
-    waited(&spans, at(1), "look", DAY);
-    let short = DAY / 2;
-    assert_eq!(waited(&spans, at(61), "look", short), short);
-    assert_eq!(waited(&spans, at(122), "look", short), Duration::ZERO);
+    let history = TimeoutHistory::default();
+    estimate_wait(&history, at(1), "look", TIMEOUT);
+    let short = TIMEOUT / 2;
+    assert_eq!(estimate_wait(&history, at(61), "look", short), short);
+    assert_eq!(estimate_wait(&history, at(122), "look", short), Duration::ZERO);
 }
--- a/acaciaringd/src/router/traffic_splits.rs
+++ b/acaciaringd/src/router/traffic_splits.rs
@@ -12,11 +12,11 @@
 /// by weight as evenly as whole requests allow; a random choice would stray in short spans.
 #[derive(Debug, Default)]
 pub(crate) struct TrafficSplits {
-    owed: Mutex<HashMap<Place, Vec<i64>>>,
+    credits: Mutex<HashMap<RouteKey, Vec<i64>>>,
 }
 
 /// Host and prefix of a route, with its weights: other weights begin anew.
-type Place = (Option<Arc<str>>, Arc<str>, Vec<u32>);
+type RouteKey = (Option<Arc<str>>, Arc<str>, Vec<u32>);
 
 impl TrafficSplits {
     /// Returns the part of a route that serves its next request, or the route itself.
@@ -26,23 +26,23 @@
         }
         let weights: Vec<u32> = route.parts.iter().map(|(weight, _)| *weight).collect();
         let total: i64 = weights.iter().copied().map(i64::from).sum();
-        let place = (route.host.clone(), Arc::clone(&route.prefix), weights);
-        let mut owed = self.owed.lock();
-        if owed.len() > MOST {
-            owed.clear();
+        let key = (route.host.clone(), Arc::clone(&route.prefix), weights);
+        let mut credits = self.credits.lock();
+        if credits.len() > MAX_ROUTES {
+            credits.clear();
         }
-        let owed = owed.entry(place).or_insert_with(|| vec![0; route.parts.len()]);
-        for (owed, (weight, _)) in owed.iter_mut().zip(&route.parts) {
-            *owed += i64::from(*weight);
+        let credits = credits.entry(key).or_insert_with(|| vec![0; route.parts.len()]);
+        for (credit, (weight, _)) in credits.iter_mut().zip(&route.parts) {
+            *credit += i64::from(*weight);
         }
-        let most = (0..owed.len()).max_by_key(|index| owed[*index]).unwrap_or(0);
-        owed[most] -= total;
+        let most = (0..credits.len()).max_by_key(|index| credits[*index]).unwrap_or(0);
+        credits[most] -= total;
         Arc::clone(&route.parts[most].1)
     }
 }
 
 /// Routes that are remembered; beyond it all begin anew.
-const MOST: usize = 4096;
+const MAX_ROUTES: usize = 4096;
 
 #[cfg(test)]
 mod tests;
--- a/acaciaringd/src/router/traffic_splits/tests.rs
+++ b/acaciaringd/src/router/traffic_splits/tests.rs
@@ -24,11 +24,11 @@
 fn each_short_span_of_requests_is_shared_out_by_weight() {
     let parts = vec![(90, route("books", Vec::new())), (10, route("lab", Vec::new()))];
     let whole = route("books", parts);
-    let shares = TrafficSplits::default();
+    let splits = TrafficSplits::default();
     for _ in 0..5 {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for _ in 0..20 {
-            *counts.entry(shares.pick(Arc::clone(&whole)).workspace.to_string()).or_default() += 1;
+            *counts.entry(splits.pick(Arc::clone(&whole)).workspace.to_string()).or_default() += 1;
         }
         assert_eq!(counts, BTreeMap::from([("books".into(), 18), ("lab".into(), 2)]));
     }
--- a/acaciaringd/src/router/wait_limit.rs
+++ b/acaciaringd/src/router/wait_limit.rs
@@ -11,7 +11,7 @@
 
 /// Place of one request; free again when dropped.
 #[derive(Debug)]
-pub(crate) struct LingererGuard<'a>(&'a WaitLimit);
+pub(crate) struct WaitPermit<'a>(&'a WaitLimit);
 
 impl WaitLimit {
     /// Makes places for `limit` requests.
@@ -20,15 +20,15 @@
     }
 
     /// Takes a place, if one is free.
-    pub(crate) fn enter(&self) -> Option<LingererGuard<'_>> {
-        let place = LingererGuard(self);
+    pub(crate) fn try_acquire(&self) -> Option<WaitPermit<'_>> {
+        let permit = WaitPermit(self);
         let before = self.count.fetch_add(1, Ordering::AcqRel);
         // Dropping the guard gives the place back.
-        (before < self.limit).then_some(place)
+        (before < self.limit).then_some(permit)
     }
 }
 
-impl Drop for LingererGuard<'_> {
+impl Drop for WaitPermit<'_> {
     fn drop(&mut self) {
         self.0.count.fetch_sub(1, Ordering::AcqRel);
     }
