--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -132,12 +132,9 @@
         let declarations = Arc::new(Declarations::new(decoder, events.clone()));
 
         let late = Arc::new(LateHandler::default());
-        let transport = Transport::with_metrics(
-            options::peer_settings(settings),
-            late.clone(),
-            metrics.clone(),
-        )
-        .context(PeerSnafu)?;
+        let transport =
+            Transport::metered(options::peer_settings(settings), late.clone(), metrics.clone())
+                .context(PeerSnafu)?;
         let page = address.map(|address| page(address, &metrics, &transport)).transpose()?;
         let log = edges.log(transport.runtime());
         let outbox = Outbox::new(&transport);
--- a/acaciaringd/src/peer/transport.rs
+++ b/acaciaringd/src/peer/transport.rs
@@ -119,7 +119,7 @@
     /// Fails when a certificate or key cannot be used, the address cannot be
     /// bound or a thread cannot be started.
     pub fn start(settings: PeerSettings, handler: Arc<dyn Handler>) -> Result<Self, PeerError> {
-        Self::with_metrics(settings, handler, Metrics::none())
+        Self::metered(settings, handler, Metrics::none())
     }
 
     /// Does the same as [`Transport::start`], with metrics of the connections.
@@ -127,7 +127,7 @@
     /// # Errors
     ///
     /// As for [`Transport::start`].
-    pub fn with_metrics(
+    pub fn metered(
         settings: PeerSettings,
         handler: Arc<dyn Handler>,
         metrics: Metrics,
