--- a/acaciaringd/src/router/keyed.rs
+++ b/acaciaringd/src/router/keyed.rs
@@ -1,4 +1,4 @@
-//! Requests to services that are divided by key.
+//! Routing of requests to services that are partitioned by key.
 
 use std::time::Duration;
 
@@ -17,43 +17,42 @@
 use crate::peer::BoxFuture;
 use crate::view::View;
 
-/// Search for a member that may serve the key that every request may take.
+/// Time that any request may spend on finding a member that serves its key.
 const SEARCH_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Search that a few requests at a time may take.
+/// Search time of a limited number of requests, long enough for a takeover.
 ///
-/// It covers a takeover after a loss. A thread that waits for one serves nobody
-/// else, so that the keys of one lost member could hold up all others if every
-/// request waited; those beyond the bound are told when to come back.
+/// Guards against the keys of one lost member blocking all others: a waiting request occupies a
+/// worker, so requests above the limit are refused with a retry delay.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Progress of one request.
+/// State of the search for the owner of one request.
 struct Search {
-    /// Time up to which every request may search.
+    /// End of the search for a request without a permit to wait longer.
     soft_end: Time,
     end: Time,
     tries: u32,
     hint: Option<MemberId>,
-    /// What the caller is told if the search ends here.
+    /// Refusal that the client gets if the search ends here.
     last_refusal: Refusal,
-    /// True once a try may have reached an upstream.
+    /// True once an upstream may have run the request.
     may_have_run: bool,
-    /// Tries that an upstream has seen or may have seen, and that may be repeated.
+    /// Retries granted after an upstream saw, or may have seen, the request.
     reruns: u32,
     backoff: MemberBackoff,
 }
 
-/// What a search has come to after a try.
+/// Result of one step of a search.
 enum Step {
     Answered(Answer),
-    /// No member served the request; the search goes on.
+    /// No member served the request; the search continues.
     NotServed,
-    /// The member has gone silent; the request may be given elsewhere meanwhile, after this pause.
+    /// The member stopped responding; the request may be sent to another one after this delay.
     Stalled(StalledAttempt, Duration),
 }
 
 impl Router {
-    /// Brings a request to the owner of its key.
+    /// Sends a request to the owner of its key.
     pub(super) async fn route_keyed(&self, plan: &Plan) -> Result<Answer, Refusal> {
         let now = clock::now();
         let search = Search {
@@ -93,13 +92,13 @@
             }
             if search.hint.is_none() {
                 let end = if permit.is_some() { search.end } else { search.soft_end };
-                // What has changed may name another member, or let one be asked again.
+                // A change of state may name another member or end the backoff of this one.
                 self.shared.changed(search.backoff.next_delay(now).min(end.since(now))).await;
             }
         }
     }
 
-    /// Goes on with a search after a pause.
+    /// Continues a search after a delay.
     fn resume_search<'a>(
         &'a self,
         plan: &'a Plan,
@@ -113,15 +112,15 @@
         })
     }
 
-    /// Returns for how long a few requests at a time may search.
+    /// Returns the search time of a request that holds a permit to wait.
     ///
-    /// A caller that is told at once when to come back is served as soon as one that waits, and
-    /// may do something else meanwhile; only the wait for a move that is under way is shorter.
+    /// With a declared configuration waiting longer than a planned move takes gains nothing: a
+    /// client that is refused at once with a retry delay is served as soon as one that waits.
     fn search_timeout(&self) -> Duration {
         if self.shared.declares { SEARCH_TIMEOUT } else { TAKEOVER_TIMEOUT }
     }
 
-    /// Makes one try, if there is a member to try; an error is the final answer.
+    /// Sends the request to the next candidate, if there is one; an error is the final answer.
     async fn try_member(&self, plan: &Plan, search: &mut Search) -> Result<Step, Refusal> {
         let view = self.shared.view();
         let version = assignment(&view, plan).map(|assignment| assignment.version);
@@ -198,7 +197,7 @@
         }
     }
 
-    /// Notes that a unit had no server, unless there is another member to ask at once.
+    /// Records that a unit has no server, unless a hint names another member to ask at once.
     fn record_outage(&self, plan: &Plan, search: &Search) {
         let view = self.shared.view();
         let unit = plan.key.and_then(|key| view.unit(&plan.route.workspace, key));
@@ -207,7 +206,7 @@
         }
     }
 
-    /// Notes that a unit has a server again, if it had none.
+    /// Records that a unit has a server again, with the length of the outage.
     fn end_outage(&self, view: &View, plan: &Plan) {
         let unit = plan.key.and_then(|key| view.unit(&plan.route.workspace, key));
         let Some(unit) = unit else { return };
@@ -216,7 +215,7 @@
         }
     }
 
-    /// Waits for leave to give the upstream a request again; an error is the final answer.
+    /// Waits until the upstream may be sent the request again; an error is the final answer.
     async fn await_rerun(
         &self,
         plan: &Plan,
@@ -231,17 +230,17 @@
         Ok(())
     }
 
-    /// Returns after which pause the upstream may be given a request again; `None` when it may not.
+    /// Returns the delay before the upstream may be sent a request again; `None` if it may not.
     ///
-    /// Guards against an upstream that answers nothing while it works: each request would run
-    /// there as often as fits into the search. A request that may run once needs no leave, for
-    /// its further tries only ask what became of it.
+    /// Guards against an upstream that works but does not answer: without a budget it would run
+    /// each request as often as fits into the search. A request that runs at most once is exempt:
+    /// owner and standby deduplicate it, so its retries only ask for the outcome.
     ///
-    /// An upstream that refuses requests while it has places by its own word takes the next one
-    /// as likely as not, and no other may serve the key.
+    /// An upstream that sheds requests despite free capacity may well accept the retry, and no
+    /// other member may serve the key.
     fn rerun_delay(&self, plan: &Plan, search: &mut Search, refusal: Refusal) -> Option<Duration> {
         if plan.class.repeat == Repeat::Once && refusal.verdict == Verdict::Unknown {
-            // Nobody remembers a request whose identity is used once: a second try could run it again.
+            // An identity that is used once is not deduplicated, so a retry could run it twice.
             return (!plan.class.single).then_some(Duration::ZERO);
         }
         let now = clock::now();
@@ -262,7 +261,7 @@
         Some(after)
     }
 
-    /// Chooses where the next try goes: a hint, the owner, or the standby while the owner cannot be reached.
+    /// Chooses the next member: a hint, the owner, or the standby while the owner is suspect.
     fn next_target(&self, view: &View, plan: &Plan, search: &Search) -> Option<MemberId> {
         if let Some(hint) = search.hint {
             return Some(hint);
@@ -281,17 +280,17 @@
 }
 
 impl Search {
-    /// Lets a search go on for as long as a new one, after it has waited.
+    /// Gives a search that has waited the time of a new one.
     fn extend(&mut self, plan: &Plan) {
         self.soft_end = plan.deadline.min(clock::now() + SEARCH_TIMEOUT);
         self.end = self.end.max(self.soft_end);
         self.backoff.reset();
     }
 
-    /// Decides after a refusal; an error is the final answer.
+    /// Decides whether the search continues after a refusal; an error is the final answer.
     ///
-    /// A request that may run once is safe to try again after a lost try: the
-    /// owner and the standby remember its identity, and run it at most once.
+    /// A request that runs at most once may be retried after a lost attempt, since owner and
+    /// standby deduplicate it by its identity.
     fn handle_refusal(&mut self, plan: &Plan, refusal: Refusal) -> Result<(), Refusal> {
         match refusal.reason {
             Reason::NotOwner
@@ -309,13 +308,13 @@
         Ok(())
     }
 
-    /// Notes a try that may have run.
+    /// Records an attempt that an upstream may have run.
     fn mark_lost(&mut self, refusal: Refusal) {
         self.may_have_run = true;
         self.last_refusal = refusal.after(RETRY_AFTER);
     }
 
-    /// Returns the final answer; "not run" only if no try may have run.
+    /// Returns the final refusal, which is "not run" only if no attempt can have run.
     fn final_refusal(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run {
             return Refusal { verdict: Verdict::Unknown, ..refusal };
--- a/acaciaringd/src/router/member_backoff/tests.rs
+++ b/acaciaringd/src/router/member_backoff/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how often a search asks the same member.
+//! Tests of the backoff of a search.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const MEMBER: MemberId = MemberId(3);
 
-/// Times at which a search that looks each millisecond asks the member.
+/// Returns the times at which a search that checks each millisecond asks the member.
 fn ask_times(millis: u64, version: impl Fn(u64) -> Option<Offset>) -> Vec<u64> {
     let mut backoff = MemberBackoff::default();
     let mut times = Vec::new();
@@ -22,15 +22,14 @@
     times
 }
 
-// A unit has no server for longer than the search of a request, and the member that should serve it says
-// that it is not the owner. It was asked 15 times in 150 ms.
+// Guards against a search that asks a member which does not serve the unit over and over.
 #[test]
 fn a_member_without_news_is_asked_three_times_in_a_search() {
     assert_eq!(ask_times(150, |_| None).len(), 3);
     assert!(ask_times(2500, |_| None).len() < 18);
 }
 
-// Halfway through the log names another owner: whoever it is is asked at once, also a member asked before.
+// Guards against a backoff that delays the request after the assignment has changed.
 #[test]
 fn a_member_is_asked_at_once_when_the_assignment_changes() {
     let changed = 100;
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -1,4 +1,7 @@
-//! Entry: finds the route and the owner of a caller's request, and brings the answer back.
+//! Request router: finds the route and owner of a client request and returns the answer.
+//!
+//! Keyed services send a request to the owner of its key, pooled ones to any member whose upstream
+//! serves the workspace.
 
 mod keyed;
 mod member_backoff;
@@ -48,19 +51,19 @@
 use crate::view::{Shared, View};
 use crate::wire;
 
-/// HTTP status of a body above the route's limit.
+/// HTTP status for a request body above the route's limit.
 const PAYLOAD_TOO_LARGE: u16 = 413;
 
-/// Shortest time that a message states.
+/// Smallest latency target sent to another member; zero on the wire means that there is none.
 const MIN_AIM: Duration = Duration::from_millis(1);
 
-/// When a caller may come back after its request could not reach an owner.
+/// Retry delay sent to a client whose request could not reach an owner.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Part of the time that a member named after which those come back whom the entry refuses for it.
+/// Random factor for the retry delay of a request that is refused on behalf of a full member.
 const RETRY_JITTER: Range<f64> = 0.75..1.25;
 
-/// Entry of one process.
+/// Routes the client requests that this process receives.
 pub(crate) struct Router {
     pub(crate) shared: Arc<Shared>,
     pub(crate) gate: Arc<Gate>,
@@ -68,43 +71,43 @@
     pub(crate) choice: Mutex<Choice>,
     pub(crate) budgets: RetryBudgets,
     pub(crate) suspects: Suspects,
-    /// What members refused a moment ago, being full.
+    /// Recent refusals of members whose queues were full.
     pub(crate) full_queues: Mutex<FullQueues>,
     pub(crate) outages: Outages,
     pub(crate) metrics: Metrics,
     pub(crate) wait_limit: WaitLimit,
-    /// Shares of routes that are shared out.
+    /// Weighted split of routes that several workspaces serve.
     pub(crate) splits: TrafficSplits,
-    /// Times that callers of each class state.
+    /// Timeouts that clients of each class state.
     pub(crate) timeouts: TimeoutHistory,
     pub(crate) declarations: Arc<Declarations>,
-    /// Bound on the lines about requests without an answer.
+    /// Rate limit of the log lines about requests without an answer.
     pub(crate) log_limit: Ration,
-    /// Bound on the lines about requests that were answered late.
+    /// Rate limit of the log lines about requests that were answered late.
     pub(crate) late_limit: Ration,
-    /// How late this process is.
+    /// Measures the scheduling lag of this process.
     pub(crate) pulse: Arc<Pulse>,
 }
 
-/// What is known of a caller's request before it is sent on.
+/// A client request with its route and deadlines, ready to be sent to members.
 struct Plan {
     route: Arc<Route>,
     class: Class,
     key: Option<KeyHash>,
     deadline: Time,
-    /// Time up to which an answer is in time, where a later one is of less use.
+    /// Time by which the class's latency target is met; `None` without a target.
     aim: Option<Time>,
     request: Request,
-    /// Name by which the caller finds the request in logs.
+    /// Name by which the client finds the request in logs.
     label: String,
     received: Time,
-    /// Tries so far, and the member of the last one, for the logs.
+    /// Number of attempts and the member of the last one, for the logs.
     tries: AtomicU32,
     last_member: AtomicU64,
 }
 
 impl Plan {
-    /// Returns the time that the request has, as a queue looks at it.
+    /// Returns the request's rank and remaining times, by which a queue admits it.
     fn slack(&self, now: Time) -> Slack {
         let left = self.deadline.since(now);
         Slack { rank: self.class.rank, aim: self.aim.map_or(left, |aim| aim.since(now)), left }
@@ -112,7 +115,7 @@
 }
 
 impl Router {
-    /// Answers a caller's request; when the future is dropped, its work is cancelled.
+    /// Answers a client request; dropping the future cancels its work.
     pub(crate) async fn handle(&self, request: EntryRequest) -> EntryAnswer {
         let received = request.received;
         let label = request.label.clone();
@@ -128,7 +131,7 @@
         answer
     }
 
-    /// Writes a line for a request that was refused before a member was chosen, within the bound of such lines.
+    /// Logs, rate limited, a request that was refused before a member was chosen.
     fn log_refused(&self, label: &str, answer: &EntryAnswer) {
         let Some(left_out) = self.log_limit.admit(clock::now()) else { return };
         let reason = answer.reason.map_or("", Reason::as_str);
@@ -138,11 +141,11 @@
             reason,
             declared = self.declarations.version(),
             left_out,
-            "request refused at the entry"
+            "request refused before a member was chosen"
         );
     }
 
-    /// Writes a line for a request without a whole answer of an upstream, within the bound of such lines.
+    /// Logs, rate limited, a request without a complete answer of an upstream.
     fn log_unanswered(&self, plan: &Plan, refusal: Refusal) {
         let now = clock::now();
         let Some(left_out) = self.log_limit.admit(now) else { return };
@@ -166,7 +169,7 @@
         );
     }
 
-    /// Counts the verdict of a request, also of one that the entry refuses itself.
+    /// Counts the verdict of a request, including those that this process refuses itself.
     pub(crate) fn count_verdict(&self, verdict: Verdict) {
         let counter = match verdict {
             Verdict::Answered => Counter::RequestsAnswered,
@@ -176,7 +179,7 @@
         self.metrics.count(counter, 1);
     }
 
-    /// Writes a line for a request that was answered after its time, within the bound of such lines.
+    /// Logs, rate limited, a request that was answered after its latency target.
     fn log_late(&self, plan: &Plan, answer: &Answer) {
         let now = clock::now();
         let Some(aim) = plan.aim.filter(|aim| now > *aim) else { return };
@@ -239,9 +242,9 @@
         })
     }
 
-    /// Returns up to when an answer is in time, counted from the caller's first try.
+    /// Returns the time by which the latency target is met, counted from the client's first try.
     ///
-    /// What is critical is never put off for its caller's having waited.
+    /// The time that a client has already waited never counts against a critical request.
     fn aim(&self, route: &Route, class: &Class, request: &EntryRequest) -> Option<Time> {
         let target = class.target?;
         let waited = request.deadline.filter(|_| class.rank != Rank::Critical).map(|asked| {
@@ -250,12 +253,11 @@
         Some(request.received + target.saturating_sub(waited.unwrap_or_default()))
     }
 
-    /// Refuses requests while this member has no standing among the others.
+    /// Refuses requests while this process may not be a member of the cluster.
     ///
-    /// Guards against an evicted member that still takes requests by an old
-    /// configuration: `accepted` waits for all members but the evicted ones, so
-    /// a member that may be evicted must not act on what it knows. Where the configuration is
-    /// declared, it is enough that others know this process.
+    /// Guards against an evicted member that routes requests by an old configuration: a change is
+    /// `accepted` without waiting for evicted members, so routing needs a valid lease. Where the
+    /// configuration is declared, it is enough that other members know this process.
     fn check_membership(&self) -> Result<(), Refusal> {
         let admitted = if self.shared.declares {
             self.shared.is_known()
@@ -268,7 +270,8 @@
         Err(Refusal::not_run(Reason::NoLease).after(RETRY_AFTER))
     }
 
-    /// Returns the refusal of a request without route; a member without configuration knows of none.
+    /// Returns the refusal of a request without a route, which may be tried again while this
+    /// process has no configuration yet.
     fn unrouted(&self) -> Refusal {
         if self.shared.declares && !self.shared.is_ready() {
             return Refusal::not_run(Reason::NoLease).after(RETRY_AFTER);
@@ -276,7 +279,7 @@
         Refusal::not_run(Reason::NoRoute)
     }
 
-    /// Decides whether a request may be tried again, within what all members share.
+    /// Decides whether a request may be retried, within the retry budget shared by all members.
     fn decide_retry(&self, now: Time, plan: &Plan, failure: &Failure) -> RetryDecision {
         let members = self.shared.view().state.members().count();
         let (service, class) = (&plan.route.workspace, &plan.class.name);
@@ -302,7 +305,7 @@
         }
     }
 
-    /// Makes one try at a member; an error is one whose member has gone silent.
+    /// Sends the request to one member; the error is an attempt whose member stopped responding.
     async fn attempt(
         &self,
         plan: &Plan,
@@ -333,10 +336,10 @@
 }
 
 impl Router {
-    /// Notes that another member refused a request because its queue was full.
+    /// Records that another member refused a request because its queue was full.
     ///
-    /// The time that is left by now is less than what the member looked at, so the memory holds for
-    /// fewer requests than it might, never for more.
+    /// Less time is left now than when the member decided, so the record applies to too few
+    /// requests rather than to too many.
     fn record_full(&self, plan: &Plan, target: MemberId, refusal: Refusal) {
         let Refusal { reason: Reason::Busy, retry: Some(retry), .. } = refusal else { return };
         if self.shared.view().me != Some(target) {
@@ -345,16 +348,16 @@
         }
     }
 
-    /// Returns the refusal of a request whose owner would refuse it, being full.
+    /// Returns a refusal if the owner's queue was recently full for requests like this one.
     fn refuse_full(&self, now: Time, plan: &Plan, owner: MemberId) -> Option<Refusal> {
         let retry = self.full_queues.lock().refuses(now, owner, plan.slack(now))?;
         plan.last_member.store(owner.0, Ordering::Relaxed);
         Some(self.full_refusal(retry))
     }
 
-    /// Takes out the members that would refuse a request, being full.
+    /// Removes the members whose queues were recently full for requests like this one.
     ///
-    /// Returns their refusal when only members are left that were tried.
+    /// Returns a refusal if that leaves no member that has not been tried.
     fn exclude_full(
         &self,
         now: Time,
@@ -367,7 +370,7 @@
         retry.filter(|_| all_tried).map(|retry| self.full_refusal(retry))
     }
 
-    /// Returns the refusal of a request that is not sent on; refused alike, callers would return together.
+    /// Returns the refusal of a request that is not forwarded; jitter spreads the clients' retries.
     fn full_refusal(&self, retry: Duration) -> Refusal {
         self.metrics.count(Counter::RequestsFull, 1);
         let retry = retry.mul_f64(rand::rng().random_range(RETRY_JITTER));
@@ -375,13 +378,13 @@
     }
 }
 
-/// Refuses a request that has waited for so long before it was read that it would hardly be in time.
+/// Refuses a request that waited unread for more than half of its latency target.
 fn check_lag(class: &Class, lag: Duration) -> Result<(), Refusal> {
     let too_late = |target: Duration| lag > target / 2;
     if class.rank == Rank::Critical || !class.target.is_some_and(too_late) {
         return Ok(());
     }
-    // Refused together, they would return together.
+    // Jitter spreads the retries of requests that are refused at the same time.
     Err(Refusal::not_run(Reason::Busy).after(lag.mul_f64(rand::rng().random_range(1.0..2.0))))
 }
 
--- a/acaciaringd/src/router/outages.rs
+++ b/acaciaringd/src/router/outages.rs
@@ -1,4 +1,4 @@
-//! Units that this entry found without a server.
+//! Units for which this process found no server.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,17 +6,17 @@
 use acaciaring_core::{Name, Time, UnitId};
 use parking_lot::Mutex;
 
-/// Most units that are remembered; further ones are not measured.
+/// Largest number of outages that are measured at a time.
 const MAX_UNITS: usize = 4096;
 
-/// When units were first found without a server.
+/// Start times of the outages of units.
 #[derive(Debug, Default)]
 pub(crate) struct Outages {
     since: Mutex<HashMap<(Name, UnitId), Time>>,
 }
 
 impl Outages {
-    /// Notes that a unit has no server.
+    /// Records that a unit has no server.
     pub(crate) fn begin(&self, now: Time, workspace: &Name, unit: UnitId) {
         let mut since = self.since.lock();
         if since.len() < MAX_UNITS {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Notes that a unit has a server; returns for how long it had none.
+    /// Records that a unit has a server; returns the length of its outage, if it had one.
     pub(crate) fn end(
         &self,
         now: Time,
--- a/acaciaringd/src/router/outcome.rs
+++ b/acaciaringd/src/router/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of one try, and what the caller is told of it.
+//! Outcome of one attempt, and the answer or refusal that the client gets for it.
 
 use acaciaring_core::{MemberId, Reason, Refusal, Verdict};
 use acaciaring_schema::peer::Answer;
@@ -8,31 +8,31 @@
 use crate::peer::RequestOutcome;
 use crate::wire;
 
-/// What a caller is told of a request that may have run.
+/// Refusal of a request that an upstream may have run.
 pub(super) const LOST_ANSWER: Refusal = Refusal::unknown(Reason::LostAnswer);
 
-/// What a member reports on its answers.
+/// Load that a member reports with its answers.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Load {
     pub(super) busy: u32,
-    /// Requests that may run at once; 0 while the upstream asks to be left alone.
+    /// Requests that may run concurrently; zero while the upstream accepts none.
     pub(super) capacity: u32,
 }
 
-/// What came of one try.
+/// Outcome of one attempt.
 pub(super) enum AttemptOutcome {
     /// The upstream answered.
     Answered(Answer),
     /// The member refused.
     Refused { refusal: Refusal, owner: Option<MemberId>, load: Load },
-    /// The request did not arrive and never will.
+    /// The request did not arrive and cannot arrive later.
     Undelivered,
-    /// The request may have run.
+    /// The request may have run, but its answer is lost.
     Lost,
 }
 
 impl AttemptOutcome {
-    /// Returns the answer, or what the caller is told without a further try.
+    /// Returns the answer, or the refusal that the client gets without a retry.
     pub(super) fn result(self) -> Result<Answer, Refusal> {
         match self {
             Self::Answered(answer) => Ok(answer),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns true when an upstream has seen a try, or may have.
+/// Returns true if an upstream has received the request, or may have.
 pub(super) fn reached_upstream(refusal: Refusal) -> bool {
     refusal.verdict == Verdict::Unknown || refusal.reason == Reason::Shed
 }
@@ -63,7 +63,7 @@
     }
 }
 
-/// Adds when to come back to a refusal that does not say it and may end by itself.
+/// Adds a retry delay to a temporary refusal that has none.
 pub(super) fn with_retry_after(refusal: Refusal) -> Refusal {
     let lasting = matches!(refusal.reason, Reason::NoRoute | Reason::BadRequest);
     if refusal.verdict != Verdict::NotRun || lasting {
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -1,4 +1,4 @@
-//! Requests to services that are not divided by key.
+//! Routing of requests to services that are not partitioned by key.
 
 use std::time::Duration;
 
@@ -15,33 +15,33 @@
 use crate::peer::BoxFuture;
 use crate::view::View;
 
-/// Members that may take a request.
+/// Members whose upstream serves the workspace of a request.
 struct Candidates {
     all: Vec<MemberId>,
-    /// This process's own, if it is one of them.
+    /// This process, if it is one of them.
     own: Option<MemberId>,
-    /// Those of this data centre, this process's own among them.
+    /// Members in the data centre of this process, including itself.
     near: Vec<MemberId>,
 }
 
-/// Progress of one request.
+/// Attempts made for one request.
 #[derive(Default, Clone)]
 struct Progress {
     tried: Vec<MemberId>,
     tries: u32,
-    /// Tries that no upstream has seen.
+    /// Attempts that reached no upstream.
     unseen: u32,
-    /// True once a try may have reached an upstream.
+    /// True once an upstream may have run the request.
     may_have_run: bool,
 }
 
 impl Router {
-    /// Brings a request to one of the members whose upstream serves the workspace.
+    /// Sends a request to one of the members whose upstream serves the workspace.
     pub(super) async fn route_pooled(&self, plan: &Plan) -> Result<Answer, Refusal> {
         self.try_members(plan, Progress::default()).await
     }
 
-    /// Makes tries until one is answered or no further one is allowed.
+    /// Tries members until one answers or no further retry is allowed.
     async fn try_members(&self, plan: &Plan, mut progress: Progress) -> Result<Answer, Refusal> {
         loop {
             let view = self.shared.view();
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Makes further tries after a pause.
+    /// Continues with further members after a delay.
     fn resume_tries<'a>(
         &'a self,
         plan: &'a Plan,
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Makes a try and lets the choice learn from it.
+    /// Sends the request to a member and reports the outcome to the load balancer.
     async fn attempt_tracked(
         &self,
         plan: &Plan,
@@ -109,12 +109,12 @@
     ) -> Result<AttemptOutcome, StalledAttempt> {
         let flight = InFlight::new(self, target);
         let outcome = self.attempt(plan, view, target).await;
-        // Others are better off elsewhere while the member is silent.
+        // Counts as a failure, so that other requests avoid a member that does not respond.
         flight.end(outcome.as_ref().unwrap_or(&AttemptOutcome::Lost));
         outcome
     }
 
-    /// Chooses a member not tried yet, or one tried before when there is no other.
+    /// Chooses a member that has not been tried, or one that has when there is no other.
     fn choose(&self, now: Time, candidates: &Candidates, tried: &[MemberId]) -> Option<MemberId> {
         let own = candidates.own.map(|member| {
             let (busy, capacity) = self.gate.load();
@@ -124,7 +124,7 @@
         self.choice.lock().choose_near(now, &mut rand::rng(), near, &candidates.all, tried)
     }
 
-    /// Returns the refusal of a request for which there is no member.
+    /// Returns the refusal of a request for which no member is available.
     fn no_member(&self, now: Time, candidates: &[MemberId]) -> Refusal {
         match self.choice.lock().opening(now, candidates) {
             Some(retry) => Refusal::not_run(Reason::Busy).after(retry),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns after which pause a further try may go out; `None` when none may.
+    /// Returns the delay before the next attempt; `None` when there may be none.
     fn retry_delay(
         &self,
         plan: &Plan,
@@ -156,7 +156,7 @@
             return None;
         };
         if !elsewhere {
-            // Each member was tried; after the pause they may be tried again.
+            // Each member was tried; all are candidates again after the delay.
             progress.tried.clear();
         }
         Some(after)
@@ -170,25 +170,27 @@
         self.may_have_run |= refusal.verdict == Verdict::Unknown;
     }
 
-    /// Returns how many tries a class allows, those not counted that no upstream has seen.
+    /// Returns the limit on attempts, to which those that reached no upstream do not count.
+    ///
+    /// A limit of zero means none.
     fn max_tries(&self, tries: u32) -> u32 {
         if tries > 0 { tries + self.unseen } else { 0 }
     }
 
-    /// Returns the final answer; "not run" only if no try may have run.
+    /// Returns the final refusal, which is "not run" only if no attempt can have run.
     ///
-    /// Guards against a lost answer followed by a refusal elsewhere: the caller would be told
-    /// that nothing ran, from the last try alone.
+    /// Guards against a lost answer followed by a refusal of another member: the last attempt
+    /// alone would tell the client that nothing ran.
     fn final_refusal(&self, refusal: Refusal) -> Refusal {
         let verdict = if self.may_have_run { Verdict::Unknown } else { refusal.verdict };
         Refusal { verdict, ..refusal }
     }
 }
 
-/// Request of this entry at a member, counted there until it ends.
+/// Counts a request as in flight at a member until it is dropped.
 ///
-/// Guards against a panic on the way: the member would count one request in flight for ever and
-/// get less than its share.
+/// Guards against a panic before the end of the request: the count would stay too high and the
+/// member would get less than its share of requests.
 struct InFlight<'a> {
     router: &'a Router,
     target: MemberId,
@@ -232,10 +234,10 @@
     }
 }
 
-/// Returns what a refusal says of the member.
+/// Returns what a refusal tells the load balancer about the member.
 ///
-/// A full queue concerns the class and deadline of the one request: a member that refuses
-/// background work still takes critical work, so it is not left alone for it.
+/// A full queue depends on the class and deadline of the request: a member that refuses
+/// background work still accepts critical work, so the member is not avoided for it.
 fn choice_feedback(refusal: Refusal, load: Load) -> Sent {
     match refusal.reason {
         Reason::Busy if load.capacity == 0 => Sent::Refused(refusal.retry),
@@ -260,7 +262,7 @@
         Self { all, own, near }
     }
 
-    /// Leaves out of those that are near what was taken out of all.
+    /// Removes from `near` and `own` the members that were removed from `all`.
     fn sync_near(&mut self) {
         self.near.retain(|id| self.all.contains(id));
         self.own = self.own.filter(|own| self.near.contains(own));
--- a/acaciaringd/src/router/retry_budgets.rs
+++ b/acaciaringd/src/router/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of retries, one for each class of each service.
+//! Retry budgets by service and class.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use acaciaring_core::{Name, Time};
 use parking_lot::Mutex;
 
-/// Retries of one service that all members together may make, beyond the share of first tries.
+/// Retries of one service that all members may make together, beyond those earned by first tries.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ClusterBudget {
     /// Retries in each window.
@@ -16,9 +16,9 @@
     pub(crate) window: Duration,
 }
 
-/// Budgets of one entry.
+/// Retry budgets of this process.
 ///
-/// With one for all, an overload of one class would use up the retries that the others need.
+/// Each class has its own, so that an overload of one cannot use up the retries of the others.
 #[derive(Debug)]
 pub(crate) struct RetryBudgets {
     settings: RetrySettings,
@@ -27,17 +27,17 @@
 }
 
 impl RetryBudgets {
-    /// Makes budgets that are full.
+    /// Creates the budgets, initially full.
     pub(crate) fn new(settings: RetrySettings, cluster: ClusterBudget) -> Self {
         Self { settings, cluster, buckets: Mutex::default() }
     }
 
-    /// Notes the first try of a request of a class.
+    /// Records the first try of a request, which earns a part of a retry.
     pub(super) fn first_try(&self, now: Time, workspace: &Name, class: &Name) {
         self.with_budget(now, workspace, class, |budget| budget.first_try(now));
     }
 
-    /// Decides what to do after a failed try of a request of a class, as one of so many members.
+    /// Decides what follows a failed try, in a cluster of `members`.
     pub(super) fn next(
         &self,
         now: Time,
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Returns how many buckets the common budget of a service is divided among.
+    /// Returns the number of buckets among which the cluster budget of a service is divided.
     #[expect(clippy::cast_precision_loss, reason = "a few thousand at most")]
     fn bucket_count(&self, members: usize, workspace: &Name) -> f64 {
         let buckets = self.buckets.lock();
--- a/acaciaringd/src/router/retry_budgets/tests.rs
+++ b/acaciaringd/src/router/retry_budgets/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the budgets of retries.
+//! Tests of the retry budgets.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use super::{ClusterBudget, RetryBudgets};
 
-/// Common budget that binds nobody.
+/// Cluster budget that limits nothing.
 const AMPLE: ClusterBudget = ClusterBudget { burst: 1e6, window: Duration::from_secs(10) };
 
-/// First try of a request, refused by a member while another may take it.
+/// First try of a request, refused by one member while another may accept it.
 const BUSY: Failure = Failure {
     refusal: Refusal::not_run(Reason::Busy),
     repeat: Repeat::Idempotent,
@@ -23,8 +23,7 @@
     most: 0,
 };
 
-// Samples fail by the hundred and use up their retries. A request to grade, of another class of the
-// same service, is tried again all the same.
+// Guards against a failing class that uses up the retries of another class of the service.
 #[test]
 fn a_class_leaves_the_retries_of_others() {
     let budgets = RetryBudgets::new(RetrySettings::default(), AMPLE);
@@ -32,13 +31,12 @@
     let (lab, samples, grade) = (Name::from("lab"), Name::from("samples"), Name::from("grade"));
     let next = |class| budgets.next(now, 1, &lab, class, &BUSY);
     let allowed = (0..100).take_while(|_| next(&samples) != RetryDecision::GiveUp).count();
-    assert!(allowed < 100, "the retries of a class have no bound");
+    assert!(allowed < 100, "the retries of a class are unlimited");
     assert_eq!(next(&samples), RetryDecision::GiveUp);
     assert!(matches!(next(&grade), RetryDecision::Retry { .. }));
 }
 
-// An upstream that answers nothing is common to ten members, and each has its budget full. In ten
-// seconds they may repeat 50 requests in all; each spends a part of that, not a budget of its own.
+// Guards against members that each spend the cluster budget of a service in full.
 #[test]
 fn members_share_the_retries_of_a_service() {
     let cluster = ClusterBudget { burst: 50.0, window: Duration::from_secs(10) };
@@ -57,7 +55,7 @@
     assert!((20..=50).contains(&allowed), "{allowed} retries in one window");
 }
 
-// A class allows two tries. The second may be made, a third may not, however full the budget is.
+// Guards against a request with more tries than its class allows while the budget is full.
 #[test]
 fn a_class_bounds_the_tries_of_a_request() {
     let budgets = RetryBudgets::new(RetrySettings::default(), AMPLE);
--- a/acaciaringd/src/router/stalled.rs
+++ b/acaciaringd/src/router/stalled.rs
@@ -1,4 +1,4 @@
-//! Tries at members that have gone silent: their answers may yet come.
+//! Attempts at members that stopped responding, whose answers may still arrive.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::metrics::Timer;
 use crate::peer::{RequestOutcome, Running};
 
-/// Try at a member that has gone silent.
+/// Attempt at a member that stopped responding.
 pub(super) struct StalledAttempt {
     target: MemberId,
     address: SocketAddr,
@@ -22,7 +22,7 @@
 }
 
 impl Router {
-    /// Makes a try at another member, up to its end or until the member has gone silent.
+    /// Forwards a request to another member until it ends or the member stops responding.
     pub(super) async fn forward(
         &self,
         target: MemberId,
@@ -38,11 +38,11 @@
         }
     }
 
-    /// Waits for a try at a silent member up to its end.
+    /// Waits for the end of a stalled attempt.
     ///
-    /// Guards against a member without processor that is taken for a lost one: its upstream would
-    /// end with a whole answer that nobody takes. That the log calls the member dead is no
-    /// proof either: its process may go on, and join anew as another.
+    /// Guards against losing the answer of a member that is only starved of processor time. That
+    /// the log declares it dead is no proof either: its process may live on and rejoin as another
+    /// member.
     pub(super) async fn await_stalled(&self, stalled: StalledAttempt) -> AttemptOutcome {
         let StalledAttempt { target, address, start, running } = stalled;
         let outcome = running.end().await;
@@ -53,7 +53,7 @@
         ended
     }
 
-    /// Goes on elsewhere while a member is silent, and takes the answer that comes first.
+    /// Runs `rest` beside a stalled attempt and returns the first answer.
     pub(super) async fn race_stalled(
         &self,
         stalled: StalledAttempt,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns what a caller is told of two tries; "not run" only if neither may have run.
+/// Combines the refusals of two attempts; the result is "not run" only if neither can have run.
 fn combine(first: Refusal, last: Refusal) -> Refusal {
     if first.verdict == Verdict::Unknown { first } else { last }
 }
--- a/acaciaringd/src/router/suspects/tests.rs
+++ b/acaciaringd/src/router/suspects/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how long a member is tried last.
+//! Tests of how long a suspect member is avoided.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 
 const DEAD: MemberId = MemberId(7);
 
-// The log is down and a dead owner stays owner in it. Each try at it costs a caller the connect
-// time-out, so the tries get rare; one caller makes each, while the others go to the standby.
+// Guards against a dead owner that costs many requests the connect timeout while the log is down
+// and cannot evict it.
 #[test]
 fn tries_at_a_dead_owner_get_rare() {
     let suspects = Suspects::default();
@@ -20,7 +20,7 @@
     let (mut now, mut tries) = (start, Vec::new());
     while now < end {
         if !suspects.should_avoid(now, DEAD) {
-            assert!(suspects.should_avoid(now, DEAD), "a second caller tries at {now:?}");
+            assert!(suspects.should_avoid(now, DEAD), "a second caller probes at {now:?}");
             suspects.add(now + Duration::from_millis(500), DEAD);
             tries.push(now);
         }
--- a/acaciaringd/src/router/timeout_history.rs
+++ b/acaciaringd/src/router/timeout_history.rs
@@ -1,4 +1,4 @@
-//! For how long callers wait, and so which of them have come before.
+//! Timeouts that clients state, from which the waiting time of a retrying client is estimated.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,20 +7,20 @@
 use acaciaring_core::{Name, Time};
 use parking_lot::Mutex;
 
-/// Time for which the longest span that callers stated counts, and twice that at most.
+/// Window of the longest stated timeout, which counts for this window and the next.
 ///
-/// Callers of a class state the same span at first; a minute is long enough to see it, and short
-/// enough to follow operators who change it.
+/// Clients of a class state the same timeout on their first try; the window is long enough to see
+/// one of these, and short enough to follow a change of that timeout.
 const WINDOW: Duration = Duration::from_mins(1);
 
-/// Classes that are remembered; beyond it all begin anew.
+/// Largest number of classes with a history; above it all are cleared.
 const MAX_CLASSES: usize = 4096;
 
-/// Longest spans that callers have stated lately, by service and class.
+/// Longest timeouts that clients have stated recently, by service and class.
 ///
-/// A caller that was refused and has come back states what is left of its time. Guards against an
-/// overload in which it counts like a new one: its answer is wanted as soon as was that of its
-/// first try, and it would be served late after it was passed by others that can wait.
+/// A client that retries after a refusal states what is left of its timeout. Guards against an
+/// overload in which a retry is queued like a new request: its latency target counts from the first
+/// try, so it would be answered late behind requests that can wait.
 #[derive(Debug, Default)]
 pub(crate) struct TimeoutHistory {
     seen: Mutex<HashMap<(Name, Name), LongestTimeout>>,
@@ -34,7 +34,7 @@
 }
 
 impl TimeoutHistory {
-    /// Returns for how long a caller that states `asked` has probably been waiting.
+    /// Estimates for how long a client that states this timeout has already been waiting.
     pub(super) fn estimate_wait(
         &self,
         now: Time,
--- a/acaciaringd/src/router/timeout_history/tests.rs
+++ b/acaciaringd/src/router/timeout_history/tests.rs
@@ -14,8 +14,7 @@
     history.estimate_wait(now, &Name::from("permits"), &Name::from(class), stated)
 }
 
-// A clerk is refused at a full counter and comes back half a second later. The counter sees
-// nothing of the first visit but that the clerk has less time than others of the kind.
+// Guards against a retrying client that is taken for a new one: it states a shorter timeout.
 #[test]
 fn a_caller_that_comes_back_is_known_by_its_time() {
     let history = TimeoutHistory::default();
@@ -25,12 +24,11 @@
     assert_eq!(
         estimate_wait(&history, at(2), "sign", retried),
         Duration::ZERO,
-        "classes are apart"
+        "classes are independent"
     );
 }
 
-// Callers are told to wait for a shorter time than before. For two minutes the new ones look as if
-// they had waited; then the old span is forgotten.
+// Guards against clients with a newly shortened timeout that count as retries for good.
 #[test]
 fn a_span_that_nobody_states_any_more_is_forgotten() {
     let history = TimeoutHistory::default();
--- a/acaciaringd/src/router/traffic_splits.rs
+++ b/acaciaringd/src/router/traffic_splits.rs
@@ -1,4 +1,4 @@
-//! Routes that are shared out among several workspaces by weight.
+//! Weighted split of a route's requests among several workspaces.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,20 +6,20 @@
 use acaciaring_core::route::Route;
 use parking_lot::Mutex;
 
-/// What each part of a route is owed, in parts of the sum of weights.
+/// Smooth weighted round robin over the parts of each route.
 ///
-/// The part that is owed most gets the next request, so that each span of requests is shared out
-/// by weight as evenly as whole requests allow; a random choice would stray in short spans.
+/// The part with the largest credit gets the next request. Any short run of requests is thus split
+/// by weight, which a random choice achieves only on average.
 #[derive(Debug, Default)]
 pub(crate) struct TrafficSplits {
     credits: Mutex<HashMap<RouteKey, Vec<i64>>>,
 }
 
-/// Host and prefix of a route, with its weights: other weights begin anew.
+/// Host, prefix and weights of a route; a change of weights starts with new credits.
 type RouteKey = (Option<Arc<str>>, Arc<str>, Vec<u32>);
 
 impl TrafficSplits {
-    /// Returns the part of a route that serves its next request, or the route itself.
+    /// Returns the part of a route that gets the next request, or the route itself if it has none.
     pub(crate) fn pick(&self, route: Arc<Route>) -> Arc<Route> {
         if route.parts.is_empty() {
             return route;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Routes that are remembered; beyond it all begin anew.
+/// Largest number of routes with credits; above it all are cleared.
 const MAX_ROUTES: usize = 4096;
 
 #[cfg(test)]
--- a/acaciaringd/src/router/traffic_splits/tests.rs
+++ b/acaciaringd/src/router/traffic_splits/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of routes that are shared out.
+//! Tests of the weighted split of routes.
 
 use std::collections::BTreeMap;
 
--- a/acaciaringd/src/router/wait_limit.rs
+++ b/acaciaringd/src/router/wait_limit.rs
@@ -1,29 +1,29 @@
-//! Bound on the requests that wait for a takeover.
+//! Limit on the requests that wait for a takeover.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Requests that search for longer than others, at most a fixed number.
+/// Limits the number of requests that wait for a takeover at a time.
 #[derive(Debug)]
 pub(crate) struct WaitLimit {
     count: AtomicUsize,
     limit: usize,
 }
 
-/// Place of one request; free again when dropped.
+/// Permit of one waiting request, released on drop.
 #[derive(Debug)]
 pub(crate) struct WaitPermit<'a>(&'a WaitLimit);
 
 impl WaitLimit {
-    /// Makes places for `limit` requests.
+    /// Creates a limit of `limit` concurrent requests.
     pub(crate) const fn new(limit: usize) -> Self {
         Self { count: AtomicUsize::new(0), limit }
     }
 
-    /// Takes a place, if one is free.
+    /// Takes a permit, if one is free.
     pub(crate) fn try_acquire(&self) -> Option<WaitPermit<'_>> {
         let permit = WaitPermit(self);
         let before = self.count.fetch_add(1, Ordering::AcqRel);
-        // Dropping the guard gives the place back.
+        // Above the limit the permit is dropped here, which undoes the count.
         (before < self.limit).then_some(permit)
     }
 }
