--- a/acaciaringd/src/router/member_backoff/tests.rs
+++ b/acaciaringd/src/router/member_backoff/tests.rs
@@ -24,7 +24,7 @@
 
 // Guards against a search that asks a member which does not serve the unit over and over.
 #[test]
-fn a_member_without_news_is_asked_three_times_in_a_search() {
+fn a_member_is_asked_three_times_under_one_assignment() {
     assert_eq!(ask_times(150, |_| None).len(), 3);
     assert!(ask_times(2500, |_| None).len() < 18);
 }
--- a/acaciaringd/src/router/retry_budgets/tests.rs
+++ b/acaciaringd/src/router/retry_budgets/tests.rs
@@ -25,7 +25,7 @@
 
 // Guards against a failing class that uses up the retries of another class of the service.
 #[test]
-fn a_class_leaves_the_retries_of_others() {
+fn a_class_does_not_use_the_retries_of_others() {
     let budgets = RetryBudgets::new(RetrySettings::default(), AMPLE);
     let now = Time::ZERO + Duration::from_secs(1);
     let (lab, samples, grade) = (Name::from("lab"), Name::from("samples"), Name::from("grade"));
--- a/acaciaringd/src/router/timeout_history/tests.rs
+++ b/acaciaringd/src/router/timeout_history/tests.rs
@@ -16,7 +16,7 @@
 
 // Guards against a retrying client that is taken for a new one: it states a shorter timeout.
 #[test]
-fn a_caller_that_comes_back_is_known_by_its_time() {
+fn a_retrying_client_is_recognised_by_its_timeout() {
     let history = TimeoutHistory::default();
     assert_eq!(estimate_wait(&history, at(1), "look", TIMEOUT), Duration::ZERO);
     let retried = Duration::from_millis(1500);
@@ -30,7 +30,7 @@
 
 // Guards against clients with a newly shortened timeout that count as retries for good.
 #[test]
-fn a_span_that_nobody_states_any_more_is_forgotten() {
+fn a_timeout_that_is_no_longer_stated_is_forgotten() {
     let history = TimeoutHistory::default();
     estimate_wait(&history, at(1), "look", TIMEOUT);
     let short = TIMEOUT / 2;
--- a/acaciaringd/src/router/traffic_splits/tests.rs
+++ b/acaciaringd/src/router/traffic_splits/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn each_short_span_of_requests_is_shared_out_by_weight() {
+fn each_short_run_of_requests_is_split_by_weight() {
     let parts = vec![(90, route("books", Vec::new())), (10, route("lab", Vec::new()))];
     let whole = route("books", parts);
     let splits = TrafficSplits::default();
