--- a/acaciaringd/src/peer/attempt.rs
+++ b/acaciaringd/src/peer/attempt.rs
@@ -14,14 +14,14 @@
 use acaciaring_schema::peer::{Answer, Call, Reason, Reply, Request, Verdict, call, reply};
 
 use crate::clock;
-use crate::peer::exchange::{self, Sent, abandon, answers, cancel, watched};
+use crate::peer::exchange::{self, SentMessage, abandon, cancel, responds, wait_while_alive};
 use crate::peer::frame::{self, FrameError, FrameReader};
-use crate::peer::search::{Found, Search, Subject};
+use crate::peer::search::{AttemptInfo, Found, Search};
 use crate::peer::timeouts;
 use crate::peer::transport::Shared;
 
 /// Silent intervals after which a connection with a running request is tested.
-pub(super) const PATIENCE: u32 = 4;
+pub(super) const SILENT_INTERVALS: u32 = 4;
 
 /// What became of a request.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,12 +37,12 @@
 /// Request that is under way at a member.
 ///
 /// When it is dropped before its end, the member is told that the caller has gone away.
-pub struct Running {
+pub struct RunningRequest {
     outcome: Pin<Box<dyn Future<Output = RequestOutcome> + Send>>,
     silence: Arc<Notify>,
 }
 
-impl Running {
+impl RunningRequest {
     /// Sends a request, and brings back its answer over new connections if need be.
     pub(super) fn start(
         shared: Arc<Shared>,
@@ -51,12 +51,12 @@
         left: Duration,
     ) -> Self {
         let silence = Arc::new(Notify::new());
-        let told = Arc::clone(&silence);
+        let notify = Arc::clone(&silence);
         let outcome = async move {
             if shared.is_stopped() {
                 return RequestOutcome::NotDelivered;
             }
-            request(&shared, to, message, left, &told).await
+            request(&shared, to, message, left, &notify).await
         };
         Self { outcome: Box::pin(outcome), silence }
     }
@@ -64,7 +64,7 @@
     /// Waits for the end; `None` once the member has gone silent.
     ///
     /// Silence is no proof: the member may be without processor and its answer come later.
-    pub async fn heard(&mut self) -> Option<RequestOutcome> {
+    pub async fn outcome_or_silence(&mut self) -> Option<RequestOutcome> {
         tokio::select! {
             biased;
             outcome = &mut self.outcome => Some(outcome),
@@ -73,7 +73,7 @@
     }
 
     /// Waits for the end, however long the member is silent.
-    pub async fn end(self) -> RequestOutcome {
+    pub async fn outcome(self) -> RequestOutcome {
         self.outcome.await
     }
 }
@@ -109,12 +109,12 @@
             return RequestOutcome::NotDelivered;
         }
     };
-    let patience = exchange::patience(shared, &sent.link.conn, size);
-    let subject = Subject { to, attempt, start, deadline };
-    let hop = Hop { shared, subject, silence, arrived: false, sent };
-    let mut abandoned = Abandoned { shared, to, attempt, armed: true };
-    let outcome = time::timeout_at(deadline, hop.run(patience)).await;
-    abandoned.armed = outcome.is_err();
+    let ack_timeout = exchange::ack_timeout(shared, &sent.link.conn, size);
+    let info = AttemptInfo { to, attempt, start, deadline };
+    let sent_attempt = SentAttempt { shared, info, silence, arrived: false, sent };
+    let mut cancel_on_drop = CancelOnDrop { shared, to, attempt, armed: true };
+    let outcome = time::timeout_at(deadline, sent_attempt.run(ack_timeout)).await;
+    cancel_on_drop.armed = outcome.is_err();
     outcome.unwrap_or(RequestOutcome::Lost)
 }
 
@@ -122,14 +122,14 @@
 ///
 /// Guards against work for a caller that has left: the future of its request is dropped at any
 /// point, and the receiver would go on until the deadline.
-struct Abandoned<'a> {
+struct CancelOnDrop<'a> {
     shared: &'a Arc<Shared>,
     to: SocketAddr,
     attempt: u64,
     armed: bool,
 }
 
-impl Drop for Abandoned<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if self.armed {
             cancel(self.shared, self.to, self.attempt);
@@ -138,7 +138,7 @@
 }
 
 /// Reads an answer.
-async fn answer(reader: &mut FrameReader) -> Result<Answer, FrameError> {
+async fn read_answer(reader: &mut FrameReader) -> Result<Answer, FrameError> {
     match reader.next::<Reply>().await?.body {
         Some(reply::Body::Answer(answer)) => Ok(answer),
         _ => Err(FrameError::Unknown),
@@ -149,30 +149,30 @@
 ///
 /// Guards against a request that is refused for good by its own sender's question: it arrived
 /// after the question and its refusal was back before the reply to that.
-fn taken(answer: Answer) -> RequestOutcome {
+fn outcome_of_answer(answer: Answer) -> RequestOutcome {
     let refused = answer.verdict() == Verdict::NotRun && answer.reason() == Reason::Superseded;
     if refused { RequestOutcome::NotDelivered } else { RequestOutcome::Answer(answer) }
 }
 
 /// Returns the outcome if the stream of an attempt has told it.
-fn known(reply: Result<Answer, FrameError>) -> Option<RequestOutcome> {
+fn outcome_of_reply(reply: Result<Answer, FrameError>) -> Option<RequestOutcome> {
     match reply {
-        Ok(answer) => Some(taken(answer)),
+        Ok(answer) => Some(outcome_of_answer(answer)),
         Err(error) => error.refusal().map(|_| RequestOutcome::NotDelivered),
     }
 }
 
 /// One attempt that has been sent.
-struct Hop<'a> {
+struct SentAttempt<'a> {
     shared: &'a Arc<Shared>,
-    subject: Subject,
+    info: AttemptInfo,
     silence: &'a Notify,
     /// Whether the receiver has said that it has the attempt.
     arrived: bool,
-    sent: Sent,
+    sent: SentMessage,
 }
 
-impl Hop<'_> {
+impl SentAttempt<'_> {
     /// Waits for the answer, and at first for a sign that the request has got there.
     ///
     /// The sign is the acknowledgement of its bytes by the connection. It says that the other end
@@ -181,50 +181,50 @@
     /// While the other end answers on the connection, bytes that were lost on the way are sent again by
     /// the connection itself. Guards against a question whether the request has arrived that
     /// overtakes it: the request would be refused for good, though it gets there a moment later.
-    async fn run(mut self, patience: Duration) -> RequestOutcome {
+    async fn run(mut self, ack_timeout: Duration) -> RequestOutcome {
         let before = self.sent.link.received();
         let delivered = self.sent.stream.stopped();
         let reply = tokio::select! {
             biased;
-            reply = answer(&mut self.sent.reader) => Some(reply),
+            reply = read_answer(&mut self.sent.reader) => Some(reply),
             Ok(None) = delivered => None,
-            () = timeouts::pass(patience) => {
+            () = timeouts::wait(ack_timeout) => {
                 let silent = self.sent.link.received() == before;
-                if silent || !answers(self.shared, &self.sent.link.conn).await {
+                if silent || !responds(self.shared, &self.sent.link.conn).await {
                     return self.recover().await;
                 }
                 None
             }
         };
         if let Some(reply) = reply {
-            return self.end(reply).await;
+            return self.finish(reply).await;
         }
-        self.sent.link.heard.touch();
-        let answer = answer(&mut self.sent.reader);
-        match watched(self.shared, &self.sent.link, PATIENCE, answer).await {
-            Some(reply) => self.end(reply).await,
+        self.sent.link.liveness.touch();
+        let answer = read_answer(&mut self.sent.reader);
+        match wait_while_alive(self.shared, &self.sent.link, SILENT_INTERVALS, answer).await {
+            Some(reply) => self.finish(reply).await,
             None => self.recover().await,
         }
     }
 
     /// Ends with what the stream has brought.
-    async fn end(self, reply: Result<Answer, FrameError>) -> RequestOutcome {
+    async fn finish(self, reply: Result<Answer, FrameError>) -> RequestOutcome {
         match reply {
             Ok(answer) => {
-                self.sent.link.heard.touch();
+                self.sent.link.liveness.touch();
                 RequestOutcome::Answer(answer)
             }
-            Err(error) => self.broken(&error).await,
+            Err(error) => self.handle_error(&error).await,
         }
     }
 
     /// Goes on after the stream has failed.
-    async fn broken(self, error: &FrameError) -> RequestOutcome {
+    async fn handle_error(self, error: &FrameError) -> RequestOutcome {
         match error {
             error if error.refusal().is_some() => RequestOutcome::NotDelivered,
             FrameError::Broken { .. } | FrameError::Ended => {
-                let Self { shared, subject, silence, arrived, sent } = self;
-                let search = Search { shared, subject, silence, arrived, sent: &sent.link };
+                let Self { shared, info, silence, arrived, sent } = self;
+                let search = Search { shared, info, silence, arrived, sent: &sent.link };
                 match search.run().await {
                     Found::Outcome(outcome) => outcome,
                     Found::Forgotten | Found::Stopped => RequestOutcome::Lost,
@@ -236,13 +236,13 @@
 
     /// Looks for the attempt on new connections, still listening on the suspect one.
     async fn recover(self) -> RequestOutcome {
-        let Self { shared, subject, silence, arrived, mut sent } = self;
-        let Subject { to, attempt, .. } = subject;
+        let Self { shared, info, silence, arrived, mut sent } = self;
+        let AttemptInfo { to, attempt, .. } = info;
         debug!(%to, attempt, arrived, link = sent.link.id, "connection is suspect");
-        let search = Search { shared, subject, silence, arrived, sent: &sent.link };
+        let search = Search { shared, info, silence, arrived, sent: &sent.link };
         let mut search = pin!(search.run());
         let found = tokio::select! {
-            reply = answer(&mut sent.reader) => match known(reply) {
+            reply = read_answer(&mut sent.reader) => match outcome_of_reply(reply) {
                 Some(outcome) => Found::Outcome(outcome),
                 None => search.await,
             },
@@ -251,9 +251,12 @@
         let outcome = match found {
             Found::Outcome(outcome) => outcome,
             // Bytes that were lost on the way are sent again for as long as the connection stands.
-            Found::Forgotten => answer(&mut sent.reader).await.map_or(RequestOutcome::Lost, taken),
+            Found::Forgotten => {
+                read_answer(&mut sent.reader).await.map_or(RequestOutcome::Lost, outcome_of_answer)
+            }
             // What had come before the end is read before it is told.
-            Found::Stopped => known(answer(&mut sent.reader).await).unwrap_or(RequestOutcome::Lost),
+            Found::Stopped => outcome_of_reply(read_answer(&mut sent.reader).await)
+                .unwrap_or(RequestOutcome::Lost),
         };
         if outcome == RequestOutcome::NotDelivered {
             abandon(&mut sent.stream);
--- a/acaciaringd/src/peer/error.rs
+++ b/acaciaringd/src/peer/error.rs
@@ -71,7 +71,7 @@
 pub enum ConnectError {
     /// The member did not complete the handshake in time.
     #[snafu(display("no connection in time"))]
-    Late,
+    TimedOut,
     /// The member refused the connection, or the connection broke off.
     #[snafu(display("connection refused"))]
     Broken {
--- a/acaciaringd/src/peer/exchange.rs
+++ b/acaciaringd/src/peer/exchange.rs
@@ -24,28 +24,28 @@
 use crate::peer::transport::Shared;
 
 /// Tries to deliver a cancellation; the deadline of the attempt ends its work in the end.
-const CANCELS: usize = 3;
+const CANCEL_ATTEMPTS: usize = 3;
 
 /// Connections on which a message is written before it counts as not delivered.
-const SENDS: usize = 2;
+const SEND_ATTEMPTS: usize = 2;
 
 /// Silent intervals after which a connection with a call is tested.
-const PATIENCE: u32 = 1;
+const SILENT_INTERVALS: u32 = 1;
 
 /// Bytes for which the receiver gets a further millisecond to acknowledge a request.
-const BYTES_PER_MILLI: usize = 16 << 10;
+const BYTES_PER_MS: usize = 16 << 10;
 
 /// Attempt that no request has; a probe for it only tests the connection.
 const NO_ATTEMPT: u64 = 0;
 
 /// Message written whole on a stream of a connection.
-pub(super) struct Sent {
+pub(super) struct SentMessage {
     pub link: Arc<Link>,
     pub stream: SendStream,
     pub reader: FrameReader,
 }
 
-impl Drop for Sent {
+impl Drop for SentMessage {
     /// Ends the repetition of what was lost on the way, without effect once all has got there.
     ///
     /// Guards against a request that reaches its receiver after its caller has left: over a link
@@ -59,7 +59,7 @@
 pub(super) fn cancel(shared: &Arc<Shared>, to: SocketAddr, attempt: u64) {
     let task = Arc::clone(shared);
     shared.runtime.spawn(async move {
-        for _ in 0..CANCELS {
+        for _ in 0..CANCEL_ATTEMPTS {
             let body = call::Body::Cancel(Cancel { attempt });
             match call(&task, to, body, task.settings.connect).await {
                 Ok(_) => return,
@@ -80,13 +80,13 @@
     let frame = frame::encode(&Call { body: Some(body) }, shared.settings.message_limit)
         .or_else(|size| TooLargeSnafu { peer: to, size }.fail())?;
     let mut sent = send(shared, to, frame, Repeat::Once, deadline).await?;
-    let reply = watched(shared, &sent.link, PATIENCE, sent.reader.next::<Reply>());
+    let reply = wait_while_alive(shared, &sent.link, SILENT_INTERVALS, sent.reader.next::<Reply>());
     match time::timeout_at(deadline, reply).await {
         Ok(Some(Ok(Reply { body: Some(body) }))) => return Ok(body),
         Ok(Some(Err(error))) if let Some(code) = error.refusal() => {
             return RefusedSnafu { peer: to, code }.fail();
         }
-        Ok(None) => shared.pool.suspect(to, sent.link.id, &shared.metrics),
+        Ok(None) => shared.pool.mark_suspect(to, sent.link.id, &shared.metrics),
         Ok(Some(_)) | Err(_) => {}
     }
     LostSnafu { peer: to }.fail()
@@ -98,7 +98,7 @@
 /// message that was written has perhaps arrived, so each request that meets such a connection
 /// would end as one that may have run. A test beforehand tells that nothing was sent. It costs
 /// as much as a request, so one that may run again is tested only after a longer silence.
-const fn fresh(repeat: Repeat) -> Duration {
+const fn liveness_window(repeat: Repeat) -> Duration {
     match repeat {
         Repeat::Once => Duration::from_millis(300),
         Repeat::Idempotent => Duration::from_secs(3),
@@ -106,19 +106,19 @@
 }
 
 /// Returns true when the other end of a connection is there, asked if it was not heard lately.
-async fn is_there(shared: &Shared, link: &Link, repeat: Repeat) -> bool {
-    if link.heard.within(fresh(repeat)) {
+async fn is_alive(shared: &Shared, link: &Link, repeat: Repeat) -> bool {
+    if link.liveness.heard_within(liveness_window(repeat)) {
         return true;
     }
-    let there = answers(shared, &link.conn).await;
-    if there {
-        link.heard.touch();
+    let alive = responds(shared, &link.conn).await;
+    if alive {
+        link.liveness.touch();
     }
-    there
+    alive
 }
 
 /// Returns true when the other end of a connection answers a test in time.
-pub(super) async fn answers(shared: &Shared, conn: &Connection) -> bool {
+pub(super) async fn responds(shared: &Shared, conn: &Connection) -> bool {
     probe(shared, conn, NO_ATTEMPT).await.is_some()
 }
 
@@ -131,19 +131,19 @@
     frame: Bytes,
     repeat: Repeat,
     deadline: Instant,
-) -> Result<Sent, CallError> {
-    let mut older = 0;
-    for _ in 0..SENDS {
-        let link = time::timeout_at(deadline, shared.pool.get(shared, to, older)).await;
+) -> Result<SentMessage, CallError> {
+    let mut newer_than = 0;
+    for _ in 0..SEND_ATTEMPTS {
+        let link = time::timeout_at(deadline, shared.pool.get(shared, to, newer_than)).await;
         let Ok(link) = link else {
             break;
         };
         let link = link.context(UnreachableSnafu { peer: to })?;
-        older = link.id;
-        if !is_there(shared, &link, repeat).await {
+        newer_than = link.id;
+        if !is_alive(shared, &link, repeat).await {
             continue;
         }
-        let limit = deadline.min(Instant::now() + patience(shared, &link.conn, frame.len()));
+        let limit = deadline.min(Instant::now() + ack_timeout(shared, &link.conn, frame.len()));
         let opened = time::timeout_at(limit, link.open(shared.settings.message_limit)).await;
         let Ok(Some((mut stream, reader))) = opened else {
             continue;
@@ -151,7 +151,7 @@
         if let Ok(Ok(())) = time::timeout_at(limit, stream.write_chunk(frame.clone())).await {
             // Fails only when the peer no longer reads; its reset says why.
             let _ = stream.finish();
-            return Ok(Sent { link, stream, reader });
+            return Ok(SentMessage { link, stream, reader });
         }
         abandon(&mut stream);
     }
@@ -163,28 +163,28 @@
 /// A connection that something in between has lost track of shows no packet at
 /// all, so after `patience` intervals without one it is tested. One that has ended meanwhile tells
 /// by the reply itself what came before its end, and why it ended.
-pub(super) async fn watched<T>(
+pub(super) async fn wait_while_alive<T>(
     shared: &Shared,
     link: &Link,
-    patience: u32,
+    silent_intervals: u32,
     reply: impl Future<Output = T>,
 ) -> Option<T> {
     let mut reply = pin!(reply);
     let mut received = None;
-    let mut quiet = 0;
+    let mut silent = 0;
     loop {
-        let span = timeouts::arrival(shared, &link.conn);
-        if let Some(reply) = timeouts::within(span, &mut reply).await {
+        let timeout = timeouts::response_timeout(shared, &link.conn);
+        if let Some(reply) = timeouts::reply_within(timeout, &mut reply).await {
             return Some(reply);
         }
         let seen = link.received();
         let alive = received.replace(seen).is_some_and(|before| before != seen);
-        quiet = if alive { 0 } else { quiet + 1 };
-        if quiet >= patience || link.is_retired() {
-            if !answers(shared, &link.conn).await {
+        silent = if alive { 0 } else { silent + 1 };
+        if silent >= silent_intervals || link.is_retired() {
+            if !responds(shared, &link.conn).await {
                 return if link.is_open() { None } else { Some(reply.await) };
             }
-            quiet = 0;
+            silent = 0;
         }
     }
 }
@@ -192,15 +192,15 @@
 /// Asks on one connection whether an attempt has arrived; `None` without a timely reply.
 pub(super) async fn probe(shared: &Shared, conn: &Connection, attempt: u64) -> Option<bool> {
     let body = call::Body::Probe(Probe { attempt });
-    let span = timeouts::arrival(shared, conn);
-    match timeouts::within(span, ask(shared, conn, body)).await?? {
+    let timeout = timeouts::response_timeout(shared, conn);
+    match timeouts::reply_within(timeout, call_on(shared, conn, body)).await?? {
         reply::Body::Probe(ProbeReply { arrived }) => Some(arrived),
         _ => None,
     }
 }
 
 /// Makes a call on one connection; `None` when it breaks off.
-pub(super) async fn ask(
+pub(super) async fn call_on(
     shared: &Shared,
     conn: &Connection,
     body: call::Body,
@@ -223,11 +223,11 @@
 }
 
 /// Returns the time within which the receiver acknowledges a message of so many bytes.
-pub(super) fn patience(shared: &Shared, conn: &Connection, size: usize) -> Duration {
-    let transfer = u64::try_from(size / BYTES_PER_MILLI).unwrap_or(u64::MAX);
-    timeouts::arrival(shared, conn) + Duration::from_millis(transfer)
+pub(super) fn ack_timeout(shared: &Shared, conn: &Connection, size: usize) -> Duration {
+    let transfer = u64::try_from(size / BYTES_PER_MS).unwrap_or(u64::MAX);
+    timeouts::response_timeout(shared, conn) + Duration::from_millis(transfer)
 }
 
-pub(super) fn millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+pub(super) fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
--- a/acaciaringd/src/peer/frame.rs
+++ b/acaciaringd/src/peer/frame.rs
@@ -8,7 +8,7 @@
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
 /// Bytes of the length in front of a message.
-const PREFIX: usize = size_of::<u32>();
+const PREFIX_BYTES: usize = size_of::<u32>();
 
 /// Error codes of streams and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -83,7 +83,7 @@
 pub(super) fn encode(message: &impl Message, limit: usize) -> Result<Bytes, usize> {
     let size = message.encoded_len();
     let length = u32::try_from(size).ok().filter(|_| size <= limit).ok_or(size)?;
-    let mut frame = BytesMut::with_capacity(PREFIX + size);
+    let mut frame = BytesMut::with_capacity(PREFIX_BYTES + size);
     frame.put_u32(length);
     message.encode_raw(&mut frame);
     Ok(frame.freeze())
@@ -106,10 +106,10 @@
     pub async fn next<M: Message + Default>(&mut self) -> Result<M, FrameError> {
         loop {
             if let Some(frame) = self.split()? {
-                self.see_end().await;
+                self.consume_end().await;
                 return M::decode(frame).context(MalformedSnafu);
             }
-            let chunk = self.recv.read_chunk(PREFIX + self.limit, true).await;
+            let chunk = self.recv.read_chunk(PREFIX_BYTES + self.limit, true).await;
             let chunk = chunk.context(BrokenSnafu)?.context(EndedSnafu)?;
             self.buffer.extend_from_slice(&chunk.bytes);
         }
@@ -119,11 +119,11 @@
     ///
     /// A stream that is dropped before its end was read asks the peer to stop sending, which costs
     /// both ends a packet.
-    async fn see_end(&mut self) {
+    async fn consume_end(&mut self) {
         if !self.buffer.is_empty() {
             return;
         }
-        let read = self.recv.read_chunk(PREFIX + self.limit, true);
+        let read = self.recv.read_chunk(PREFIX_BYTES + self.limit, true);
         tokio::select! {
             biased;
             Ok(Some(chunk)) = read => self.buffer.extend_from_slice(&chunk.bytes),
@@ -139,15 +139,15 @@
 
     /// Takes a whole message off the buffer.
     fn split(&mut self) -> Result<Option<BytesMut>, FrameError> {
-        let Some(prefix) = self.buffer.first_chunk::<PREFIX>() else {
+        let Some(prefix) = self.buffer.first_chunk::<PREFIX_BYTES>() else {
             return Ok(None);
         };
         let size = usize::try_from(u32::from_be_bytes(*prefix)).unwrap_or(usize::MAX);
         ensure!(size <= self.limit, TooLargeSnafu { size, limit: self.limit });
-        if self.buffer.len() < PREFIX + size {
+        if self.buffer.len() < PREFIX_BYTES + size {
             return Ok(None);
         }
-        self.buffer.advance(PREFIX);
+        self.buffer.advance(PREFIX_BYTES);
         Ok(Some(self.buffer.split_to(size)))
     }
 }
--- a/acaciaringd/src/peer/inflight.rs
+++ b/acaciaringd/src/peer/inflight.rs
@@ -5,29 +5,29 @@
 
 /// Where messages are taken in, until it closes.
 #[derive(Debug, Default)]
-pub(super) struct Desk {
-    held: AtomicUsize,
+pub(super) struct InflightTracker {
+    count: AtomicUsize,
     closed: AtomicBool,
     /// Whether a message was dropped with an unknown effect.
-    unsure: AtomicBool,
+    uncertain: AtomicBool,
 }
 
-impl Desk {
+impl InflightTracker {
     /// Takes a message in until what is returned is dropped; `None` once no more are taken.
-    pub fn take(self: &Arc<Self>) -> Option<Held> {
+    pub fn try_track(self: &Arc<Self>) -> Option<InflightGuard> {
         // Counted before it is asked: one that closes sees the count, or this one sees that it has closed.
-        let held = self.hold();
+        let guard = self.track();
         if self.closed.load(Ordering::SeqCst) {
-            held.settle();
+            guard.settle();
             return None;
         }
-        Some(held)
+        Some(guard)
     }
 
     /// Counts a message as in hand, also after the close.
-    pub fn hold(self: &Arc<Self>) -> Held {
-        self.held.fetch_add(1, Ordering::SeqCst);
-        Held { desk: Arc::clone(self), settled: false }
+    pub fn track(self: &Arc<Self>) -> InflightGuard {
+        self.count.fetch_add(1, Ordering::SeqCst);
+        InflightGuard { tracker: Arc::clone(self), settled: false }
     }
 
     /// Takes no more messages.
@@ -36,37 +36,37 @@
     }
 
     /// Returns how many messages are in hand.
-    pub fn held(&self) -> usize {
-        self.held.load(Ordering::SeqCst)
+    pub fn count(&self) -> usize {
+        self.count.load(Ordering::SeqCst)
     }
 
     /// Returns whether each message that was taken in has been settled, and no more will be taken.
     pub fn is_settled(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
-            && self.held() == 0
-            && !self.unsure.load(Ordering::SeqCst)
+            && self.count() == 0
+            && !self.uncertain.load(Ordering::SeqCst)
     }
 }
 
 /// Message in hand; one that is dropped before it is settled has an unknown effect.
 #[derive(Debug)]
-pub(super) struct Held {
-    desk: Arc<Desk>,
+pub(super) struct InflightGuard {
+    tracker: Arc<InflightTracker>,
     settled: bool,
 }
 
-impl Held {
+impl InflightGuard {
     /// Records that the sender has the answer, or that the message had no effect.
     pub fn settle(mut self) {
         self.settled = true;
     }
 }
 
-impl Drop for Held {
+impl Drop for InflightGuard {
     fn drop(&mut self) {
         if !self.settled {
-            self.desk.unsure.store(true, Ordering::SeqCst);
+            self.tracker.uncertain.store(true, Ordering::SeqCst);
         }
-        self.desk.held.fetch_sub(1, Ordering::SeqCst);
+        self.tracker.count.fetch_sub(1, Ordering::SeqCst);
     }
 }
--- a/acaciaringd/src/peer/link.rs
+++ b/acaciaringd/src/peer/link.rs
@@ -11,39 +11,39 @@
 use crate::peer::frame::{Code, FrameReader};
 
 /// Bytes of a greeting: the process id.
-const GREETING: usize = size_of::<u64>();
+const GREETING_BYTES: usize = size_of::<u64>();
 
 /// Number that orders connections of this process by the time of their start.
 pub(super) type LinkId = u64;
 
 /// Time at which a peer was last heard on a connection, and whether it is still thought to be there.
 #[derive(Debug, Clone)]
-pub(super) struct Heard {
+pub(super) struct Liveness {
     start: Instant,
     millis: Arc<AtomicU64>,
-    doubted: Arc<AtomicBool>,
+    suspect: Arc<AtomicBool>,
 }
 
-impl Heard {
+impl Liveness {
     /// Returns a record that says "now".
     pub fn new() -> Self {
-        Self { start: Instant::now(), millis: Arc::default(), doubted: Arc::default() }
+        Self { start: Instant::now(), millis: Arc::default(), suspect: Arc::default() }
     }
 
     /// Records that the peer was heard now.
     pub fn touch(&self) {
         self.millis.store(self.millis(), Ordering::Relaxed);
-        self.doubted.store(false, Ordering::Relaxed);
+        self.suspect.store(false, Ordering::Relaxed);
     }
 
     /// Records that the peer seems to be gone; returns whether that is new.
-    pub fn doubt(&self) -> bool {
-        !self.doubted.swap(true, Ordering::Relaxed)
+    pub fn mark_suspect(&self) -> bool {
+        !self.suspect.swap(true, Ordering::Relaxed)
     }
 
     /// Returns whether the peer seemed to be gone and was not heard since.
-    pub fn is_doubted(&self) -> bool {
-        self.doubted.load(Ordering::Relaxed)
+    pub fn is_suspect(&self) -> bool {
+        self.suspect.load(Ordering::Relaxed)
     }
 
     /// Returns the time since the connection was made.
@@ -52,9 +52,9 @@
     }
 
     /// Returns whether the peer was heard within `span`.
-    pub fn within(&self, span: Duration) -> bool {
+    pub fn heard_within(&self, window: Duration) -> bool {
         let millis = self.millis().saturating_sub(self.millis.load(Ordering::Relaxed));
-        Duration::from_millis(millis) < span
+        Duration::from_millis(millis) < window
     }
 
     fn millis(&self) -> u64 {
@@ -75,7 +75,7 @@
     /// QUIC connection.
     pub conn: Connection,
     /// When the peer last sent a datagram, opened a stream or answered.
-    pub heard: Heard,
+    pub liveness: Liveness,
     /// Set once another connection has taken this one's place.
     retired: AtomicBool,
     /// Endpoint of a connection that this process opened.
@@ -86,7 +86,7 @@
     /// Returns a link over a connection; `endpoint` is that of a connection which this process opened.
     pub fn new(id: LinkId, process: u64, conn: Connection, endpoint: Option<Endpoint>) -> Self {
         let retired = AtomicBool::new(false);
-        Self { id, process, conn, heard: Heard::new(), retired, endpoint }
+        Self { id, process, conn, liveness: Liveness::new(), retired, endpoint }
     }
 
     /// Returns whether the connection is open as far as this end knows.
@@ -144,14 +144,14 @@
 pub(super) async fn greet(conn: &Connection, process: u64) -> Result<u64, ConnectError> {
     let mut send = conn.open_uni().await.context(BrokenSnafu)?;
     let greeting = process.to_be_bytes();
-    send.write_all(&greeting).await.map_err(|_| broken(conn))?;
+    send.write_all(&greeting).await.map_err(|_| connect_error(conn))?;
     send.finish().map_err(|_| ConnectError::Greeting)?;
     let mut recv = conn.accept_uni().await.context(BrokenSnafu)?;
-    let greeting = recv.read_to_end(GREETING).await.map_err(|_| broken(conn))?;
+    let greeting = recv.read_to_end(GREETING_BYTES).await.map_err(|_| connect_error(conn))?;
     let greeting = greeting.try_into().map_err(|_| ConnectError::Greeting)?;
     Ok(u64::from_be_bytes(greeting))
 }
 
-fn broken(conn: &Connection) -> ConnectError {
+fn connect_error(conn: &Connection) -> ConnectError {
     conn.close_reason().map_or(ConnectError::Greeting, |source| ConnectError::Broken { source })
 }
--- a/acaciaringd/src/peer/mod.rs
+++ b/acaciaringd/src/peer/mod.rs
@@ -29,7 +29,7 @@
 mod transport;
 mod trust;
 
-pub use self::attempt::{RequestOutcome, Running};
+pub use self::attempt::{RequestOutcome, RunningRequest};
 pub use self::cancel::CancelFlag;
 pub use self::error::{CallError, ConnectError, PeerError};
 pub use self::settings::PeerSettings;
--- a/acaciaringd/src/peer/pool.rs
+++ b/acaciaringd/src/peer/pool.rs
@@ -25,30 +25,30 @@
 ///
 /// Without this bound an incoming connection that has gone silent would be used
 /// until its idle timeout. Lease renewals keep those between lessor and holder in use.
-const HEARD: Duration = Duration::from_millis(1500);
+const DATAGRAM_IDLE_LIMIT: Duration = Duration::from_millis(1500);
 
 /// The same for a message on a stream; after a longer silence a test comes first.
-const REUSED: Duration = Duration::from_secs(15);
+const STREAM_IDLE_LIMIT: Duration = Duration::from_secs(15);
 
 /// Age up to which a connection that took the place of another is not replaced for a datagram.
 ///
 /// Guards against handshakes with a peer that answers late because it is short of processor.
-const YOUNG: Duration = Duration::from_secs(1);
+const MIN_REPLACE_AGE: Duration = Duration::from_secs(1);
 
 /// Time for which an address counts as suspect after its last fault.
-const SUSPICION: Duration = Duration::from_mins(1);
+const SUSPECT_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Times the patience of a request for which a handshake goes on, at both ends.
 ///
 /// Guards against a member short of processor that nobody reaches: were its handshakes ended with
 /// the patience of those who wait, each would be work in vain for it and the next begin at once.
-pub(super) const HANDSHAKE: u32 = 5;
+pub(super) const HANDSHAKE_FACTOR: u32 = 5;
 
 /// Datagrams that wait for a connection; older ones give way.
-const QUEUED: usize = 8;
+const MAX_QUEUED: usize = 8;
 
 /// What becomes of an attempt to connect.
-type Outcome = Option<Result<Arc<Link>, ConnectError>>;
+type ConnectOutcome = Option<Result<Arc<Link>, ConnectError>>;
 
 /// Connections of one address.
 #[derive(Default)]
@@ -58,34 +58,34 @@
     /// Connection that the peer opened from this address.
     incoming: Option<Arc<Link>>,
     /// Attempt to connect that is under way.
-    connecting: Option<watch::Receiver<Outcome>>,
+    connecting: Option<watch::Receiver<ConnectOutcome>>,
     /// Datagrams for the connection under way.
     queued: VecDeque<Bytes>,
     /// When a connection to this address last failed or was replaced.
     ///
     /// Something in between may have lost track of the pair of addresses, so
     /// the next connection starts from a new port.
-    suspect: Option<Instant>,
+    suspect_since: Option<Instant>,
 }
 
 impl Slot {
     /// Returns the connection to use, if there is one that is newer than `older`.
     ///
     /// One that the peer opened counts when it was heard within `span`.
-    fn pick(&self, older: LinkId, span: Duration) -> Option<&Arc<Link>> {
-        let incoming = self.incoming.iter().filter(|link| link.heard.within(span));
+    fn pick(&self, newer_than: LinkId, window: Duration) -> Option<&Arc<Link>> {
+        let incoming = self.incoming.iter().filter(|link| link.liveness.heard_within(window));
         let mut links = self.outgoing.iter().chain(incoming);
-        links.find(|link| link.id > older && link.is_open() && !link.heard.is_doubted())
+        links.find(|link| link.id > newer_than && link.is_open() && !link.liveness.is_suspect())
     }
 
     /// Uses the connections up to number `last` no more unless the peer is heard on them again.
     ///
     /// They stay open until another one is there: a peer that is short of processor answers late,
     /// and is reached by what is there before a handshake with it is over.
-    fn doubt(&mut self, last: LinkId, metrics: &Metrics) {
+    fn mark_suspect(&mut self, last: LinkId, metrics: &Metrics) {
         for link in self.outgoing.iter().chain(&self.incoming) {
-            if link.id <= last && link.is_open() && link.heard.doubt() {
-                self.suspect = Some(Instant::now());
+            if link.id <= last && link.is_open() && link.liveness.mark_suspect() {
+                self.suspect_since = Some(Instant::now());
                 metrics.count(Counter::PeerSuspects, 1);
             }
         }
@@ -93,7 +93,7 @@
 
     /// Takes in a connection that this process opened, in place of the one before and of what is doubted.
     fn replace(&mut self, link: Arc<Link>) {
-        let incoming = self.incoming.take_if(|link| link.heard.is_doubted());
+        let incoming = self.incoming.take_if(|link| link.liveness.is_suspect());
         for old in self.outgoing.replace(link).iter().chain(&incoming) {
             old.retire();
         }
@@ -101,13 +101,13 @@
 
     /// Returns the connection on which a datagram goes; `fresh` asks for one in place of the present one.
     fn pick_for_datagram(&self, fresh: bool) -> Option<&Arc<Link>> {
-        let link = self.pick(0, HEARD)?;
-        let young = self.is_suspect() && link.heard.age() < YOUNG;
+        let link = self.pick(0, DATAGRAM_IDLE_LIMIT)?;
+        let young = self.is_suspect() && link.liveness.age() < MIN_REPLACE_AGE;
         (!fresh || young).then_some(link)
     }
 
     fn is_suspect(&self) -> bool {
-        self.suspect.is_some_and(|since| since.elapsed() < SUSPICION)
+        self.suspect_since.is_some_and(|since| since.elapsed() < SUSPECT_TIMEOUT)
     }
 
     fn is_needed(&self) -> bool {
@@ -134,28 +134,28 @@
         &self,
         shared: &Arc<Shared>,
         to: SocketAddr,
-        older: LinkId,
+        newer_than: LinkId,
     ) -> Result<Arc<Link>, ConnectError> {
         let mut outcome = {
             let mut slots = self.slots.lock();
             let slot = slots.entry(to).or_default();
-            if let Some(link) = slot.pick(older, REUSED) {
+            if let Some(link) = slot.pick(newer_than, STREAM_IDLE_LIMIT) {
                 return Ok(Arc::clone(link));
             }
-            slot.doubt(older, &shared.metrics);
+            slot.mark_suspect(newer_than, &shared.metrics);
             connect(shared, to, slot)
         };
         let established = outcome.wait_for(Option::is_some);
         match time::timeout(shared.settings.connect, established).await {
             Ok(Ok(outcome)) => outcome.clone().unwrap_or(Err(ConnectError::Stopped)),
             Ok(Err(_)) => Err(ConnectError::Stopped),
-            Err(_) => Err(ConnectError::Late),
+            Err(_) => Err(ConnectError::TimedOut),
         }
     }
 
     /// Returns true when there is a connection to `to` that a datagram would go on.
     pub fn connected(&self, to: SocketAddr) -> bool {
-        self.slots.lock().get(&to).is_some_and(|slot| slot.pick(0, HEARD).is_some())
+        self.slots.lock().get(&to).is_some_and(|slot| slot.pick(0, DATAGRAM_IDLE_LIMIT).is_some())
     }
 
     /// Sends a datagram on the connection to `to`, or once one is open.
@@ -169,23 +169,23 @@
                 Ok(()) => return,
             }
         }
-        if slot.queued.len() == QUEUED {
+        if slot.queued.len() == MAX_QUEUED {
             slot.queued.pop_front();
         }
         slot.queued.push_back(datagram);
         if fresh && slot.connecting.is_none() {
-            slot.doubt(LinkId::MAX, &shared.metrics);
+            slot.mark_suspect(LinkId::MAX, &shared.metrics);
         }
         connect(shared, to, slot);
     }
 
     /// Stops using a connection that has gone silent.
-    pub fn suspect(&self, to: SocketAddr, id: LinkId, metrics: &Metrics) {
+    pub fn mark_suspect(&self, to: SocketAddr, id: LinkId, metrics: &Metrics) {
         let mut slots = self.slots.lock();
         let Some(slot) = slots.get_mut(&to) else {
             return;
         };
-        slot.doubt(id, metrics);
+        slot.mark_suspect(id, metrics);
     }
 
     /// Adds a connection that a peer has opened.
@@ -196,17 +196,17 @@
     /// Forgets a connection that has ended.
     pub fn forget(&self, to: SocketAddr, id: LinkId, reason: &ConnectionError) {
         let mut slots = self.slots.lock();
-        let Entry::Occupied(mut place) = slots.entry(to) else {
+        let Entry::Occupied(mut entry) = slots.entry(to) else {
             return;
         };
-        let slot = place.get_mut();
+        let slot = entry.get_mut();
         slot.incoming.take_if(|link| link.id == id);
         let ended = slot.outgoing.take_if(|link| link.id == id).is_some();
         if ended && matches!(reason, ConnectionError::TimedOut) {
-            slot.suspect = Some(Instant::now());
+            slot.suspect_since = Some(Instant::now());
         }
         if !slot.is_needed() {
-            place.remove();
+            entry.remove();
         }
     }
 
@@ -216,13 +216,13 @@
     }
 
     /// Takes in the outcome of an attempt to connect.
-    fn settle(&self, to: SocketAddr, outcome: &Result<Arc<Link>, ConnectError>) {
+    fn finish_connect(&self, to: SocketAddr, outcome: &Result<Arc<Link>, ConnectError>) {
         let mut slots = self.slots.lock();
         let slot = slots.entry(to).or_default();
         slot.connecting = None;
         let queued = std::mem::take(&mut slot.queued);
         let Ok(link) = outcome else {
-            slot.suspect = Some(Instant::now());
+            slot.suspect_since = Some(Instant::now());
             slots.retain(|_, slot| slot.is_needed());
             return;
         };
@@ -236,7 +236,11 @@
 }
 
 /// Opens a connection in the background unless one is being opened.
-fn connect(shared: &Arc<Shared>, to: SocketAddr, slot: &mut Slot) -> watch::Receiver<Outcome> {
+fn connect(
+    shared: &Arc<Shared>,
+    to: SocketAddr,
+    slot: &mut Slot,
+) -> watch::Receiver<ConnectOutcome> {
     if let Some(outcome) = &slot.connecting {
         return outcome.clone();
     }
@@ -246,14 +250,14 @@
     let runtime = shared.runtime.clone();
     let shared = Arc::clone(shared);
     let task = async move {
-        let limit = shared.settings.connect * HANDSHAKE;
+        let limit = shared.settings.connect * HANDSHAKE_FACTOR;
         let outcome = time::timeout(limit, establish(&shared, to, fresh)).await;
-        let outcome = outcome.unwrap_or(Err(ConnectError::Late));
+        let outcome = outcome.unwrap_or(Err(ConnectError::TimedOut));
         match &outcome {
             Ok(link) => serve::start(&shared, Arc::clone(link), to),
             Err(error) => debug!(%to, %error, "no connection"),
         }
-        shared.pool.settle(to, &outcome);
+        shared.pool.finish_connect(to, &outcome);
         sender.send_replace(Some(outcome));
     };
     runtime.spawn(task);
--- a/acaciaringd/src/peer/run.rs
+++ b/acaciaringd/src/peer/run.rs
@@ -13,7 +13,7 @@
 
 use crate::metrics::Counter;
 use crate::peer::cancel::CancelFlag;
-use crate::peer::exchange::answers;
+use crate::peer::exchange::responds;
 use crate::peer::frame;
 use crate::peer::serve::{write_frame, write_last};
 use crate::peer::transport::Shared;
@@ -26,20 +26,20 @@
     shared: &Arc<Shared>,
     request: Request,
     send: &mut SendStream,
-    doubtful: Option<Connection>,
+    delayed_conn: Option<Connection>,
 ) -> bool {
     let attempt = request.attempt;
     let flag = match shared.table.arrive(attempt) {
         Ok(flag) => flag,
         Err(arrival) => {
-            return write_last(shared, send, reply::Body::Answer(refused(arrival))).await;
+            return write_last(shared, send, reply::Body::Answer(refusal(arrival))).await;
         }
     };
     let worker = Arc::clone(shared);
-    let left = flag.clone();
+    let cancel_flag = flag.clone();
     // A task of its own, for a handler that panics must answer, else the sender would wait in vain.
-    let job = tokio::spawn(run(worker, request, flag, doubtful));
-    let answer = wait(job, send, &left).await.unwrap_or_else(|error| {
+    let job = tokio::spawn(run(worker, request, flag, delayed_conn));
+    let answer = wait_for_answer(job, send, &cancel_flag).await.unwrap_or_else(|error| {
         error!(attempt, %error, "handler of a request panicked");
         lost_answer()
     });
@@ -52,7 +52,7 @@
 ///
 /// A sender that gives an attempt up drops its stream, which is heard at once where the
 /// cancellation that it sends may be lost. A stream that dies with its connection says nothing.
-async fn wait(
+async fn wait_for_answer(
     mut job: JoinHandle<Answer>,
     send: &mut SendStream,
     flag: &CancelFlag,
@@ -74,21 +74,21 @@
     shared: Arc<Shared>,
     mut request: Request,
     flag: CancelFlag,
-    doubtful: Option<Connection>,
+    delayed_conn: Option<Connection>,
 ) -> Answer {
     let arrival = Instant::now();
-    if let Some(conn) = doubtful
-        && !wanted(&shared, &conn).await
+    if let Some(conn) = delayed_conn
+        && !is_still_wanted(&shared, &conn).await
     {
         return not_run(Reason::Busy);
     }
     // The sender cancels what it gives up. An answer at the end of its time would cross with that,
     // and whether the sender hears it or its own time-out first would be chance.
-    let turn = tokio::select! {
-        turn = shared.lanes.enter() => turn,
+    let permit = tokio::select! {
+        permit = shared.limiter.acquire() => permit,
         () = flag.cancelled() => return not_run(Reason::Cancelled),
     };
-    let Some(_turn) = turn else { return not_run(Reason::Busy) };
+    let Some(_permit) = permit else { return not_run(Reason::Busy) };
     let waited = u32::try_from(arrival.elapsed().as_millis()).unwrap_or(u32::MAX);
     request.left = request.left.saturating_sub(waited);
     if flag.is_set() {
@@ -115,8 +115,8 @@
 /// processor, the request is read long before the cancellation that waits behind it. What the
 /// sender answers now waits behind both, so a cancellation that was sent has been read by then;
 /// and without a timely answer this process is still late, and the request is better elsewhere.
-async fn wanted(shared: &Shared, conn: &Connection) -> bool {
-    let wanted = answers(shared, conn).await;
+async fn is_still_wanted(shared: &Shared, conn: &Connection) -> bool {
+    let wanted = responds(shared, conn).await;
     let counter = if wanted { Counter::PeerHeldUp } else { Counter::PeerHeldUpRefused };
     shared.metrics.count(counter, 1);
     wanted
@@ -141,7 +141,7 @@
     frame
 }
 
-fn refused(arrival: Arrival) -> Answer {
+fn refusal(arrival: Arrival) -> Answer {
     match arrival {
         Arrival::Full => not_run(Reason::Busy),
         Arrival::Superseded => not_run(Reason::Superseded),
--- a/acaciaringd/src/peer/search.rs
+++ b/acaciaringd/src/peer/search.rs
@@ -11,28 +11,28 @@
 use acaciaring_schema::peer::{Fetch, FetchReply, Probe, ProbeReply, call, reply};
 
 use crate::metrics::Counter;
-use crate::peer::attempt::{PATIENCE, RequestOutcome};
-use crate::peer::exchange::{self, ask, probe, watched};
+use crate::peer::attempt::{RequestOutcome, SILENT_INTERVALS};
+use crate::peer::exchange::{self, call_on, probe, wait_while_alive};
 use crate::peer::link::{Link, LinkId};
 use crate::peer::transport::Shared;
 
 /// New connections on which a sender asks without a pause, before it calls the member silent.
-const ASKS: usize = 3;
+const MAX_NEW_LINKS: usize = 3;
 
 /// First pause between further asks on the connection on which the attempt was sent; it doubles.
-const PAUSE: Duration = Duration::from_millis(250);
+const MIN_PAUSE: Duration = Duration::from_millis(250);
 
 /// Longest pause, below the time for which a member keeps an answer.
-const LONGEST: Duration = Duration::from_secs(2);
+const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// Shortest pause after which a new connection is tried again.
 ///
 /// Guards against a member without processor that is asked for handshakes all the time: they
 /// cost it what it lacks, and it never catches up.
-const REST: Duration = Duration::from_secs(1);
+const MIN_RECONNECT_PAUSE: Duration = Duration::from_secs(1);
 
 /// Attempt that is searched for.
-pub(super) struct Subject {
+pub(super) struct AttemptInfo {
     pub to: SocketAddr,
     pub attempt: u64,
     pub start: Instant,
@@ -44,7 +44,7 @@
 /// Silence does not end it, only an answer, proof that there will be none, or the deadline.
 pub(super) struct Search<'a> {
     pub shared: &'a Arc<Shared>,
-    pub subject: Subject,
+    pub info: AttemptInfo,
     /// Told once the member counts as silent.
     pub silence: &'a Notify,
     /// Whether the receiver has said that it has the attempt.
@@ -64,7 +64,7 @@
 }
 
 /// What a pause has brought.
-enum Sign {
+enum PauseOutcome {
     Ended(Found),
     Alive,
     Silent,
@@ -72,71 +72,73 @@
 
 impl Search<'_> {
     pub async fn run(mut self) -> Found {
-        let mut older = self.sent.id;
-        for _ in 0..ASKS {
-            if let Some(found) = self.ask_anew(&mut older).await {
+        let mut newer_than = self.sent.id;
+        for _ in 0..MAX_NEW_LINKS {
+            if let Some(found) = self.ask_on_new_link(&mut newer_than).await {
                 return found;
             }
         }
         self.shared.metrics.count(Counter::PeerSilent, 1);
         self.silence.notify_one();
-        let mut pause = PAUSE;
+        let mut pause = MIN_PAUSE;
         while !self.sent.has_stopped() {
-            let found = match self.pause(pause).await {
-                Sign::Ended(found) => Some(found),
-                Sign::Silent if pause >= REST => self.ask_anew(&mut older).await,
-                Sign::Alive | Sign::Silent => None,
+            let found = match self.ask_during_pause(pause).await {
+                PauseOutcome::Ended(found) => Some(found),
+                PauseOutcome::Silent if pause >= MIN_RECONNECT_PAUSE => {
+                    self.ask_on_new_link(&mut newer_than).await
+                }
+                PauseOutcome::Alive | PauseOutcome::Silent => None,
             };
             if let Some(found) = found {
                 return found;
             }
-            pause = (pause * 2).min(LONGEST);
+            pause = (pause * 2).min(MAX_PAUSE);
         }
         Found::Stopped
     }
 
     /// Asks on a connection that is newer than `older`; `None` when there is none or it does not work.
-    async fn ask_anew(&mut self, older: &mut LinkId) -> Option<Found> {
-        let link = self.shared.pool.get(self.shared, self.subject.to, *older).await.ok()?;
-        *older = link.id;
+    async fn ask_on_new_link(&mut self, newer_than: &mut LinkId) -> Option<Found> {
+        let link = self.shared.pool.get(self.shared, self.info.to, *newer_than).await.ok()?;
+        *newer_than = link.id;
         if link.process != self.sent.process {
             return Some(Found::Outcome(RequestOutcome::Lost));
         }
         if !self.arrived {
             self.shared.metrics.count(Counter::PeerProbes, 1);
-            let arrived = probe(self.shared, &link.conn, self.subject.attempt).await?;
-            if let Some(outcome) = self.learn(arrived) {
+            let arrived = probe(self.shared, &link.conn, self.info.attempt).await?;
+            if let Some(outcome) = self.record_arrival(arrived) {
                 return Some(Found::Outcome(outcome));
             }
         }
-        let fetched = ask(self.shared, &link.conn, self.fetch());
-        let reply = watched(self.shared, &link, PATIENCE, fetched).await??;
-        Some(found_in(reply))
+        let fetched = call_on(self.shared, &link.conn, self.fetch());
+        let reply = wait_while_alive(self.shared, &link, SILENT_INTERVALS, fetched).await??;
+        Some(fetch_result(reply))
     }
 
     /// Waits, and asks on the connection on which the attempt was sent meanwhile.
     ///
     /// A member that was without processor answers there first, without a handshake.
-    async fn pause(&mut self, pause: Duration) -> Sign {
+    async fn ask_during_pause(&mut self, pause: Duration) -> PauseOutcome {
         let end = Instant::now() + pause;
         let conn = &self.sent.conn;
-        let body = call::Body::Probe(Probe { attempt: self.subject.attempt });
-        let probed = time::timeout_at(end, ask(self.shared, conn, body)).await;
+        let body = call::Body::Probe(Probe { attempt: self.info.attempt });
+        let probed = time::timeout_at(end, call_on(self.shared, conn, body)).await;
         let Ok(Some(reply::Body::Probe(ProbeReply { arrived }))) = probed else {
             time::sleep_until(end).await;
-            return Sign::Silent;
+            return PauseOutcome::Silent;
         };
-        if let Some(outcome) = self.learn(arrived) {
-            return Sign::Ended(Found::Outcome(outcome));
+        if let Some(outcome) = self.record_arrival(arrived) {
+            return PauseOutcome::Ended(Found::Outcome(outcome));
         }
-        let fetched = time::timeout_at(end, ask(self.shared, conn, self.fetch())).await;
+        let fetched = time::timeout_at(end, call_on(self.shared, conn, self.fetch())).await;
         match fetched {
-            Ok(Some(reply)) => Sign::Ended(found_in(reply)),
+            Ok(Some(reply)) => PauseOutcome::Ended(fetch_result(reply)),
             Ok(None) => {
                 time::sleep_until(end).await;
-                Sign::Silent
+                PauseOutcome::Silent
             }
-            Err(_) => Sign::Alive,
+            Err(_) => PauseOutcome::Alive,
         }
     }
 
@@ -144,12 +146,12 @@
     ///
     /// Guards against a request that is called not run although it ran: a receiver forgets an
     /// attempt some time after its end, and would then say that it never arrived.
-    fn learn(&mut self, arrived: bool) -> Option<RequestOutcome> {
+    fn record_arrival(&mut self, arrived: bool) -> Option<RequestOutcome> {
         self.arrived |= arrived;
         if self.arrived {
             return None;
         }
-        if self.subject.start.elapsed() >= AttemptSettings::default().memory / 2 {
+        if self.info.start.elapsed() >= AttemptSettings::default().memory / 2 {
             return Some(RequestOutcome::Lost);
         }
         self.shared.metrics.count(Counter::PeerProbesNotRun, 1);
@@ -157,13 +159,13 @@
     }
 
     fn fetch(&self) -> call::Body {
-        let left = self.subject.deadline.saturating_duration_since(Instant::now());
-        call::Body::Fetch(Fetch { attempt: self.subject.attempt, left: exchange::millis(left) })
+        let left = self.info.deadline.saturating_duration_since(Instant::now());
+        call::Body::Fetch(Fetch { attempt: self.info.attempt, left: exchange::millis(left) })
     }
 }
 
 /// Returns what the reply to a fetch says.
-fn found_in(reply: reply::Body) -> Found {
+fn fetch_result(reply: reply::Body) -> Found {
     match reply {
         reply::Body::Fetch(FetchReply { answer: Some(answer) }) => {
             Found::Outcome(RequestOutcome::Answer(answer))
--- a/acaciaringd/src/peer/serve.rs
+++ b/acaciaringd/src/peer/serve.rs
@@ -18,8 +18,8 @@
 
 use crate::peer::error::{BrokenSnafu, ConnectError};
 use crate::peer::frame::{self, Code, FrameError, FrameReader};
-use crate::peer::link::{Heard, Link, greet};
-use crate::peer::pool::HANDSHAKE;
+use crate::peer::link::{Link, Liveness, greet};
+use crate::peer::pool::HANDSHAKE_FACTOR;
 use crate::peer::run::serve_request;
 use crate::peer::table;
 use crate::peer::transport::Shared;
@@ -27,7 +27,7 @@
 /// Delay on the way from which a request is run only once its sender has answered a test.
 ///
 /// Half of the half second within which work for a caller that has left has to end.
-const HELD_UP: Duration = Duration::from_millis(250);
+const DELAY_LIMIT: Duration = Duration::from_millis(250);
 
 /// Accepts connections until the endpoint is closed.
 pub(super) async fn accept(shared: Arc<Shared>) {
@@ -35,7 +35,7 @@
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
             let from = incoming.remote_address();
-            if let Err(error) = welcome(&shared, incoming).await {
+            if let Err(error) = accept_connection(&shared, incoming).await {
                 warn!(%from, error = &error as &dyn std::error::Error, "refused a connection");
             }
         });
@@ -43,13 +43,13 @@
 }
 
 /// Completes the handshake of a connection that a peer opens.
-async fn welcome(shared: &Arc<Shared>, incoming: Incoming) -> Result<(), ConnectError> {
-    let established = time::timeout(shared.settings.connect * HANDSHAKE, async {
+async fn accept_connection(shared: &Arc<Shared>, incoming: Incoming) -> Result<(), ConnectError> {
+    let established = time::timeout(shared.settings.connect * HANDSHAKE_FACTOR, async {
         let conn = incoming.await.context(BrokenSnafu)?;
         let process = greet(&conn, shared.process).await?;
         Ok((conn, process))
     });
-    let (conn, process) = established.await.unwrap_or(Err(ConnectError::Late))?;
+    let (conn, process) = established.await.unwrap_or(Err(ConnectError::TimedOut))?;
     let from = conn.remote_address();
     let link = Arc::new(Link::new(shared.next_link(), process, conn, None));
     shared.pool.add_incoming(from, Arc::clone(&link));
@@ -62,13 +62,13 @@
 pub(super) fn start(shared: &Arc<Shared>, link: Arc<Link>, peer: SocketAddr) {
     let id = link.id;
     let conn = link.conn.clone();
-    let heard = link.heard.clone();
+    let liveness = link.liveness.clone();
     let process = link.process;
     drop(link);
     shared.registry.open(id, conn.clone());
     let shared = Arc::clone(shared);
     tokio::spawn(async move {
-        let reason = connection(&shared, &conn, process, &heard).await;
+        let reason = receive_loop(&shared, &conn, process, &liveness).await;
         debug!(%peer, %reason, "connection ended");
         shared.registry.close(id);
         shared.pool.forget(peer, id, &reason);
@@ -76,31 +76,31 @@
 }
 
 /// Takes in streams and datagrams until the connection ends.
-async fn connection(
+async fn receive_loop(
     shared: &Arc<Shared>,
     conn: &Connection,
     process: u64,
-    heard: &Heard,
+    liveness: &Liveness,
 ) -> ConnectionError {
     let from = conn.remote_address();
     loop {
         let received = tokio::select! {
             stream = conn.accept_bi() => stream.map(|(send, recv)| {
-                let sender = Sender { address: from, process, conn: conn.clone() };
-                tokio::spawn(stream_task(Arc::clone(shared), sender, send, recv));
+                let origin = StreamOrigin { address: from, process, conn: conn.clone() };
+                tokio::spawn(stream_task(Arc::clone(shared), origin, send, recv));
             }),
             datagram = conn.read_datagram() => datagram.map(|bytes| {
-                take_datagram(shared, from, bytes);
+                handle_datagram(shared, from, bytes);
             }),
         };
-        heard.touch();
+        liveness.touch();
         if let Err(reason) = received {
             return reason;
         }
     }
 }
 
-fn take_datagram(shared: &Shared, from: SocketAddr, bytes: Bytes) {
+fn handle_datagram(shared: &Shared, from: SocketAddr, bytes: Bytes) {
     match Datagram::decode(bytes) {
         Ok(datagram) => shared.handler.datagram(from, datagram),
         Err(error) => warn!(%from, %error, "datagram does not decode"),
@@ -108,7 +108,7 @@
 }
 
 /// Who has opened a stream, and on which connection.
-struct Sender {
+struct StreamOrigin {
     address: SocketAddr,
     /// Random number of its process start.
     process: u64,
@@ -116,8 +116,13 @@
 }
 
 /// Answers the call on one stream.
-async fn stream_task(shared: Arc<Shared>, sender: Sender, mut send: SendStream, recv: RecvStream) {
-    let Sender { address: from, process, conn } = sender;
+async fn stream_task(
+    shared: Arc<Shared>,
+    origin: StreamOrigin,
+    mut send: SendStream,
+    recv: RecvStream,
+) {
+    let StreamOrigin { address: from, process, conn } = origin;
     let mut reader = FrameReader::new(recv, shared.settings.message_limit);
     let call = reader.next::<Call>().await;
     let body = call.and_then(|call| call.body.ok_or(FrameError::Unknown));
@@ -133,14 +138,14 @@
             return reset(&mut send, error.code());
         }
     };
-    let Some(body) = serve_question(&shared, body, &mut send).await else { return };
-    let Some(held) = shared.desk.take() else { return reset(&mut send, Code::Busy) };
+    let Some(body) = serve_attempt_query(&shared, body, &mut send).await else { return };
+    let Some(guard) = shared.inflight.try_track() else { return reset(&mut send, Code::Busy) };
     let answered = match body {
         call::Body::Request(mut request) => {
             let delay = shared.lags.delay(process, request.clock);
-            late(&mut request, delay);
-            let doubtful = (delay >= HELD_UP).then_some(conn);
-            if !serve_request(&shared, request, &mut send, doubtful).await {
+            deduct_delay(&mut request, delay);
+            let delayed_conn = (delay >= DELAY_LIMIT).then_some(conn);
+            if !serve_request(&shared, request, &mut send, delayed_conn).await {
                 // Its sender is about to ask for the answer on another connection.
                 time::sleep(shared.settings.connect).await;
             }
@@ -149,14 +154,14 @@
         body => serve_call(&shared, body, &mut send).await,
     };
     if answered {
-        held.settle();
+        guard.settle();
     }
 }
 
 /// Answers what a peer asks about an attempt, also while a stop waits; returns any other message.
 ///
 /// A stop waits until answers are delivered, and one whose connection has died is asked for on another.
-async fn serve_question(
+async fn serve_attempt_query(
     shared: &Shared,
     body: call::Body,
     send: &mut SendStream,
@@ -168,10 +173,10 @@
         call::Body::Fetch(fetch) => {
             // A stop waits for the answer here too: where the first connection has died, only this
             // one brings it.
-            let held = shared.desk.hold();
+            let guard = shared.inflight.track();
             let answer = serve_fetch(shared, fetch).await;
             write_last(shared, send, reply::Body::Fetch(FetchReply { answer })).await;
-            held.settle();
+            guard.settle();
             return None;
         }
         call::Body::Cancel(Cancel { attempt }) => {
@@ -188,7 +193,7 @@
 ///
 /// Guards against a hop over a link that loses packets, or to a member without processor: the
 /// request would have all of its time anew, and could reach a server long after its caller left.
-fn late(request: &mut Request, delay: Duration) {
+fn deduct_delay(request: &mut Request, delay: Duration) {
     let delay = u32::try_from(delay.as_millis()).unwrap_or(u32::MAX);
     request.left = request.left.saturating_sub(delay);
     if request.aim > 0 {
--- a/acaciaringd/src/peer/table.rs
+++ b/acaciaringd/src/peer/table.rs
@@ -13,7 +13,7 @@
 
 /// Attempts that have arrived at this process.
 #[derive(Default)]
-pub(super) struct Table {
+pub(super) struct AttemptTable {
     inner: Mutex<Inner>,
 }
 
@@ -34,7 +34,7 @@
     Absent,
 }
 
-impl Table {
+impl AttemptTable {
     /// Records an arrival; returns the flag by which an attempt that is to run can be cancelled.
     pub fn arrive(&self, attempt: AttemptId) -> Result<CancelFlag, Arrival> {
         let mut inner = self.inner.lock();
--- a/acaciaringd/src/peer/tests.rs
+++ b/acaciaringd/src/peer/tests.rs
@@ -13,7 +13,7 @@
 
 use crate::peer;
 use crate::peer::frame::{self, Code, FrameError};
-use crate::peer::inflight::Desk;
+use crate::peer::inflight::InflightTracker;
 use crate::peer::transport::Shared;
 use crate::peer::{PeerSettings, RequestOutcome, Transport};
 
@@ -27,7 +27,7 @@
 }
 
 /// Writes raw bytes on a new stream and returns the error with which the peer answers.
-async fn provoke(shared: &Arc<Shared>, to: SocketAddr, bytes: Bytes, finish: bool) -> FrameError {
+async fn send_raw(shared: &Arc<Shared>, to: SocketAddr, bytes: Bytes, finish: bool) -> FrameError {
     let link = shared.pool.get(shared, to, 0).await.unwrap();
     let (mut stream, mut reader) = link.open(shared.settings.message_limit).await.unwrap();
     stream.write_chunk(bytes).await.unwrap();
@@ -61,7 +61,7 @@
         (huge, false, Code::TooLarge),
     ];
     for (bytes, finish, code) in cases {
-        let error = sender.runtime.block_on(provoke(sender, to, bytes, finish));
+        let error = sender.runtime.block_on(send_raw(sender, to, bytes, finish));
         let expected = VarInt::from(code);
         assert!(
             matches!(error, FrameError::Broken { source: ReadError::Reset(code) } if code == expected)
@@ -78,7 +78,7 @@
 }
 
 /// Returns how many streams an end has opened on its connection to `to`, this one included.
-async fn opened(shared: &Arc<Shared>, to: SocketAddr) -> u64 {
+async fn stream_count(shared: &Arc<Shared>, to: SocketAddr) -> u64 {
     let link = shared.pool.get(shared, to, 0).await.unwrap();
     let (stream, _) = link.conn.open_bi().await.unwrap();
     stream.id().index() + 1
@@ -99,10 +99,10 @@
     send(false);
     thread::sleep(Duration::from_millis(900));
     send(false);
-    assert_eq!(sender.runtime.block_on(opened(sender, to)), 2 + 1);
+    assert_eq!(sender.runtime.block_on(stream_count(sender, to)), 2 + 1);
     thread::sleep(Duration::from_millis(900));
     send(true);
-    assert_eq!(sender.runtime.block_on(opened(sender, to)), 3 + 2 + 1);
+    assert_eq!(sender.runtime.block_on(stream_count(sender, to)), 3 + 2 + 1);
 }
 
 /// Guards against needless packets for streams that were read to their end.
@@ -243,22 +243,22 @@
 
 /// Guards against "not run" for a call that had an effect before its handler panicked.
 #[test]
-fn a_stop_after_a_panic_vouches_for_nothing() {
-    let desk = Arc::new(Desk::default());
-    drop(desk.take().unwrap());
-    desk.close();
-    assert_eq!(desk.held(), 0);
-    assert!(!desk.is_settled());
+fn a_stop_after_a_panic_is_not_settled() {
+    let tracker = Arc::new(InflightTracker::default());
+    drop(tracker.try_track().unwrap());
+    tracker.close();
+    assert_eq!(tracker.count(), 0);
+    assert!(!tracker.is_settled());
 }
 
 /// Guards against a stop that vouches for nothing because it has refused messages.
 #[test]
-fn a_stop_that_refuses_messages_vouches_for_those_before() {
-    let desk = Arc::new(Desk::default());
-    let held = desk.take().unwrap();
-    desk.close();
-    assert!(desk.take().is_none());
-    assert!(!desk.is_settled());
-    held.settle();
-    assert!(desk.is_settled());
+fn a_stop_that_refuses_messages_settles_earlier_ones() {
+    let tracker = Arc::new(InflightTracker::default());
+    let guard = tracker.try_track().unwrap();
+    tracker.close();
+    assert!(tracker.try_track().is_none());
+    assert!(!tracker.is_settled());
+    guard.settle();
+    assert!(tracker.is_settled());
 }
--- a/acaciaringd/src/peer/threads.rs
+++ b/acaciaringd/src/peer/threads.rs
@@ -7,15 +7,15 @@
 use tokio::sync::oneshot;
 
 /// Name of each thread for traffic.
-const NAME: &str = "traffic";
+const THREAD_NAME: &str = "traffic";
 
 /// Runs tasks until it is dropped.
 pub(super) struct Threads {
     pub handle: Handle,
     /// Several threads that share their tasks.
-    shared: Mutex<Option<Runtime>>,
+    pool: Mutex<Option<Runtime>>,
     /// Ends a single thread when it is dropped.
-    _single: Option<oneshot::Sender<()>>,
+    _stop: Option<oneshot::Sender<()>>,
 }
 
 impl Threads {
@@ -28,21 +28,22 @@
     ///
     /// Fails when a thread or the queue of events cannot be made.
     pub fn start(count: usize) -> io::Result<Self> {
-        if count > 1 { Self::several(count) } else { Self::single() }
+        if count > 1 { Self::multi_thread(count) } else { Self::single_thread() }
     }
 
-    fn several(count: usize) -> io::Result<Self> {
+    fn multi_thread(count: usize) -> io::Result<Self> {
         let runtime = Builder::new_multi_thread()
             .worker_threads(count)
-            .thread_name(NAME)
+            .thread_name(THREAD_NAME)
             .enable_all()
             .build()?;
         let handle = runtime.handle().clone();
-        Ok(Self { handle, shared: Mutex::new(Some(runtime)), _single: None })
+        Ok(Self { handle, pool: Mutex::new(Some(runtime)), _stop: None })
     }
 
-    fn single() -> io::Result<Self> {
-        let runtime = Builder::new_current_thread().thread_name(NAME).enable_all().build()?;
+    fn single_thread() -> io::Result<Self> {
+        let runtime =
+            Builder::new_current_thread().thread_name(THREAD_NAME).enable_all().build()?;
         let handle = runtime.handle().clone();
         let (end, ended) = oneshot::channel::<()>();
         let run = move || {
@@ -50,15 +51,15 @@
             let _ = runtime.block_on(ended);
             runtime.shutdown_background();
         };
-        thread::Builder::new().name(NAME.into()).spawn(run)?;
-        Ok(Self { handle, shared: Mutex::default(), _single: Some(end) })
+        thread::Builder::new().name(THREAD_NAME.into()).spawn(run)?;
+        Ok(Self { handle, pool: Mutex::default(), _stop: Some(end) })
     }
 }
 
 impl Drop for Threads {
     fn drop(&mut self) {
         // The last clone may be dropped on a thread of the runtime, where waiting for its end would panic.
-        if let Some(runtime) = self.shared.lock().take() {
+        if let Some(runtime) = self.pool.lock().take() {
             runtime.shutdown_background();
         }
     }
--- a/acaciaringd/src/peer/tls.rs
+++ b/acaciaringd/src/peer/tls.rs
@@ -22,7 +22,7 @@
     AuthoritySnafu, CertificateSnafu, NoCertificateSnafu, PeerError, ReadPemSnafu,
 };
 use crate::peer::settings::PeerSettings;
-use crate::peer::trust::{self, ByDigest, Fingerprint, Trusted};
+use crate::peer::trust::{self, DigestVerifier, Fingerprint, Trusted};
 
 /// Name in every member's certificate.
 pub(super) const SERVER_NAME: &str = "acaciaring";
@@ -31,21 +31,21 @@
 const ALPN: &[u8] = b"acaciaring/1";
 
 /// Time without a packet after which a connection is given up.
-const IDLE_MILLIS: u32 = 20_000;
+const IDLE_TIMEOUT_MS: u32 = 20_000;
 
 /// Streams that a peer may have open at once on one connection.
 ///
 /// The QUIC library reserves some 90 bytes for each of them on every connection.
-const STREAMS: u32 = 256;
+const MAX_BIDI_STREAMS: u32 = 256;
 
 /// Streams that a peer may open for greetings.
-const GREETINGS: u32 = 1;
+const MAX_UNI_STREAMS: u32 = 1;
 
 /// Round trip assumed before the first measurement; members are a few milliseconds apart.
 const INITIAL_RTT: Duration = Duration::from_millis(10);
 
 /// Bytes that a connection takes in ahead of their reader.
-const WINDOW: u32 = 16 << 20;
+const RECEIVE_WINDOW_BYTES: u32 = 16 << 20;
 
 /// Configurations of both ends of a connection.
 pub(super) struct Configs {
@@ -64,26 +64,29 @@
     let provider = Arc::new(ring::default_provider());
     let trusted = Arc::new(Trusted::default());
     let own = settings.authority.as_os_str().is_empty();
-    let parties =
-        if own { by_digest(&provider, &trusted)? } else { by_files(settings, &provider)? };
-    let fingerprint = parties.chain.first().filter(|_| own).map(trust::fingerprint);
+    let credentials =
+        if own { self_signed(&provider, &trusted)? } else { from_files(settings, &provider)? };
+    let fingerprint = credentials.chain.first().filter(|_| own).map(trust::fingerprint);
     let transport = Arc::new(transport());
-    let mut server = server(settings, &provider, &parties)?;
+    let mut server = server(settings, &provider, &credentials)?;
     server.transport_config(Arc::clone(&transport));
-    let mut client = client(settings, provider, parties)?;
+    let mut client = client(settings, provider, credentials)?;
     client.transport_config(transport);
     Ok(Configs { fingerprint, trusted, server, client })
 }
 
 /// What a process shows of itself, and how it judges others.
-struct Parties {
+struct Credentials {
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
     clients: Arc<dyn ClientCertVerifier>,
     servers: Arc<dyn ServerCertVerifier>,
 }
 
-fn by_files(settings: &PeerSettings, provider: &Arc<CryptoProvider>) -> Result<Parties, PeerError> {
+fn from_files(
+    settings: &PeerSettings,
+    provider: &Arc<CryptoProvider>,
+) -> Result<Credentials, PeerError> {
     let roots = Arc::new(authority(&settings.authority)?);
     let clients =
         WebPkiClientVerifier::builder_with_provider(Arc::clone(&roots), Arc::clone(provider))
@@ -93,16 +96,19 @@
         .build()
         .map_err(|error| unsupported(&error))?;
     let (chain, key) = identity(settings)?;
-    Ok(Parties { chain, key, clients, servers })
+    Ok(Credentials { chain, key, clients, servers })
 }
 
-fn by_digest(provider: &Arc<CryptoProvider>, trusted: &Arc<Trusted>) -> Result<Parties, PeerError> {
+fn self_signed(
+    provider: &Arc<CryptoProvider>,
+    trusted: &Arc<Trusted>,
+) -> Result<Credentials, PeerError> {
     let names = vec![SERVER_NAME.to_owned()];
     let own = rcgen::generate_simple_self_signed(names).map_err(|error| unsupported(&error))?;
     let key = PrivatePkcs8KeyDer::from(own.signing_key.serialize_der());
     let verifier =
-        Arc::new(ByDigest { trusted: Arc::clone(trusted), provider: Arc::clone(provider) });
-    Ok(Parties {
+        Arc::new(DigestVerifier { trusted: Arc::clone(trusted), provider: Arc::clone(provider) });
+    Ok(Credentials {
         chain: vec![own.cert.der().clone()],
         key: key.into(),
         clients: Arc::clone(&verifier) as _,
@@ -113,13 +119,13 @@
 fn server(
     settings: &PeerSettings,
     provider: &Arc<CryptoProvider>,
-    parties: &Parties,
+    credentials: &Credentials,
 ) -> Result<ServerConfig, PeerError> {
     let mut tls = rustls::ServerConfig::builder_with_provider(Arc::clone(provider))
         .with_protocol_versions(&[&TLS13])
         .map_err(|error| unsupported(&error))?
-        .with_client_cert_verifier(Arc::clone(&parties.clients))
-        .with_single_cert(parties.chain.clone(), parties.key.clone_key())
+        .with_client_cert_verifier(Arc::clone(&credentials.clients))
+        .with_single_cert(credentials.chain.clone(), credentials.key.clone_key())
         .context(CertificateSnafu { path: &settings.certificate })?;
     tls.alpn_protocols = vec![ALPN.to_vec()];
     let tls = QuicServerConfig::try_from(tls).map_err(|error| unsupported(&error))?;
@@ -129,14 +135,14 @@
 fn client(
     settings: &PeerSettings,
     provider: Arc<CryptoProvider>,
-    parties: Parties,
+    credentials: Credentials,
 ) -> Result<ClientConfig, PeerError> {
     let mut tls = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&TLS13])
         .map_err(|error| unsupported(&error))?
         .dangerous()
-        .with_custom_certificate_verifier(parties.servers)
-        .with_client_auth_cert(parties.chain, parties.key)
+        .with_custom_certificate_verifier(credentials.servers)
+        .with_client_auth_cert(credentials.chain, credentials.key)
         .context(CertificateSnafu { path: &settings.certificate })?;
     tls.alpn_protocols = vec![ALPN.to_vec()];
     let tls = QuicClientConfig::try_from(tls).map_err(|error| unsupported(&error))?;
@@ -147,13 +153,13 @@
 fn transport() -> TransportConfig {
     let mut config = TransportConfig::default();
     config
-        .max_concurrent_bidi_streams(VarInt::from_u32(STREAMS))
-        .max_concurrent_uni_streams(VarInt::from_u32(GREETINGS))
-        .max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_MILLIS))))
+        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_BIDI_STREAMS))
+        .max_concurrent_uni_streams(VarInt::from_u32(MAX_UNI_STREAMS))
+        .max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_TIMEOUT_MS))))
         .keep_alive_interval(None)
         // Probes for larger packets would be most of what an idle connection sends.
         .mtu_discovery_config(None)
-        .receive_window(VarInt::from_u32(WINDOW))
+        .receive_window(VarInt::from_u32(RECEIVE_WINDOW_BYTES))
         .initial_rtt(INITIAL_RTT);
     config
 }
--- a/acaciaringd/src/peer/transport.rs
+++ b/acaciaringd/src/peer/transport.rs
@@ -18,29 +18,29 @@
 use prost::Message;
 
 use crate::metrics::Metrics;
-use crate::peer::attempt::{RequestOutcome, Running};
+use crate::peer::attempt::{RequestOutcome, RunningRequest};
 use crate::peer::cancel::CancelFlag;
 use crate::peer::error::{BindSnafu, CallError, ConnectError, PeerError, ThreadsSnafu};
 use crate::peer::exchange;
 use crate::peer::frame::Code;
-use crate::peer::inflight::Desk;
+use crate::peer::inflight::InflightTracker;
 use crate::peer::lags::Lags;
-use crate::peer::limiter::Lanes;
+use crate::peer::limiter::RequestLimiter;
 use crate::peer::link::LinkId;
 use crate::peer::pool::Pool;
 use crate::peer::serve;
 use crate::peer::settings::PeerSettings;
-use crate::peer::table::Table;
+use crate::peer::table::AttemptTable;
 use crate::peer::threads::Threads;
 use crate::peer::tls::{self, Configs};
 use crate::peer::traffic::{Registry, Traffic};
 use crate::peer::trust::{Fingerprint, Trusted};
 
 /// Time for telling peers that this process stops.
-const FAREWELL: Duration = Duration::from_millis(500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Steps in which a stop looks whether messages are still in hand.
-const STEP: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Outcome of a handler that may wait.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
@@ -74,12 +74,12 @@
     pub trusted: Arc<Trusted>,
     pub runtime: Handle,
     pub pool: Pool,
-    pub table: Table,
-    pub lanes: Lanes,
+    pub table: AttemptTable,
+    pub limiter: RequestLimiter,
     pub lags: Lags,
     pub registry: Registry,
     /// Messages of others in hand.
-    pub desk: Arc<Desk>,
+    pub inflight: Arc<InflightTracker>,
     pub metrics: Metrics,
     links: AtomicU64,
     stopped: AtomicBool,
@@ -134,7 +134,7 @@
     ) -> Result<Self, PeerError> {
         let Configs { fingerprint, trusted, server, client } = tls::configs(&settings)?;
         let runtime = Threads::start(settings.threads).context(ThreadsSnafu)?;
-        let lanes = Lanes::new(settings.workers);
+        let limiter = RequestLimiter::new(settings.workers);
         let address = settings.address;
         let entered = runtime.handle.enter();
         let endpoint = Endpoint::server(server, address).context(BindSnafu { address })?;
@@ -150,11 +150,11 @@
             trusted,
             runtime: runtime.handle.clone(),
             pool: Pool::default(),
-            table: Table::default(),
-            lanes,
+            table: AttemptTable::default(),
+            limiter,
             lags: Lags::default(),
             registry: Registry::default(),
-            desk: Arc::default(),
+            inflight: Arc::default(),
             metrics,
             links: AtomicU64::new(0),
             stopped: AtomicBool::new(false),
@@ -226,8 +226,13 @@
     /// The sender draws `request.attempt` at random for each try and never
     /// uses it again; zero is reserved. `request.left` is set here.
     #[must_use]
-    pub fn start_request(&self, to: SocketAddr, request: Request, left: Duration) -> Running {
-        Running::start(Arc::clone(&self.inner.shared), to, request, left)
+    pub fn start_request(
+        &self,
+        to: SocketAddr,
+        request: Request,
+        left: Duration,
+    ) -> RunningRequest {
+        RunningRequest::start(Arc::clone(&self.inner.shared), to, request, left)
     }
 
     /// Does the same as [`Transport::start_request`] and waits for the outcome.
@@ -240,7 +245,7 @@
         request: Request,
         left: Duration,
     ) -> RequestOutcome {
-        self.start_request(to, request, left).end().await
+        self.start_request(to, request, left).outcome().await
     }
 
     /// Does the same as [`Transport::request`] for a thread that may block.
@@ -271,17 +276,17 @@
     /// Returns the digest of the certificate that this process made for itself, empty with an authority.
     #[must_use]
     pub fn fingerprint(&self) -> &[u8] {
-        self.inner.shared.fingerprint.as_ref().map_or(&[], |print| print.as_slice())
+        self.inner.shared.fingerprint.as_ref().map_or(&[], |fingerprint| fingerprint.as_slice())
     }
 
     /// Replaces the digests of certificates that are accepted; without effect with an authority.
-    pub fn trust<'a>(&self, prints: impl Iterator<Item = &'a [u8]>) {
-        self.inner.shared.trusted.set(prints);
+    pub fn trust<'a>(&self, fingerprints: impl Iterator<Item = &'a [u8]>) {
+        self.inner.shared.trusted.set(fingerprints);
     }
 
     /// Sets once what is called, at the handshake, when a certificate is not accepted.
-    pub fn on_untrusted(&self, refused: impl Fn() + Send + Sync + 'static) {
-        self.inner.shared.trusted.on_untrusted(Box::new(refused));
+    pub fn on_untrusted(&self, callback: impl Fn() + Send + Sync + 'static) {
+        self.inner.shared.trusted.on_untrusted(Box::new(callback));
     }
 
     /// Returns the bytes moved so far.
@@ -301,7 +306,7 @@
     /// What is due to peers has half a second.
     pub fn stop(&self) {
         // What is left then is lost.
-        let _ = self.stop_within(FAREWELL);
+        let _ = self.stop_within(CLOSE_TIMEOUT);
     }
 
     /// Does the same as [`Transport::stop`], with another bound on what is due; returns how much is left.
@@ -311,16 +316,16 @@
     #[must_use]
     pub fn stop_within(&self, bound: Duration) -> usize {
         let shared = &self.inner.shared;
-        shared.desk.close();
+        shared.inflight.close();
         let start = Instant::now();
-        while shared.desk.held() > 0 && start.elapsed() < bound {
-            thread::sleep(STEP);
+        while shared.inflight.count() > 0 && start.elapsed() < bound {
+            thread::sleep(POLL_INTERVAL);
         }
-        let due = shared.desk.held();
+        let remaining = shared.inflight.count();
         // A sender can't tell what it wrote just before the end of its connection from work that was cut
         // off, so the end says which it is.
-        self.close(if shared.desk.is_settled() { Code::Settled } else { Code::Stopping });
-        due
+        self.close(if shared.inflight.is_settled() { Code::Settled } else { Code::Stopping });
+        remaining
     }
 
     fn close(&self, code: Code) {
@@ -336,8 +341,8 @@
         // Last, for a link that is dropped closes its connection without saying that the process stops.
         shared.pool.clear();
         let idle = shared.endpoint.wait_idle();
-        let farewell = async { time::timeout(FAREWELL, idle).await };
-        if shared.runtime.block_on(farewell).is_err() {
+        let closing = async { time::timeout(CLOSE_TIMEOUT, idle).await };
+        if shared.runtime.block_on(closing).is_err() {
             error!("not all peers were told that this process stops");
         }
     }
--- a/acaciaringd/src/peer/trust.rs
+++ b/acaciaringd/src/peer/trust.rs
@@ -27,64 +27,65 @@
 
 /// Returns the digest of a certificate.
 pub(super) fn fingerprint(certificate: &CertificateDer<'_>) -> Fingerprint {
-    let mut print = [0; DIGEST];
-    print.copy_from_slice(digest(&SHA256, certificate).as_ref());
-    print
+    let mut bytes = [0; DIGEST];
+    bytes.copy_from_slice(digest(&SHA256, certificate).as_ref());
+    bytes
 }
 
 /// Called when a certificate is not accepted.
-type Refused = Box<dyn Fn() + Send + Sync>;
+type UntrustedCallback = Box<dyn Fn() + Send + Sync>;
 
 /// Digests of the certificates that are accepted.
 #[derive(Default)]
 pub(super) struct Trusted {
-    prints: RwLock<HashSet<Fingerprint>>,
-    refused: OnceLock<Refused>,
+    fingerprints: RwLock<HashSet<Fingerprint>>,
+    callback: OnceLock<UntrustedCallback>,
 }
 
 impl Debug for Trusted {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
-        out.debug_struct("Trusted").field("prints", &self.prints).finish_non_exhaustive()
+        out.debug_struct("Trusted").field("prints", &self.fingerprints).finish_non_exhaustive()
     }
 }
 
 impl Trusted {
     /// Replaces what is accepted; entries of another length are passed over.
-    pub(super) fn set<'a>(&self, prints: impl Iterator<Item = &'a [u8]>) {
-        let prints = prints.filter_map(|print| Fingerprint::try_from(print).ok()).collect();
-        *self.prints.write() = prints;
+    pub(super) fn set<'a>(&self, fingerprints: impl Iterator<Item = &'a [u8]>) {
+        let fingerprints =
+            fingerprints.filter_map(|bytes| Fingerprint::try_from(bytes).ok()).collect();
+        *self.fingerprints.write() = fingerprints;
     }
 
     /// Sets once what is called when a certificate is not accepted: it may belong to a member of
     /// which this one has not read yet.
-    pub(super) fn on_untrusted(&self, refused: Refused) {
-        let _ = self.refused.set(refused);
+    pub(super) fn on_untrusted(&self, callback: UntrustedCallback) {
+        let _ = self.callback.set(callback);
     }
 
     fn check(&self, certificate: &CertificateDer<'_>) -> Result<(), Error> {
-        if self.prints.read().contains(&fingerprint(certificate)) {
+        if self.fingerprints.read().contains(&fingerprint(certificate)) {
             return Ok(());
         }
-        if let Some(refused) = self.refused.get() {
-            refused();
+        if let Some(callback) = self.callback.get() {
+            callback();
         }
         Err(Error::InvalidCertificate(CertificateError::ApplicationVerificationFailure))
     }
 }
 
 /// Accepts certificates by their digests, at both ends of a connection.
-pub(super) struct ByDigest {
+pub(super) struct DigestVerifier {
     pub(super) trusted: Arc<Trusted>,
     pub(super) provider: Arc<CryptoProvider>,
 }
 
-impl Debug for ByDigest {
+impl Debug for DigestVerifier {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         out.debug_struct("ByDigest").field("trusted", &self.trusted).finish_non_exhaustive()
     }
 }
 
-impl ByDigest {
+impl DigestVerifier {
     fn verify(
         &self,
         message: &[u8],
@@ -101,11 +102,11 @@
 }
 
 /// Returns the refusal of an older version of TLS, which QUIC does not use.
-fn older() -> Result<HandshakeSignatureValid, Error> {
+fn reject_tls12() -> Result<HandshakeSignatureValid, Error> {
     Err(Error::PeerIncompatible(PeerIncompatible::Tls12NotOffered))
 }
 
-impl ServerCertVerifier for ByDigest {
+impl ServerCertVerifier for DigestVerifier {
     fn verify_server_cert(
         &self,
         certificate: &CertificateDer<'_>,
@@ -124,7 +125,7 @@
         _certificate: &CertificateDer<'_>,
         _signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        older()
+        reject_tls12()
     }
 
     fn verify_tls13_signature(
@@ -141,7 +142,7 @@
     }
 }
 
-impl ClientCertVerifier for ByDigest {
+impl ClientCertVerifier for DigestVerifier {
     fn root_hint_subjects(&self) -> &[DistinguishedName] {
         &[]
     }
@@ -162,7 +163,7 @@
         _certificate: &CertificateDer<'_>,
         _signature: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, Error> {
-        older()
+        reject_tls12()
     }
 
     fn verify_tls13_signature(
--- a/acaciaringd/src/router/stalled.rs
+++ b/acaciaringd/src/router/stalled.rs
@@ -11,14 +11,14 @@
 use super::outcome::{AttemptOutcome, classify};
 use super::{Router, clock};
 use crate::metrics::Timer;
-use crate::peer::{RequestOutcome, Running};
+use crate::peer::{RequestOutcome, RunningRequest};
 
 /// Attempt at a member that stopped responding.
 pub(super) struct StalledAttempt {
     target: MemberId,
     address: SocketAddr,
     start: Time,
-    running: Running,
+    running: RunningRequest,
 }
 
 impl Router {
@@ -32,7 +32,7 @@
     ) -> Result<AttemptOutcome, StalledAttempt> {
         let start = clock::now();
         let mut running = self.transport.start_request(address, request, left);
-        match running.heard().await {
+        match running.outcome_or_silence().await {
             Some(outcome) => Ok(self.finish_attempt(address, start, outcome)),
             None => Err(StalledAttempt { target, address, start, running }),
         }
@@ -45,7 +45,7 @@
     /// member.
     pub(super) async fn await_stalled(&self, stalled: StalledAttempt) -> AttemptOutcome {
         let StalledAttempt { target, address, start, running } = stalled;
-        let outcome = running.end().await;
+        let outcome = running.outcome().await;
         let ended = self.finish_attempt(address, start, outcome);
         if matches!(ended, AttemptOutcome::Answered(_) | AttemptOutcome::Refused { .. }) {
             self.suspects.clear(target);
