--- a/acaciaringd/src/peer/attempt.rs
+++ b/acaciaringd/src/peer/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending side of a request: survives a connection that has gone silent.
+//! Sending side of a request, which survives the loss of its connection.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,30 +20,30 @@
 use crate::peer::timeouts;
 use crate::peer::transport::Shared;
 
-/// Silent intervals after which a connection with a running request is tested.
+/// Silent intervals after which the connection of a running request is probed.
 pub(super) const SILENT_INTERVALS: u32 = 4;
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestOutcome {
     /// The member answered.
     Answer(Answer),
-    /// The request never arrived and never will; another member may get it.
+    /// The request did not arrive and cannot arrive later; it may be sent to another member.
     NotDelivered,
-    /// The request may have run; there is no whole answer.
+    /// The request may have run, but there is no complete answer.
     Lost,
 }
 
-/// Request that is under way at a member.
+/// Request that was sent to a member.
 ///
-/// When it is dropped before its end, the member is told that the caller has gone away.
+/// Dropping it before its end cancels the request at the member.
 pub struct RunningRequest {
     outcome: Pin<Box<dyn Future<Output = RequestOutcome> + Send>>,
     silence: Arc<Notify>,
 }
 
 impl RunningRequest {
-    /// Sends a request, and brings back its answer over new connections if need be.
+    /// Sends a request; its answer is fetched over a new connection if the first one fails.
     pub(super) fn start(
         shared: Arc<Shared>,
         to: SocketAddr,
@@ -61,9 +61,9 @@
         Self { outcome: Box::pin(outcome), silence }
     }
 
-    /// Waits for the end; `None` once the member has gone silent.
+    /// Waits for the outcome; `None` once the member stops responding.
     ///
-    /// Silence is no proof: the member may be without processor and its answer come later.
+    /// The answer may still arrive, since the member may only lack processor time.
     pub async fn outcome_or_silence(&mut self) -> Option<RequestOutcome> {
         tokio::select! {
             biased;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Waits for the end, however long the member is silent.
+    /// Waits for the outcome, even if the member stops responding.
     pub async fn outcome(self) -> RequestOutcome {
         self.outcome.await
     }
@@ -96,7 +96,7 @@
     let frame = match frame::encode(&call, shared.settings.message_limit) {
         Ok(frame) => frame,
         Err(size) => {
-            error!(%to, size, "request exceeds the limit");
+            error!(%to, size, "request exceeds the message limit; not sent");
             return RequestOutcome::NotDelivered;
         }
     };
@@ -118,10 +118,10 @@
     outcome.unwrap_or(RequestOutcome::Lost)
 }
 
-/// Tells the receiver that nobody waits for an attempt, unless it has ended.
+/// Cancels an attempt on drop, unless it has ended.
 ///
-/// Guards against work for a caller that has left: the future of its request is dropped at any
-/// point, and the receiver would go on until the deadline.
+/// Guards against work for a caller that has left: its future may be dropped at any point, and the
+/// receiver would continue until the deadline.
 struct CancelOnDrop<'a> {
     shared: &'a Arc<Shared>,
     to: SocketAddr,
@@ -145,16 +145,16 @@
     }
 }
 
-/// Returns what an answer says of an attempt that was asked for before it arrived.
+/// Returns the outcome of an answer to an attempt that was probed for.
 ///
-/// Guards against a request that is refused for good by its own sender's question: it arrived
-/// after the question and its refusal was back before the reply to that.
+/// Guards against a probe that overtakes its request: the request is then refused as superseded,
+/// and its refusal may arrive before the reply to the probe.
 fn outcome_of_answer(answer: Answer) -> RequestOutcome {
     let refused = answer.verdict() == Verdict::NotRun && answer.reason() == Reason::Superseded;
     if refused { RequestOutcome::NotDelivered } else { RequestOutcome::Answer(answer) }
 }
 
-/// Returns the outcome if the stream of an attempt has told it.
+/// Returns the outcome if the reply on the stream of an attempt determines it.
 fn outcome_of_reply(reply: Result<Answer, FrameError>) -> Option<RequestOutcome> {
     match reply {
         Ok(answer) => Some(outcome_of_answer(answer)),
@@ -162,25 +162,25 @@
     }
 }
 
-/// One attempt that has been sent.
+/// Attempt that was written to a stream.
 struct SentAttempt<'a> {
     shared: &'a Arc<Shared>,
     info: AttemptInfo,
     silence: &'a Notify,
-    /// Whether the receiver has said that it has the attempt.
+    /// Whether the receiver has confirmed the arrival of the attempt.
     arrived: bool,
     sent: SentMessage,
 }
 
 impl SentAttempt<'_> {
-    /// Waits for the answer, and at first for a sign that the request has got there.
+    /// Waits for the acknowledgement of the request and then for its answer.
     ///
-    /// The sign is the acknowledgement of its bytes by the connection. It says that the other end
-    /// lives, not that it has taken the request in, so a probe still has the last word on that.
+    /// The QUIC acknowledgement shows that the peer is alive, not that it has read the request,
+    /// which only a probe can confirm.
     ///
-    /// While the other end answers on the connection, bytes that were lost on the way are sent again by
-    /// the connection itself. Guards against a question whether the request has arrived that
-    /// overtakes it: the request would be refused for good, though it gets there a moment later.
+    /// While the peer responds on the connection, QUIC retransmits lost packets. Guards against a
+    /// probe that overtakes the request: the request would be refused, though it arrives a moment
+    /// later.
     async fn run(mut self, ack_timeout: Duration) -> RequestOutcome {
         let before = self.sent.link.received();
         let delivered = self.sent.stream.stopped();
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Ends with what the stream has brought.
+    /// Returns the outcome of the reply on the stream.
     async fn finish(self, reply: Result<Answer, FrameError>) -> RequestOutcome {
         match reply {
             Ok(answer) => {
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Goes on after the stream has failed.
+    /// Determines the outcome after the stream has failed.
     async fn handle_error(self, error: &FrameError) -> RequestOutcome {
         match error {
             error if error.refusal().is_some() => RequestOutcome::NotDelivered,
@@ -234,11 +234,11 @@
         }
     }
 
-    /// Looks for the attempt on new connections, still listening on the suspect one.
+    /// Searches for the attempt on new connections while still reading from the suspect one.
     async fn recover(self) -> RequestOutcome {
         let Self { shared, info, silence, arrived, mut sent } = self;
         let AttemptInfo { to, attempt, .. } = info;
-        debug!(%to, attempt, arrived, link = sent.link.id, "connection is suspect");
+        debug!(%to, attempt, arrived, link = sent.link.id, "connection is suspect; searching");
         let search = Search { shared, info, silence, arrived, sent: &sent.link };
         let mut search = pin!(search.run());
         let found = tokio::select! {
@@ -250,11 +250,11 @@
         };
         let outcome = match found {
             Found::Outcome(outcome) => outcome,
-            // Bytes that were lost on the way are sent again for as long as the connection stands.
+            // QUIC retransmits the answer for as long as the connection is open.
             Found::Forgotten => {
                 read_answer(&mut sent.reader).await.map_or(RequestOutcome::Lost, outcome_of_answer)
             }
-            // What had come before the end is read before it is told.
+            // An answer that arrived before the close can still be read.
             Found::Stopped => outcome_of_reply(read_answer(&mut sent.reader).await)
                 .unwrap_or(RequestOutcome::Lost),
         };
--- a/acaciaringd/src/peer/cancel.rs
+++ b/acaciaringd/src/peer/cancel.rs
@@ -8,10 +8,10 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// Action of a handler when its request is cancelled.
+/// Callback that runs when a request is cancelled.
 type Action = Box<dyn FnOnce() + Send>;
 
-/// Tells a running request that its caller has gone away; clones share the flag.
+/// Signals to a running request that it is cancelled; clones share the flag.
 #[derive(Clone, Default)]
 pub struct CancelFlag {
     shared: Arc<Shared>,
@@ -31,7 +31,7 @@
         self.shared.set.load(Ordering::Acquire)
     }
 
-    /// Runs `action` when the request is cancelled, at once if it already is.
+    /// Runs `action` when the request is cancelled, or at once if it already is.
     ///
     /// The action runs on a thread of the transport and must not block.
     pub fn on_cancel(&self, action: impl FnOnce() + Send + 'static) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Cancels the request and runs the actions of its handler.
+    /// Cancels the request and runs the registered actions.
     pub fn set(&self) {
         let mut actions = self.shared.actions.lock();
         self.shared.set.store(true, Ordering::Release);
--- a/acaciaringd/src/peer/error.rs
+++ b/acaciaringd/src/peer/error.rs
@@ -9,12 +9,12 @@
 use rustls_pki_types::pem;
 use snafu::Snafu;
 
-/// Why the transport did not start.
+/// Failure to start the transport.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum PeerError {
     /// A PEM file cannot be read.
-    #[snafu(display("cannot read {}", path.display()))]
+    #[snafu(display("cannot read PEM file {}", path.display()))]
     ReadPem {
         /// File.
         path: PathBuf,
@@ -28,14 +28,14 @@
         path: PathBuf,
     },
     /// A certificate of the authority is not valid.
-    #[snafu(display("invalid authority in {}", path.display()))]
+    #[snafu(display("invalid CA certificate in {}", path.display()))]
     Authority {
         /// File.
         path: PathBuf,
         /// Cause.
         source: rustls::Error,
     },
-    /// Certificate and key do not fit each other or are not supported.
+    /// Certificate and key do not match or are not supported.
     #[snafu(display("cannot use the certificate in {}", path.display()))]
     Certificate {
         /// File.
@@ -43,14 +43,14 @@
         /// Cause.
         source: rustls::Error,
     },
-    /// The TLS library does not offer what the transport needs.
+    /// The TLS library rejects the configuration of the transport.
     #[snafu(display("cannot set up TLS: {cause}"))]
     Tls {
         /// Cause.
         cause: String,
     },
     /// The address cannot be bound.
-    #[snafu(display("cannot listen on {address}"))]
+    #[snafu(display("cannot listen on UDP address {address}"))]
     Bind {
         /// Address.
         address: SocketAddr,
@@ -58,22 +58,22 @@
         source: io::Error,
     },
     /// Threads cannot be started.
-    #[snafu(display("cannot start the threads of the transport"))]
+    #[snafu(display("cannot start the transport threads"))]
     Threads {
         /// Cause.
         source: io::Error,
     },
 }
 
-/// Why no connection to a member was established.
+/// Failure to connect to a member.
 #[derive(Debug, Clone, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ConnectError {
     /// The member did not complete the handshake in time.
-    #[snafu(display("no connection in time"))]
+    #[snafu(display("connection timed out"))]
     TimedOut,
-    /// The member refused the connection, or the connection broke off.
-    #[snafu(display("connection refused"))]
+    /// The member refused the connection, or the connection was lost during the handshake.
+    #[snafu(display("connection refused or lost"))]
     Broken {
         /// Cause.
         source: ConnectionError,
@@ -85,21 +85,21 @@
         source: quinn::ConnectError,
     },
     /// No socket can be opened.
-    #[snafu(display("cannot open a socket"))]
+    #[snafu(display("cannot open a UDP socket"))]
     Socket {
         /// Cause.
         #[snafu(source(from(io::Error, Arc::new)))]
         source: Arc<io::Error>,
     },
-    /// The member does not speak the protocol.
-    #[snafu(display("no valid greeting"))]
+    /// The member's greeting does not follow the protocol.
+    #[snafu(display("invalid greeting"))]
     Greeting,
     /// The transport is stopped.
     #[snafu(display("transport is stopped"))]
     Stopped,
 }
 
-/// Why a call has no reply.
+/// Failure of a call to a member.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum CallError {
@@ -111,14 +111,14 @@
         /// Cause.
         source: ConnectError,
     },
-    /// The call was not sent whole, so it was not delivered.
-    #[snafu(display("call to {peer} was not sent"))]
+    /// The call was not sent completely, so it was not delivered.
+    #[snafu(display("call to {peer} was not sent completely"))]
     Unsent {
         /// Member's address.
         peer: SocketAddr,
     },
-    /// The call exceeds the limit and was not sent.
-    #[snafu(display("call of {size} bytes to {peer} exceeds the limit"))]
+    /// The call exceeds the message limit and was not sent.
+    #[snafu(display("call of {size} bytes to {peer} exceeds the message limit"))]
     TooLarge {
         /// Member's address.
         peer: SocketAddr,
@@ -133,7 +133,7 @@
         /// Error code of the stream.
         code: u64,
     },
-    /// The call may have been delivered, but no reply came.
+    /// The call may have been delivered, but there was no reply.
     #[snafu(display("no reply from {peer}"))]
     Lost {
         /// Member's address.
--- a/acaciaringd/src/peer/exchange.rs
+++ b/acaciaringd/src/peer/exchange.rs
@@ -1,4 +1,4 @@
-//! Sending side of a call, and what it shares with that of a request.
+//! Sending side of a call, and the parts that it shares with the sending side of a request.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -23,22 +23,22 @@
 use crate::peer::timeouts;
 use crate::peer::transport::Shared;
 
-/// Tries to deliver a cancellation; the deadline of the attempt ends its work in the end.
+/// Attempts to deliver a cancellation; if all fail, the attempt runs until its deadline.
 const CANCEL_ATTEMPTS: usize = 3;
 
-/// Connections on which a message is written before it counts as not delivered.
+/// Connections on which a message is tried before it counts as not delivered.
 const SEND_ATTEMPTS: usize = 2;
 
-/// Silent intervals after which a connection with a call is tested.
+/// Silent intervals after which the connection of a pending call is probed.
 const SILENT_INTERVALS: u32 = 1;
 
-/// Bytes for which the receiver gets a further millisecond to acknowledge a request.
+/// Bytes of a message for which its acknowledgement timeout is extended by one millisecond.
 const BYTES_PER_MS: usize = 16 << 10;
 
-/// Attempt that no request has; a probe for it only tests the connection.
+/// Reserved attempt id; a probe for it only tests the connection.
 const NO_ATTEMPT: u64 = 0;
 
-/// Message written whole on a stream of a connection.
+/// Message that was written completely to a stream.
 pub(super) struct SentMessage {
     pub link: Arc<Link>,
     pub stream: SendStream,
@@ -46,16 +46,16 @@
 }
 
 impl Drop for SentMessage {
-    /// Ends the repetition of what was lost on the way, without effect once all has got there.
+    /// Resets the stream, which stops retransmission unless everything was acknowledged.
     ///
-    /// Guards against a request that reaches its receiver after its caller has left: over a link
-    /// that loses packets it would be sent again, and run for nobody.
+    /// Guards against a request that is retransmitted after its caller has left: it would arrive
+    /// late and run for nobody.
     fn drop(&mut self) {
         abandon(&mut self.stream);
     }
 }
 
-/// Tells a member, in the background, that the caller of an attempt has gone away.
+/// Cancels an attempt at a member, in the background.
 pub(super) fn cancel(shared: &Arc<Shared>, to: SocketAddr, attempt: u64) {
     let task = Arc::clone(shared);
     shared.runtime.spawn(async move {
@@ -92,12 +92,11 @@
     LostSnafu { peer: to }.fail()
 }
 
-/// Returns the time since the peer was last heard within which a message is sent without a test.
+/// Returns the silence up to which a connection is used without a probe.
 ///
-/// Guards against a member that has ended while the connection to it stays open here: a
-/// message that was written has perhaps arrived, so each request that meets such a connection
-/// would end as one that may have run. A test beforehand tells that nothing was sent. It costs
-/// as much as a request, so one that may run again is tested only after a longer silence.
+/// Guards against a member that has ended while its connection is still open here: a request
+/// written to it may have run, whereas a failed probe proves that nothing was sent. A probe costs
+/// as much as a request, so idempotent requests are probed for only after a longer silence.
 const fn liveness_window(repeat: Repeat) -> Duration {
     match repeat {
         Repeat::Once => Duration::from_millis(300),
@@ -105,7 +104,7 @@
     }
 }
 
-/// Returns true when the other end of a connection is there, asked if it was not heard lately.
+/// Returns true if the peer is alive, which is probed if it was not heard recently.
 async fn is_alive(shared: &Shared, link: &Link, repeat: Repeat) -> bool {
     if link.liveness.heard_within(liveness_window(repeat)) {
         return true;
@@ -117,14 +116,14 @@
     alive
 }
 
-/// Returns true when the other end of a connection answers a test in time.
+/// Returns true if the peer answers a probe in time.
 pub(super) async fn responds(shared: &Shared, conn: &Connection) -> bool {
     probe(shared, conn, NO_ATTEMPT).await.is_some()
 }
 
-/// Writes a message whole on a connection to `to`.
+/// Writes a complete message on a connection to `to`.
 ///
-/// An error means that the peer never gets the whole message.
+/// An error means that the peer never receives the complete message.
 pub(super) async fn send(
     shared: &Arc<Shared>,
     to: SocketAddr,
@@ -149,7 +148,7 @@
             continue;
         };
         if let Ok(Ok(())) = time::timeout_at(limit, stream.write_chunk(frame.clone())).await {
-            // Fails only when the peer no longer reads; its reset says why.
+            // Fails only if the peer has stopped reading; the reply's error gives the reason.
             let _ = stream.finish();
             return Ok(SentMessage { link, stream, reader });
         }
@@ -158,11 +157,10 @@
     UnsentSnafu { peer: to }.fail()
 }
 
-/// Waits for a reply as long as the connection shows signs of life; `None` when it has gone silent.
+/// Waits for a reply while the connection is alive; `None` once it is silent.
 ///
-/// A connection that something in between has lost track of shows no packet at
-/// all, so after `patience` intervals without one it is tested. One that has ended meanwhile tells
-/// by the reply itself what came before its end, and why it ended.
+/// A connection is probed after `silent_intervals` intervals without a packet, and when it has been
+/// replaced. If it has closed meanwhile, the reply or its error is returned.
 pub(super) async fn wait_while_alive<T>(
     shared: &Shared,
     link: &Link,
@@ -189,7 +187,7 @@
     }
 }
 
-/// Asks on one connection whether an attempt has arrived; `None` without a timely reply.
+/// Asks on a given connection whether an attempt has arrived; `None` without a timely reply.
 pub(super) async fn probe(shared: &Shared, conn: &Connection, attempt: u64) -> Option<bool> {
     let body = call::Body::Probe(Probe { attempt });
     let timeout = timeouts::response_timeout(shared, conn);
@@ -199,7 +197,7 @@
     }
 }
 
-/// Makes a call on one connection; `None` when it breaks off.
+/// Makes a call on a given connection; `None` if the connection or stream fails.
 pub(super) async fn call_on(
     shared: &Shared,
     conn: &Connection,
@@ -213,16 +211,16 @@
     reader.next::<Reply>().await.ok()?.body
 }
 
-/// Stops sending what is left of a message.
+/// Resets a stream, which stops sending the rest of its message.
 ///
-/// Without this a paused process could go on sending it after the receiver has
-/// forgotten that it refuses it.
+/// Guards against a paused process that sends the rest of a refused message after the receiver has
+/// forgotten the refusal.
 pub(super) fn abandon(stream: &mut SendStream) {
     // Fails only when the stream is already over.
     let _ = stream.reset(Code::Abandoned.into());
 }
 
-/// Returns the time within which the receiver acknowledges a message of so many bytes.
+/// Returns the time within which a peer should acknowledge a message of `size` bytes.
 pub(super) fn ack_timeout(shared: &Shared, conn: &Connection, size: usize) -> Duration {
     let transfer = u64::try_from(size / BYTES_PER_MS).unwrap_or(u64::MAX);
     timeouts::response_timeout(shared, conn) + Duration::from_millis(transfer)
--- a/acaciaringd/src/peer/frame.rs
+++ b/acaciaringd/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! Messages on a stream, each behind its length in four bytes.
+//! Framing of messages on a stream: each is preceded by its length as a big-endian `u32`.
 
 use std::future::ready;
 
@@ -7,25 +7,25 @@
 use quinn::{ConnectionError, ReadError, RecvStream, VarInt};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
-/// Bytes of the length in front of a message.
+/// Length of the prefix that holds the length of a message.
 const PREFIX_BYTES: usize = size_of::<u32>();
 
 /// Error codes of streams and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Code {
-    /// Nothing is wrong.
+    /// No error.
     None = 0,
-    /// A message does not decode.
+    /// A message could not be decoded.
     Malformed = 1,
     /// A message exceeds the limit.
     TooLarge = 2,
-    /// Too many calls are waiting.
+    /// The process takes no more messages.
     Busy = 3,
-    /// The sender has given the message up.
+    /// The sender has abandoned the message.
     Abandoned = 4,
-    /// The process is stopping; what became of its peers' messages is unknown.
+    /// The process is stopping; unanswered messages may have had an effect.
     Stopping = 5,
-    /// The process is stopping; what it has answered has got there, and it has taken nothing else.
+    /// The process is stopping; all its answers were delivered and unanswered messages did not run.
     Settled = 6,
 }
 
@@ -35,18 +35,18 @@
     }
 }
 
-/// Why no message was read from a stream.
+/// Failure to read a message from a stream.
 #[derive(Debug, Snafu)]
 pub(super) enum FrameError {
     #[snafu(display("message of {size} bytes exceeds the limit of {limit}"))]
     TooLarge { size: usize, limit: usize },
-    #[snafu(display("message does not decode"))]
+    #[snafu(display("message could not be decoded"))]
     Malformed { source: DecodeError },
-    #[snafu(display("message has no content that is known"))]
+    #[snafu(display("message has an unknown body"))]
     Unknown,
     #[snafu(display("stream ended within a message"))]
     Ended,
-    #[snafu(display("stream broke off"))]
+    #[snafu(display("stream was reset or its connection lost"))]
     Broken { source: ReadError },
 }
 
@@ -60,10 +60,10 @@
         }
     }
 
-    /// Returns the code when the peer refused the message, so that it surely had no effect.
+    /// Returns the error code if the peer refused the message, which then had no effect.
     ///
-    /// A peer that stops refuses with the end of the connection what it has not answered: an answer
-    /// that has come is read before the end is seen.
+    /// A peer that stops with [`Code::Settled`] thereby refuses all messages without an answer; an
+    /// answer that has arrived is read before the close is seen.
     pub fn refusal(&self) -> Option<u64> {
         let Self::Broken { source } = self else {
             return None;
@@ -79,7 +79,7 @@
     }
 }
 
-/// Encodes a message behind its length; `None` when it exceeds `limit`.
+/// Encodes a message with its length prefix; the error is the size of one that exceeds `limit`.
 pub(super) fn encode(message: &impl Message, limit: usize) -> Result<Bytes, usize> {
     let size = message.encoded_len();
     let length = u32::try_from(size).ok().filter(|_| size <= limit).ok_or(size)?;
@@ -89,7 +89,7 @@
     Ok(frame.freeze())
 }
 
-/// Reads messages from a stream; a read that is dropped half way loses nothing.
+/// Reads messages from a stream; reads are cancel safe.
 pub(super) struct FrameReader {
     recv: RecvStream,
     buffer: BytesMut,
@@ -97,7 +97,7 @@
 }
 
 impl FrameReader {
-    /// Returns a reader of messages of at most `limit` bytes.
+    /// Creates a reader of messages of at most `limit` bytes.
     pub fn new(recv: RecvStream, limit: usize) -> Self {
         Self { recv, buffer: BytesMut::new(), limit }
     }
@@ -115,10 +115,10 @@
         }
     }
 
-    /// Takes notice of the end of the stream, if it came with the last message.
+    /// Reads the end of the stream, if it arrived with the last message.
     ///
-    /// A stream that is dropped before its end was read asks the peer to stop sending, which costs
-    /// both ends a packet.
+    /// A stream that is dropped before its end was read sends `STOP_SENDING`, which costs both ends
+    /// a packet.
     async fn consume_end(&mut self) {
         if !self.buffer.is_empty() {
             return;
@@ -131,13 +131,13 @@
         }
     }
 
-    /// Tells the peer to stop sending.
+    /// Asks the peer to stop sending.
     pub fn stop(&mut self, code: Code) {
-        // Fails only when the stream is already over.
+        // Fails only if the stream has already ended.
         let _ = self.recv.stop(code.into());
     }
 
-    /// Takes a whole message off the buffer.
+    /// Removes the next complete message from the buffer.
     fn split(&mut self) -> Result<Option<BytesMut>, FrameError> {
         let Some(prefix) = self.buffer.first_chunk::<PREFIX_BYTES>() else {
             return Ok(None);
--- a/acaciaringd/src/peer/inflight.rs
+++ b/acaciaringd/src/peer/inflight.rs
@@ -1,21 +1,21 @@
-//! Messages of others that are in hand, so that a stop can wait for what is due to them.
+//! Tracking of messages that are being handled, so that a stop can wait for their answers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// Where messages are taken in, until it closes.
+/// Counts the messages in flight and refuses new ones once it is closed.
 #[derive(Debug, Default)]
 pub(super) struct InflightTracker {
     count: AtomicUsize,
     closed: AtomicBool,
-    /// Whether a message was dropped with an unknown effect.
+    /// Set once a message ended without being settled.
     uncertain: AtomicBool,
 }
 
 impl InflightTracker {
-    /// Takes a message in until what is returned is dropped; `None` once no more are taken.
+    /// Counts a message until the guard is dropped; `None` once the tracker is closed.
     pub fn try_track(self: &Arc<Self>) -> Option<InflightGuard> {
-        // Counted before it is asked: one that closes sees the count, or this one sees that it has closed.
+        // Counted before the check, so that either `close` sees the count or this sees the close.
         let guard = self.track();
         if self.closed.load(Ordering::SeqCst) {
             guard.settle();
@@ -24,23 +24,23 @@
         Some(guard)
     }
 
-    /// Counts a message as in hand, also after the close.
+    /// Counts a message, even if the tracker is closed.
     pub fn track(self: &Arc<Self>) -> InflightGuard {
         self.count.fetch_add(1, Ordering::SeqCst);
         InflightGuard { tracker: Arc::clone(self), settled: false }
     }
 
-    /// Takes no more messages.
+    /// Refuses further messages.
     pub fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Returns how many messages are in hand.
+    /// Returns the number of messages in flight.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::SeqCst)
     }
 
-    /// Returns whether each message that was taken in has been settled, and no more will be taken.
+    /// Returns whether the tracker is closed and every message was settled.
     pub fn is_settled(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
             && self.count() == 0
@@ -48,7 +48,7 @@
     }
 }
 
-/// Message in hand; one that is dropped before it is settled has an unknown effect.
+/// Message in flight; if it is dropped before it is settled, its effect is unknown.
 #[derive(Debug)]
 pub(super) struct InflightGuard {
     tracker: Arc<InflightTracker>,
@@ -56,7 +56,7 @@
 }
 
 impl InflightGuard {
-    /// Records that the sender has the answer, or that the message had no effect.
+    /// Ends a message whose answer the sender has, or that had no effect.
     pub fn settle(mut self) {
         self.settled = true;
     }
--- a/acaciaringd/src/peer/lags.rs
+++ b/acaciaringd/src/peer/lags.rs
@@ -1,4 +1,4 @@
-//! Delays of the messages of other processes.
+//! Network delays of messages, estimated for each sending process.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,17 +8,17 @@
 
 use crate::clock;
 
-/// Processes that are remembered; beyond it all begin anew.
+/// Largest number of processes with an estimate; above it all are cleared.
 const MAX_PROCESSES: usize = 4096;
 
-/// Delays by the random number of the sender's process start.
+/// Delay estimates by the random id of the sender's run of its process.
 #[derive(Debug, Default)]
 pub(super) struct Lags {
     processes: Mutex<HashMap<u64, Lag>>,
 }
 
 impl Lags {
-    /// Returns for how long a message of a process was held up, zero when it states no clock.
+    /// Returns the delay of a message, given the sender's clock in microseconds; zero without one.
     pub fn delay(&self, process: u64, timestamp: u64) -> Duration {
         if timestamp == 0 {
             return Duration::ZERO;
--- a/acaciaringd/src/peer/limiter.rs
+++ b/acaciaringd/src/peer/limiter.rs
@@ -1,43 +1,42 @@
-//! Bound on the requests of other members that run at once.
+//! Limit on the requests of other members that run concurrently.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Requests that wait for their turn; further ones are refused.
+/// Requests that wait for a permit; further ones are refused.
 const MAX_WAITING: usize = 4096;
 
-/// Turns for requests; calls between members need none.
+/// Limits concurrent requests; calls between members are not limited.
 ///
-/// An owner's request waits for its standby's reply to an intent. If requests and calls shared
-/// the turns, two members full of requests would wait for each other until all requests time
-/// out; calls always run.
+/// Guards against a deadlock: an owner's request waits for a call to its standby, so if calls
+/// needed permits too, two saturated members would wait for each other until all requests time out.
 pub(super) struct RequestLimiter {
     permits: Semaphore,
     waiting: AtomicUsize,
 }
 
-/// Turn of one request; ends when dropped.
+/// Permit of one running request, released on drop.
 pub(super) type Permit<'a> = SemaphorePermit<'a>;
 
 impl RequestLimiter {
-    /// Makes turns for `workers` requests at a time.
+    /// Creates a limit of `workers` concurrent requests.
     pub fn new(workers: usize) -> Self {
         Self { permits: Semaphore::new(workers.max(1)), waiting: AtomicUsize::new(0) }
     }
 
-    /// Waits for a turn; `None` when too many wait already.
+    /// Waits for a permit; `None` if the queue is full.
     pub async fn acquire(&self) -> Option<Permit<'_>> {
         if let Ok(permit) = self.permits.try_acquire() {
             return Some(permit);
         }
         let _slot = QueueSlot::take(&self.waiting)?;
-        // Fails only when the semaphore is closed, which nobody does.
+        // Fails only if the semaphore is closed, which never happens.
         self.permits.acquire().await.ok()
     }
 }
 
-/// Place in the queue; given back when dropped.
+/// Slot in the queue, released on drop.
 struct QueueSlot<'a>(&'a AtomicUsize);
 
 impl<'a> QueueSlot<'a> {
--- a/acaciaringd/src/peer/link.rs
+++ b/acaciaringd/src/peer/link.rs
@@ -10,13 +10,13 @@
 use crate::peer::error::{BrokenSnafu, ConnectError};
 use crate::peer::frame::{Code, FrameReader};
 
-/// Bytes of a greeting: the process id.
+/// Length of a greeting, which holds the process id.
 const GREETING_BYTES: usize = size_of::<u64>();
 
-/// Number that orders connections of this process by the time of their start.
+/// Id that orders the connections of this process by their start.
 pub(super) type LinkId = u64;
 
-/// Time at which a peer was last heard on a connection, and whether it is still thought to be there.
+/// Time at which a peer was last heard on a connection, and whether the connection is suspect.
 #[derive(Debug, Clone)]
 pub(super) struct Liveness {
     start: Instant,
@@ -25,23 +25,23 @@
 }
 
 impl Liveness {
-    /// Returns a record that says "now".
+    /// Creates a record of a peer that was heard now.
     pub fn new() -> Self {
         Self { start: Instant::now(), millis: Arc::default(), suspect: Arc::default() }
     }
 
-    /// Records that the peer was heard now.
+    /// Records that the peer was heard now, which ends a suspicion.
     pub fn touch(&self) {
         self.millis.store(self.millis(), Ordering::Relaxed);
         self.suspect.store(false, Ordering::Relaxed);
     }
 
-    /// Records that the peer seems to be gone; returns whether that is new.
+    /// Marks the connection as suspect; returns whether it was not before.
     pub fn mark_suspect(&self) -> bool {
         !self.suspect.swap(true, Ordering::Relaxed)
     }
 
-    /// Returns whether the peer seemed to be gone and was not heard since.
+    /// Returns whether the connection was marked as suspect and the peer not heard since.
     pub fn is_suspect(&self) -> bool {
         self.suspect.load(Ordering::Relaxed)
     }
@@ -51,7 +51,7 @@
         self.start.elapsed()
     }
 
-    /// Returns whether the peer was heard within `span`.
+    /// Returns whether the peer was heard within `window`.
     pub fn heard_within(&self, window: Duration) -> bool {
         let millis = self.millis().saturating_sub(self.millis.load(Ordering::Relaxed));
         Duration::from_millis(millis) < window
@@ -62,28 +62,27 @@
     }
 }
 
-/// Connection to a member that has greeted.
+/// Connection to a member after the exchange of greetings.
 pub(super) struct Link {
-    /// Number of the connection.
+    /// Id of the connection.
     pub id: LinkId,
-    /// Random number of the peer's process start.
+    /// Random id of the peer's run of its process.
     ///
-    /// A process that restarts at the same address has forgotten which attempts
-    /// have arrived; its "never arrived" says nothing about an attempt that was
-    /// sent to the process before it.
+    /// A process that restarts at the same address has lost its record of attempts, so its reply
+    /// "not arrived" does not apply to an attempt that was sent to its predecessor.
     pub process: u64,
     /// QUIC connection.
     pub conn: Connection,
-    /// When the peer last sent a datagram, opened a stream or answered.
+    /// Time of the peer's last datagram, stream or answer.
     pub liveness: Liveness,
-    /// Set once another connection has taken this one's place.
+    /// Set once another connection has replaced this one.
     retired: AtomicBool,
     /// Endpoint of a connection that this process opened.
     endpoint: Option<Endpoint>,
 }
 
 impl Link {
-    /// Returns a link over a connection; `endpoint` is that of a connection which this process opened.
+    /// Creates a link; `endpoint` is set for a connection that this process opened.
     pub fn new(id: LinkId, process: u64, conn: Connection, endpoint: Option<Endpoint>) -> Self {
         let retired = AtomicBool::new(false);
         Self { id, process, conn, liveness: Liveness::new(), retired, endpoint }
@@ -94,7 +93,7 @@
         self.conn.close_reason().is_none()
     }
 
-    /// Returns whether the peer has said that its process stops, which ends what ran there.
+    /// Returns whether the peer closed the connection because its process stops.
     pub fn has_stopped(&self) -> bool {
         let Some(ConnectionError::ApplicationClosed(close)) = self.conn.close_reason() else {
             return false;
@@ -102,17 +101,17 @@
         [Code::Stopping, Code::Settled].map(VarInt::from).contains(&close.error_code)
     }
 
-    /// Returns the count of packets received.
+    /// Returns the number of packets received.
     pub fn received(&self) -> u64 {
         self.conn.stats().udp_rx.datagrams
     }
 
-    /// Marks that another connection takes this one's place.
+    /// Records that another connection replaces this one.
     pub fn retire(&self) {
         self.retired.store(true, Ordering::Release);
     }
 
-    /// Returns whether another connection has taken this one's place.
+    /// Returns whether another connection has replaced this one.
     pub fn is_retired(&self) -> bool {
         self.retired.load(Ordering::Acquire)
     }
@@ -130,7 +129,7 @@
 }
 
 impl Drop for Link {
-    /// Closes a connection that this process opened, when nobody waits on it any more.
+    /// Closes a connection that this process opened, once nothing uses it.
     fn drop(&mut self) {
         if self.endpoint.is_some() {
             self.conn.close(Code::None.into(), &[]);
--- a/acaciaringd/src/peer/mod.rs
+++ b/acaciaringd/src/peer/mod.rs
@@ -1,9 +1,9 @@
 //! Transport between members: datagrams, calls and requests over QUIC with mutual TLS.
 //!
-//! Something between two members can lose track of an open connection, which
-//! then is silent for good while new ones work. A sender that gets no sign of a
-//! request's arrival in time opens a new connection from a new port and asks;
-//! the receiver either has the attempt or refuses it from then on.
+//! A NAT or firewall between two members can drop the state of an open connection, which then stays
+//! silent while new connections work. A sender whose request is not acknowledged in time opens a
+//! new connection from a new port and probes for the attempt; the receiver either has it or refuses
+//! it from then on.
 
 mod attempt;
 mod cancel;
--- a/acaciaringd/src/peer/pool.rs
+++ b/acaciaringd/src/peer/pool.rs
@@ -21,33 +21,33 @@
 use crate::peer::tls::SERVER_NAME;
 use crate::peer::transport::Shared;
 
-/// Time since the peer was last heard within which a datagram goes on a connection that it opened.
+/// Silence after which an incoming connection is no longer used for datagrams.
 ///
-/// Without this bound an incoming connection that has gone silent would be used
-/// until its idle timeout. Lease renewals keep those between lessor and holder in use.
+/// Guards against using a dead incoming connection until its idle timeout. Lease renewals keep the
+/// connections between lessor and holder below this limit.
 const DATAGRAM_IDLE_LIMIT: Duration = Duration::from_millis(1500);
 
-/// The same for a message on a stream; after a longer silence a test comes first.
+/// The same for messages on streams, which probe a connection before use after a shorter silence.
 const STREAM_IDLE_LIMIT: Duration = Duration::from_secs(15);
 
-/// Age up to which a connection that took the place of another is not replaced for a datagram.
+/// Age below which a connection to a suspect address is not replaced for a datagram.
 ///
-/// Guards against handshakes with a peer that answers late because it is short of processor.
+/// Guards against repeated handshakes with a peer that answers late for lack of processor time.
 const MIN_REPLACE_AGE: Duration = Duration::from_secs(1);
 
-/// Time for which an address counts as suspect after its last fault.
+/// Time for which an address is suspect after the last failure of a connection.
 const SUSPECT_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Times the patience of a request for which a handshake goes on, at both ends.
+/// Handshake timeout at both ends, in units of the connect timeout of a message.
 ///
-/// Guards against a member short of processor that nobody reaches: were its handshakes ended with
-/// the patience of those who wait, each would be work in vain for it and the next begin at once.
+/// Guards against a member short of processor time that cannot be reached: if each handshake ended
+/// with the message that waits for it, the member's work on it would be wasted and begin anew.
 pub(super) const HANDSHAKE_FACTOR: u32 = 5;
 
-/// Datagrams that wait for a connection; older ones give way.
+/// Datagrams queued for a connection; the oldest is dropped for a new one.
 const MAX_QUEUED: usize = 8;
 
-/// What becomes of an attempt to connect.
+/// Outcome of an attempt to connect; `None` while it is in progress.
 type ConnectOutcome = Option<Result<Arc<Link>, ConnectError>>;
 
 /// Connections of one address.
@@ -57,31 +57,31 @@
     outgoing: Option<Arc<Link>>,
     /// Connection that the peer opened from this address.
     incoming: Option<Arc<Link>>,
-    /// Attempt to connect that is under way.
+    /// Attempt to connect that is in progress.
     connecting: Option<watch::Receiver<ConnectOutcome>>,
-    /// Datagrams for the connection under way.
+    /// Datagrams for the connection that is being opened.
     queued: VecDeque<Bytes>,
-    /// When a connection to this address last failed or was replaced.
+    /// Time at which a connection to this address last failed or became suspect.
     ///
-    /// Something in between may have lost track of the pair of addresses, so
-    /// the next connection starts from a new port.
+    /// A NAT or firewall may have dropped the state of the address pair, so the next connection
+    /// uses a new local port.
     suspect_since: Option<Instant>,
 }
 
 impl Slot {
-    /// Returns the connection to use, if there is one that is newer than `older`.
+    /// Returns a usable connection that is newer than `newer_than`.
     ///
-    /// One that the peer opened counts when it was heard within `span`.
+    /// An incoming one is usable only if the peer was heard on it within `window`.
     fn pick(&self, newer_than: LinkId, window: Duration) -> Option<&Arc<Link>> {
         let incoming = self.incoming.iter().filter(|link| link.liveness.heard_within(window));
         let mut links = self.outgoing.iter().chain(incoming);
         links.find(|link| link.id > newer_than && link.is_open() && !link.liveness.is_suspect())
     }
 
-    /// Uses the connections up to number `last` no more unless the peer is heard on them again.
+    /// Stops using the connections up to id `last` until the peer is heard on them again.
     ///
-    /// They stay open until another one is there: a peer that is short of processor answers late,
-    /// and is reached by what is there before a handshake with it is over.
+    /// They stay open until a new one is established: a peer short of processor time answers late,
+    /// and often on them before the handshake is complete.
     fn mark_suspect(&mut self, last: LinkId, metrics: &Metrics) {
         for link in self.outgoing.iter().chain(&self.incoming) {
             if link.id <= last && link.is_open() && link.liveness.mark_suspect() {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Takes in a connection that this process opened, in place of the one before and of what is doubted.
+    /// Sets the outgoing connection and retires the previous one and a suspect incoming one.
     fn replace(&mut self, link: Arc<Link>) {
         let incoming = self.incoming.take_if(|link| link.liveness.is_suspect());
         for old in self.outgoing.replace(link).iter().chain(&incoming) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns the connection on which a datagram goes; `fresh` asks for one in place of the present one.
+    /// Returns the connection for a datagram; with `fresh` only one that is too young to replace.
     fn pick_for_datagram(&self, fresh: bool) -> Option<&Arc<Link>> {
         let link = self.pick(0, DATAGRAM_IDLE_LIMIT)?;
         let young = self.is_suspect() && link.liveness.age() < MIN_REPLACE_AGE;
@@ -125,11 +125,10 @@
 }
 
 impl Pool {
-    /// Returns a connection to `to` that is newer than `older`, opening one if there is none.
+    /// Returns a connection to `to` that is newer than `newer_than`, opening one if there is none.
     ///
-    /// All who ask at the same time wait for the same new connection, so a
-    /// silent connection costs one handshake however many requests were on it. Who has waited for
-    /// long enough leaves, and the handshake goes on for the next.
+    /// Concurrent callers share one handshake, so a silent connection costs a single one however
+    /// many requests used it. The handshake continues after a caller has timed out.
     pub async fn get(
         &self,
         shared: &Arc<Shared>,
@@ -153,12 +152,12 @@
         }
     }
 
-    /// Returns true when there is a connection to `to` that a datagram would go on.
+    /// Returns true if there is a connection to `to` that is usable for datagrams.
     pub fn connected(&self, to: SocketAddr) -> bool {
         self.slots.lock().get(&to).is_some_and(|slot| slot.pick(0, DATAGRAM_IDLE_LIMIT).is_some())
     }
 
-    /// Sends a datagram on the connection to `to`, or once one is open.
+    /// Sends a datagram to `to`, or queues it until a connection is open.
     pub fn send(&self, shared: &Arc<Shared>, to: SocketAddr, datagram: Bytes, fresh: bool) {
         let mut slots = self.slots.lock();
         let slot = slots.entry(to).or_default();
@@ -179,7 +178,7 @@
         connect(shared, to, slot);
     }
 
-    /// Stops using a connection that has gone silent.
+    /// Stops using a silent connection and those opened before it.
     pub fn mark_suspect(&self, to: SocketAddr, id: LinkId, metrics: &Metrics) {
         let mut slots = self.slots.lock();
         let Some(slot) = slots.get_mut(&to) else {
@@ -193,7 +192,7 @@
         self.slots.lock().entry(from).or_default().incoming = Some(link);
     }
 
-    /// Forgets a connection that has ended.
+    /// Removes a connection that has ended.
     pub fn forget(&self, to: SocketAddr, id: LinkId, reason: &ConnectionError) {
         let mut slots = self.slots.lock();
         let Entry::Occupied(mut entry) = slots.entry(to) else {
@@ -210,12 +209,12 @@
         }
     }
 
-    /// Forgets all connections.
+    /// Removes all connections.
     pub fn clear(&self) {
         self.slots.lock().clear();
     }
 
-    /// Takes in the outcome of an attempt to connect.
+    /// Records the outcome of an attempt to connect and sends the queued datagrams.
     fn finish_connect(&self, to: SocketAddr, outcome: &Result<Arc<Link>, ConnectError>) {
         let mut slots = self.slots.lock();
         let slot = slots.entry(to).or_default();
@@ -235,7 +234,7 @@
     }
 }
 
-/// Opens a connection in the background unless one is being opened.
+/// Opens a connection in the background, unless an attempt is in progress.
 fn connect(
     shared: &Arc<Shared>,
     to: SocketAddr,
@@ -255,7 +254,7 @@
         let outcome = outcome.unwrap_or(Err(ConnectError::TimedOut));
         match &outcome {
             Ok(link) => serve::start(&shared, Arc::clone(link), to),
-            Err(error) => debug!(%to, %error, "no connection"),
+            Err(error) => debug!(%to, %error, "cannot connect to member"),
         }
         shared.pool.finish_connect(to, &outcome);
         sender.send_replace(Some(outcome));
@@ -264,7 +263,7 @@
     receiver
 }
 
-/// Opens a connection, from a new port when `fresh`.
+/// Opens a connection, from a new local port if `fresh`.
 async fn establish(
     shared: &Arc<Shared>,
     to: SocketAddr,
--- a/acaciaringd/src/peer/run.rs
+++ b/acaciaringd/src/peer/run.rs
@@ -1,4 +1,4 @@
-//! Receiving side of a request: runs it once and keeps its answer.
+//! Receiving side of a request: runs it at most once and keeps its answer.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -19,9 +19,10 @@
 use crate::peer::transport::Shared;
 use crate::trace::TraceContext;
 
-/// Takes in a request, runs it once and writes its answer; returns false when its connection has ended before.
+/// Runs a request at most once and writes its answer.
 ///
-/// `doubtful` is the connection of a request that was held up on its way.
+/// Returns false if the connection ended before the answer was acknowledged. `delayed_conn` is the
+/// connection of a request whose sender must confirm that it still waits.
 pub(super) async fn serve_request(
     shared: &Arc<Shared>,
     request: Request,
@@ -37,21 +38,21 @@
     };
     let worker = Arc::clone(shared);
     let cancel_flag = flag.clone();
-    // A task of its own, for a handler that panics must answer, else the sender would wait in vain.
+    // Spawned, so that a request whose handler panics is still answered.
     let job = tokio::spawn(run(worker, request, flag, delayed_conn));
     let answer = wait_for_answer(job, send, &cancel_flag).await.unwrap_or_else(|error| {
-        error!(attempt, %error, "handler of a request panicked");
+        error!(attempt, %error, "handler of a request panicked; reporting its answer as lost");
         lost_answer()
     });
-    // Also when the stream has broken off: the answer can be fetched on another one.
+    // Recorded even if the stream has failed, since the answer can be fetched on another one.
     let frame = finish(shared, attempt, answer);
     write_frame(send, frame).await
 }
 
-/// Waits for the answer of a request; cancels it when the sender no longer listens.
+/// Waits for the answer of a request, and cancels the request if the sender stops its stream.
 ///
-/// A sender that gives an attempt up drops its stream, which is heard at once where the
-/// cancellation that it sends may be lost. A stream that dies with its connection says nothing.
+/// A sender that gives up stops the stream, which takes effect even if its cancellation is lost.
+/// The loss of the connection does not cancel the request.
 async fn wait_for_answer(
     mut job: JoinHandle<Answer>,
     send: &mut SendStream,
@@ -69,7 +70,7 @@
     job.await
 }
 
-/// Runs a request when it is its turn, unless it is cancelled or late by then.
+/// Runs a request once it has a permit, unless it is cancelled or expired by then.
 async fn run(
     shared: Arc<Shared>,
     mut request: Request,
@@ -82,8 +83,8 @@
     {
         return not_run(Reason::Busy);
     }
-    // The sender cancels what it gives up. An answer at the end of its time would cross with that,
-    // and whether the sender hears it or its own time-out first would be chance.
+    // The wait has no timeout of its own: the sender cancels at its deadline, and an answer at the
+    // same moment would race with the sender's timeout.
     let permit = tokio::select! {
         permit = shared.limiter.acquire() => permit,
         () = flag.cancelled() => return not_run(Reason::Cancelled),
@@ -109,12 +110,12 @@
     shared.handler.request(request, &flag).instrument(span).await
 }
 
-/// Returns true when the sender of a request that was held up says that it still waits.
+/// Returns true if the sender of a delayed request answers a probe.
 ///
-/// Guards against work for callers that have left: where packets wait for a process without
-/// processor, the request is read long before the cancellation that waits behind it. What the
-/// sender answers now waits behind both, so a cancellation that was sent has been read by then;
-/// and without a timely answer this process is still late, and the request is better elsewhere.
+/// Guards against work for callers that have left: while packets queue up at a process short of
+/// processor time, a request is read long before its cancellation. The answer to the probe arrives
+/// behind a cancellation sent earlier, so that is read first. Without a timely answer this process
+/// is still overloaded, and another member should run the request.
 async fn is_still_wanted(shared: &Shared, conn: &Connection) -> bool {
     let wanted = responds(shared, conn).await;
     let counter = if wanted { Counter::PeerHeldUp } else { Counter::PeerHeldUpRefused };
@@ -129,7 +130,7 @@
     let (reply, frame) = match frame::encode(&reply, shared.settings.message_limit) {
         Ok(frame) => (reply, frame),
         Err(size) => {
-            error!(attempt, size, "answer exceeds the limit");
+            error!(attempt, size, "answer exceeds the message limit; reporting it as lost");
             let reply = Reply { body: Some(reply::Body::Answer(lost_answer())) };
             let frame = frame::encode(&reply, usize::MAX).unwrap_or_default();
             (reply, frame)
--- a/acaciaringd/src/peer/search.rs
+++ b/acaciaringd/src/peer/search.rs
@@ -1,4 +1,4 @@
-//! Search for an attempt whose connection has gone silent.
+//! Search for an attempt whose connection is silent or has failed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,22 +16,22 @@
 use crate::peer::link::{Link, LinkId};
 use crate::peer::transport::Shared;
 
-/// New connections on which a sender asks without a pause, before it calls the member silent.
+/// New connections that are tried without a pause before the member counts as silent.
 const MAX_NEW_LINKS: usize = 3;
 
-/// First pause between further asks on the connection on which the attempt was sent; it doubles.
+/// First pause between further probes on the original connection; it doubles.
 const MIN_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest pause, below the time for which a member keeps an answer.
+/// Longest pause, shorter than the time for which a member keeps an answer.
 const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// Shortest pause after which a new connection is tried again.
 ///
-/// Guards against a member without processor that is asked for handshakes all the time: they
-/// cost it what it lacks, and it never catches up.
+/// Guards against constant handshakes with a member short of processor time, which would keep it
+/// from catching up.
 const MIN_RECONNECT_PAUSE: Duration = Duration::from_secs(1);
 
-/// Attempt that is searched for.
+/// Identity and times of an attempt.
 pub(super) struct AttemptInfo {
     pub to: SocketAddr,
     pub attempt: u64,
@@ -39,31 +39,32 @@
     pub deadline: Instant,
 }
 
-/// Search for an attempt, on new connections and on the one on which it was sent.
+/// Search for an attempt, on new connections and on the original one.
 ///
-/// Silence does not end it, only an answer, proof that there will be none, or the deadline.
+/// It ends with an answer, with proof that there will be none, or at the deadline, but not because
+/// the member is silent.
 pub(super) struct Search<'a> {
     pub shared: &'a Arc<Shared>,
     pub info: AttemptInfo,
-    /// Told once the member counts as silent.
+    /// Notified once the member counts as silent.
     pub silence: &'a Notify,
-    /// Whether the receiver has said that it has the attempt.
+    /// Whether the receiver has confirmed the arrival of the attempt.
     pub arrived: bool,
     /// Connection on which the attempt was sent.
     pub sent: &'a Link,
 }
 
-/// What a search has found.
+/// Result of a search.
 pub(super) enum Found {
-    /// What became of the attempt.
+    /// The outcome of the attempt is known.
     Outcome(RequestOutcome),
-    /// The attempt has ended, and its answer is kept no more: only its own connection can bring it.
+    /// The attempt has ended and its answer is no longer kept, except on its own connection.
     Forgotten,
-    /// The member's process has ended: only what its connection has brought tells more.
+    /// The member's process has stopped; its connection may still hold a received answer.
     Stopped,
 }
 
-/// What a pause has brought.
+/// Result of a pause.
 enum PauseOutcome {
     Ended(Found),
     Alive,
@@ -97,7 +98,7 @@
         Found::Stopped
     }
 
-    /// Asks on a connection that is newer than `older`; `None` when there is none or it does not work.
+    /// Asks on a connection newer than `newer_than`; `None` if none can be opened or it fails.
     async fn ask_on_new_link(&mut self, newer_than: &mut LinkId) -> Option<Found> {
         let link = self.shared.pool.get(self.shared, self.info.to, *newer_than).await.ok()?;
         *newer_than = link.id;
@@ -116,9 +117,9 @@
         Some(fetch_result(reply))
     }
 
-    /// Waits, and asks on the connection on which the attempt was sent meanwhile.
+    /// Waits, and meanwhile asks on the original connection.
     ///
-    /// A member that was without processor answers there first, without a handshake.
+    /// A member that lacked processor time answers there first, since it needs no handshake.
     async fn ask_during_pause(&mut self, pause: Duration) -> PauseOutcome {
         let end = Instant::now() + pause;
         let conn = &self.sent.conn;
@@ -142,10 +143,10 @@
         }
     }
 
-    /// Takes in whether the attempt has arrived; returns the outcome if that ends it.
+    /// Records whether the attempt has arrived; returns the outcome if it is thereby known.
     ///
-    /// Guards against a request that is called not run although it ran: a receiver forgets an
-    /// attempt some time after its end, and would then say that it never arrived.
+    /// Guards against reporting a request as not run although it ran: a receiver forgets an attempt
+    /// some time after its end and then replies that it has not arrived.
     fn record_arrival(&mut self, arrived: bool) -> Option<RequestOutcome> {
         self.arrived |= arrived;
         if self.arrived {
@@ -164,7 +165,7 @@
     }
 }
 
-/// Returns what the reply to a fetch says.
+/// Converts the reply to a fetch.
 fn fetch_result(reply: reply::Body) -> Found {
     match reply {
         reply::Body::Fetch(FetchReply { answer: Some(answer) }) => {
--- a/acaciaringd/src/peer/serve.rs
+++ b/acaciaringd/src/peer/serve.rs
@@ -1,4 +1,4 @@
-//! Receiving side: accepts connections, reads calls and answers them.
+//! Receiving side: accepts connections, reads messages and answers them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,9 +24,9 @@
 use crate::peer::table;
 use crate::peer::transport::Shared;
 
-/// Delay on the way from which a request is run only once its sender has answered a test.
+/// Network delay from which a request runs only after its sender has answered a probe.
 ///
-/// Half of the half second within which work for a caller that has left has to end.
+/// Half of the time within which work for a caller that has left must end.
 const DELAY_LIMIT: Duration = Duration::from_millis(250);
 
 /// Accepts connections until the endpoint is closed.
@@ -42,7 +42,7 @@
     }
 }
 
-/// Completes the handshake of a connection that a peer opens.
+/// Completes the handshake of an incoming connection and starts to serve it.
 async fn accept_connection(shared: &Arc<Shared>, incoming: Incoming) -> Result<(), ConnectError> {
     let established = time::timeout(shared.settings.connect * HANDSHAKE_FACTOR, async {
         let conn = incoming.await.context(BrokenSnafu)?;
@@ -58,7 +58,7 @@
 }
 
 /// Serves a connection in the background until it ends.
-#[allow(clippy::needless_pass_by_value)] // The task must not keep the link: its drop closes the connection.
+#[allow(clippy::needless_pass_by_value)] // The task must not hold the link, whose drop closes it.
 pub(super) fn start(shared: &Arc<Shared>, link: Arc<Link>, peer: SocketAddr) {
     let id = link.id;
     let conn = link.conn.clone();
@@ -75,7 +75,7 @@
     });
 }
 
-/// Takes in streams and datagrams until the connection ends.
+/// Accepts streams and datagrams until the connection ends, and returns the reason of the end.
 async fn receive_loop(
     shared: &Arc<Shared>,
     conn: &Connection,
@@ -103,19 +103,19 @@
 fn handle_datagram(shared: &Shared, from: SocketAddr, bytes: Bytes) {
     match Datagram::decode(bytes) {
         Ok(datagram) => shared.handler.datagram(from, datagram),
-        Err(error) => warn!(%from, %error, "datagram does not decode"),
+        Err(error) => warn!(%from, %error, "dropped a datagram that could not be decoded"),
     }
 }
 
-/// Who has opened a stream, and on which connection.
+/// Peer that has opened a stream, and its connection.
 struct StreamOrigin {
     address: SocketAddr,
-    /// Random number of its process start.
+    /// Random id of this run of its process.
     process: u64,
     conn: Connection,
 }
 
-/// Answers the call on one stream.
+/// Answers the message on one stream.
 async fn stream_task(
     shared: Arc<Shared>,
     origin: StreamOrigin,
@@ -129,10 +129,10 @@
     let body = match body {
         Ok(body) => body,
         Err(error) => {
-            // A broken stream is the sender's choice or the end of the connection; all else is bad input.
+            // A reset stream or closed connection is not the message's fault; the rest is bad input.
             if error.code() != Code::None {
                 let error = &error as &dyn std::error::Error;
-                warn!(%from, error, "refused a message");
+                warn!(%from, error, "refused an invalid message");
             }
             reader.stop(error.code());
             return reset(&mut send, error.code());
@@ -146,7 +146,7 @@
             deduct_delay(&mut request, delay);
             let delayed_conn = (delay >= DELAY_LIMIT).then_some(conn);
             if !serve_request(&shared, request, &mut send, delayed_conn).await {
-                // Its sender is about to ask for the answer on another connection.
+                // Keeps the message in flight while its sender fetches the answer elsewhere.
                 time::sleep(shared.settings.connect).await;
             }
             true
@@ -158,9 +158,10 @@
     }
 }
 
-/// Answers what a peer asks about an attempt, also while a stop waits; returns any other message.
+/// Answers a probe, fetch or cancellation of an attempt; returns any other message.
 ///
-/// A stop waits until answers are delivered, and one whose connection has died is asked for on another.
+/// These are answered during a stop too, since the answer of an attempt whose connection has failed
+/// is fetched on another one.
 async fn serve_attempt_query(
     shared: &Shared,
     body: call::Body,
@@ -171,8 +172,8 @@
             reply::Body::Probe(ProbeReply { arrived: shared.table.probe(attempt) })
         }
         call::Body::Fetch(fetch) => {
-            // A stop waits for the answer here too: where the first connection has died, only this
-            // one brings it.
+            // Counted as in flight: if the first connection has failed, only this one delivers the
+            // answer.
             let guard = shared.inflight.track();
             let answer = serve_fetch(shared, fetch).await;
             write_last(shared, send, reply::Body::Fetch(FetchReply { answer })).await;
@@ -189,10 +190,10 @@
     None
 }
 
-/// Takes the time for which a request was held up on its way off what is left of it.
+/// Subtracts the network delay of a request from its remaining times.
 ///
-/// Guards against a hop over a link that loses packets, or to a member without processor: the
-/// request would have all of its time anew, and could reach a server long after its caller left.
+/// Guards against a lossy link or a member short of processor time: the request would start anew
+/// with its full time there, and could reach an upstream long after its caller has left.
 fn deduct_delay(request: &mut Request, delay: Duration) {
     let delay = u32::try_from(delay.as_millis()).unwrap_or(u32::MAX);
     request.left = request.left.saturating_sub(delay);
@@ -201,10 +202,10 @@
     }
 }
 
-/// Runs a call and writes the reply; returns whether there is one.
+/// Runs a call and writes its reply; returns false if there is none.
 async fn serve_call(shared: &Arc<Shared>, body: call::Body, send: &mut SendStream) -> bool {
     let handler = Arc::clone(&shared.handler);
-    // A task of its own, so that a handler that panics costs this call only.
+    // Spawned, so that a panic of the handler affects only this call.
     let reply = tokio::spawn(async move { handler.call(body).await });
     match reply.await {
         Ok(body) => write_last(shared, send, body).await,
@@ -216,7 +217,7 @@
     }
 }
 
-/// Waits for the answer of an attempt, as long as the sender has time.
+/// Waits for the answer of an attempt, up to the sender's deadline.
 async fn serve_fetch(shared: &Shared, fetch: Fetch) -> Option<Answer> {
     match shared.table.fetch(fetch.attempt) {
         table::Fetch::Ready(answer) => Some(answer),
@@ -232,7 +233,7 @@
     frame::encode(&Reply { body: Some(body) }, shared.settings.message_limit)
 }
 
-/// Writes the only or last message of a stream; returns whether it is one that may be sent.
+/// Writes the only message of a stream; returns false if it exceeds the message limit.
 pub(super) async fn write_last(shared: &Shared, send: &mut SendStream, body: reply::Body) -> bool {
     match encode(shared, body) {
         Ok(frame) => {
@@ -240,17 +241,17 @@
             true
         }
         Err(size) => {
-            error!(size, "reply exceeds the limit");
+            error!(size, "reply exceeds the message limit; resetting its stream");
             reset(send, Code::None);
             false
         }
     }
 }
 
-/// Writes the last message of a stream; returns false when the connection ended before the sender had it.
+/// Writes the only message of a stream and waits until the peer has acknowledged it.
 ///
-/// It is out of hand when the sender has it or no longer listens, for a stop drops what is still in a
-/// connection.
+/// Returns false if the connection ended before that. Without the wait a stop would drop data that
+/// is still in the buffers of the connection.
 pub(super) async fn write_frame(send: &mut SendStream, frame: Bytes) -> bool {
     match send.write_chunk(frame).await {
         Ok(()) => {
@@ -262,6 +263,6 @@
 }
 
 fn reset(send: &mut SendStream, code: Code) {
-    // Fails only when the stream is already over.
+    // Fails only if the stream has already ended.
     let _ = send.reset(code.into());
 }
--- a/acaciaringd/src/peer/settings.rs
+++ b/acaciaringd/src/peer/settings.rs
@@ -4,24 +4,26 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Where a member listens, its certificate, and bounds of the transport.
+/// Address, certificate and limits of the transport of a member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// Address on which to listen over UDP.
+    /// UDP address to listen on.
     pub address: SocketAddr,
     /// PEM file with the member's certificate chain.
     pub certificate: PathBuf,
     /// PEM file with the private key of the certificate.
     pub key: PathBuf,
-    /// PEM file with the authority that signs all members' certificates.
+    /// PEM file with the CA certificate of all members; if empty, members use self-signed ones.
     pub authority: PathBuf,
-    /// Requests of other members that run at once; further ones wait.
+    /// Requests of other members that run concurrently; further ones wait.
     pub workers: usize,
-    /// Threads that move packets and run the handler.
+    /// Threads that process packets and run the handler.
     pub threads: usize,
-    /// Time within which a request is acknowledged; later the connection is suspect.
+    /// Time for the acknowledgement of a request, after which the connection is suspect.
+    ///
+    /// Round trips and the transfer of a large request are added to it.
     pub ack_timeout: Duration,
-    /// Time for which a message waits for a connection; the handshake goes on for some time after it.
+    /// Time for which a message waits for a connection; the handshake itself may take longer.
     pub connect: Duration,
     /// Largest message in bytes.
     pub message_limit: usize,
--- a/acaciaringd/src/peer/table.rs
+++ b/acaciaringd/src/peer/table.rs
@@ -1,4 +1,4 @@
-//! Table of attempts with those who wait for an answer or for cancellation.
+//! Table of attempts with their cancellation flags and the waiters for their answers.
 
 use std::collections::HashMap;
 
@@ -11,7 +11,7 @@
 use crate::clock;
 use crate::peer::cancel::CancelFlag;
 
-/// Attempts that have arrived at this process.
+/// Attempts that this process has received.
 #[derive(Default)]
 pub(super) struct AttemptTable {
     inner: Mutex<Inner>,
@@ -24,18 +24,18 @@
     waiters: HashMap<AttemptId, Vec<oneshot::Sender<Answer>>>,
 }
 
-/// Answer of an attempt, now or later.
+/// Result of looking up the answer of an attempt.
 pub(super) enum Fetch {
     /// The answer.
     Ready(Answer),
-    /// Yields the answer when the attempt finishes.
+    /// The attempt is running; the channel yields its answer.
     Later(oneshot::Receiver<Answer>),
-    /// There is none and will be none.
+    /// There is no answer and will be none.
     Absent,
 }
 
 impl AttemptTable {
-    /// Records an arrival; returns the flag by which an attempt that is to run can be cancelled.
+    /// Records an arrival; returns the cancellation flag if the attempt is to run.
     pub fn arrive(&self, attempt: AttemptId) -> Result<CancelFlag, Arrival> {
         let mut inner = self.inner.lock();
         match inner.attempts.arrive(clock::now(), attempt) {
@@ -49,7 +49,7 @@
         self.inner.lock().attempts.probe(clock::now(), attempt)
     }
 
-    /// Cancels an attempt that is running, and refuses it from now on if it has not arrived.
+    /// Cancels a running attempt, or refuses it from now on if it has not arrived.
     pub fn cancel(&self, attempt: AttemptId) {
         let mut inner = self.inner.lock();
         if !inner.attempts.cancel(clock::now(), attempt) {
@@ -62,18 +62,18 @@
         }
     }
 
-    /// Records the answer of an attempt and hands it to all who wait for it.
+    /// Records the answer of an attempt and sends it to all waiters.
     pub fn finish(&self, attempt: AttemptId, answer: Answer) {
         let mut inner = self.inner.lock();
         inner.flags.remove(&attempt);
         for waiter in inner.waiters.remove(&attempt).unwrap_or_default() {
-            // Fails only when the waiter has gone away.
+            // Fails only if the waiter was dropped.
             let _ = waiter.send(answer.clone());
         }
         inner.attempts.finish(clock::now(), attempt, answer);
     }
 
-    /// Returns the answer of an attempt, or a way to wait for it.
+    /// Returns the answer of an attempt, or a channel on which to wait for it.
     pub fn fetch(&self, attempt: AttemptId) -> Fetch {
         let mut inner = self.inner.lock();
         match inner.attempts.fetch(clock::now(), attempt) {
--- a/acaciaringd/src/peer/tests.rs
+++ b/acaciaringd/src/peer/tests.rs
@@ -1,4 +1,4 @@
-//! Faults that need access to a connection of the transport.
+//! Tests of faults that need access to the internals of the transport.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
     transport.shared()
 }
 
-/// Writes raw bytes on a new stream and returns the error with which the peer answers.
+/// Writes raw bytes on a new stream and returns the error of reading the reply.
 async fn send_raw(shared: &Arc<Shared>, to: SocketAddr, bytes: Bytes, finish: bool) -> FrameError {
     let link = shared.pool.get(shared, to, 0).await.unwrap();
     let (mut stream, mut reader) = link.open(shared.settings.message_limit).await.unwrap();
@@ -44,7 +44,7 @@
     frame.freeze()
 }
 
-/// Guards against a message that cannot be read and ends other streams, or has an effect.
+/// Guards against an invalid message that ends other streams or has an effect.
 #[test]
 fn bad_messages_are_refused_and_harm_nothing_else() {
     let authority = Authority::new();
@@ -77,14 +77,14 @@
     assert!(server.datagrams.is_empty());
 }
 
-/// Returns how many streams an end has opened on its connection to `to`, this one included.
+/// Returns the number of streams opened on the connection to `to`, including a new one.
 async fn stream_count(shared: &Arc<Shared>, to: SocketAddr) -> u64 {
     let link = shared.pool.get(shared, to, 0).await.unwrap();
     let (stream, _) = link.conn.open_bi().await.unwrap();
     stream.id().index() + 1
 }
 
-/// Guards against two exchanges for each request in a fleet whose members seldom talk.
+/// Guards against a probe before each request between members that rarely communicate.
 #[test]
 fn a_repeatable_request_after_a_second_asks_nothing_first() {
     let authority = Authority::new();
@@ -105,11 +105,11 @@
     assert_eq!(sender.runtime.block_on(stream_count(sender, to)), 3 + 2 + 1);
 }
 
-/// Guards against needless packets for streams that were read to their end.
+/// Guards against `STOP_SENDING` frames for streams that were read to their end.
 #[test]
 fn streams_that_were_read_whole_are_not_stopped() {
     let authority = Authority::new();
-    // On a second thread the packet may leave between the message and its end.
+    // With two threads a packet may be sent between the message and the end of the stream.
     let node = || Node::echo(PeerSettings { threads: 1, ..authority.settings() });
     let (server, client) = (node(), node());
     let to = server.transport.local_addr();
@@ -128,7 +128,7 @@
     }
 }
 
-/// Guards against an answer that is lost with its connection, at either end.
+/// Guards against losing an answer with its connection, closed at either end.
 #[test]
 fn answer_is_fetched_after_the_connection_died() {
     for at_client in [true, false] {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Guards against two members that wait for each other because requests take all threads.
+/// Guards against a deadlock of two members whose requests hold all permits.
 #[test]
 fn calls_are_answered_while_all_request_threads_wait() {
     let authority = Authority::new();
@@ -182,7 +182,7 @@
     assert_eq!(server.runs(), 32);
 }
 
-/// Guards against an answer that a stop cuts off while its sender fetches it over a second connection.
+/// Guards against a stop that drops an answer while it is fetched over a second connection.
 #[test]
 fn a_stop_delivers_an_answer_that_is_fetched() {
     for at_client in [true, false] {
@@ -217,7 +217,7 @@
     }
 }
 
-/// Guards against an answer that has come but is not read when the connection ends, and is then told as not run.
+/// Guards against reporting a request as not run although its answer arrived before the close.
 #[test]
 fn an_answer_that_has_come_is_read_after_a_stop() {
     let authority = Authority::new();
@@ -241,7 +241,7 @@
     assert_eq!(reply.body, Some(reply::Body::Answer(echo(request("a")))));
 }
 
-/// Guards against "not run" for a call that had an effect before its handler panicked.
+/// Guards against reporting a call as not run that had an effect before its handler panicked.
 #[test]
 fn a_stop_after_a_panic_is_not_settled() {
     let tracker = Arc::new(InflightTracker::default());
@@ -251,7 +251,7 @@
     assert!(!tracker.is_settled());
 }
 
-/// Guards against a stop that vouches for nothing because it has refused messages.
+/// Guards against a stop that counts refused messages as having an unknown effect.
 #[test]
 fn a_stop_that_refuses_messages_settles_earlier_ones() {
     let tracker = Arc::new(InflightTracker::default());
--- a/acaciaringd/src/peer/threads.rs
+++ b/acaciaringd/src/peer/threads.rs
@@ -1,4 +1,4 @@
-//! Threads for traffic.
+//! Threads that run the tasks of the transport.
 
 use std::{io, thread};
 
@@ -6,27 +6,24 @@
 use tokio::runtime::{Builder, Handle, Runtime};
 use tokio::sync::oneshot;
 
-/// Name of each thread for traffic.
+/// Name of each of these threads.
 const THREAD_NAME: &str = "traffic";
 
-/// Runs tasks until it is dropped.
+/// Runtime threads, which end when this is dropped.
 pub(super) struct Threads {
     pub handle: Handle,
-    /// Several threads that share their tasks.
+    /// Multi-threaded runtime, if there is more than one thread.
     pool: Mutex<Option<Runtime>>,
-    /// Ends a single thread when it is dropped.
+    /// Ends a single thread on drop.
     _stop: Option<oneshot::Sender<()>>,
 }
 
 impl Threads {
-    /// Starts this many threads.
-    ///
-    /// A single one has a scheduler of its own, which shares nothing with others. What that saves
-    /// was not measured by itself.
+    /// Starts `count` threads; a single one uses the current-thread scheduler of Tokio.
     ///
     /// # Errors
     ///
-    /// Fails when a thread or the queue of events cannot be made.
+    /// Fails if a thread or the I/O driver cannot be created.
     pub fn start(count: usize) -> io::Result<Self> {
         if count > 1 { Self::multi_thread(count) } else { Self::single_thread() }
     }
@@ -47,7 +44,7 @@
         let handle = runtime.handle().clone();
         let (end, ended) = oneshot::channel::<()>();
         let run = move || {
-            // The sender is only dropped, never used.
+            // Ends with an error when the sender is dropped; nothing is ever sent.
             let _ = runtime.block_on(ended);
             runtime.shutdown_background();
         };
@@ -58,7 +55,7 @@
 
 impl Drop for Threads {
     fn drop(&mut self) {
-        // The last clone may be dropped on a thread of the runtime, where waiting for its end would panic.
+        // May be dropped on a thread of the runtime, where a blocking shutdown would panic.
         if let Some(runtime) = self.pool.lock().take() {
             runtime.shutdown_background();
         }
--- a/acaciaringd/src/peer/timeouts.rs
+++ b/acaciaringd/src/peer/timeouts.rs
@@ -1,4 +1,4 @@
-//! Times after which the other end of a connection counts as silent.
+//! Timeouts after which a peer counts as silent.
 
 use std::future::{Future, pending};
 use std::pin::pin;
@@ -9,30 +9,30 @@
 
 use crate::peer::transport::Shared;
 
-/// Round trips for which a reply may be late.
+/// Round trips added to the timeout of a reply.
 const ROUND_TRIPS: u32 = 2;
 
-/// Longest round trip that counts, so that a connection which was slow once is given up in the end.
+/// Largest round trip time that counts; without it a connection that was slow once would be kept.
 const MAX_RTT: Duration = Duration::from_millis(150);
 
-/// Part of a span by which its timer may be late.
+/// Fraction of a timeout, as a divisor, by which its timer may fire late.
 const LATE_DIVISOR: u32 = 4;
 
-/// Spans at most for one reply.
+/// Largest number of timeouts for one reply.
 const MAX_WAITS: usize = 3;
 
-/// Returns the time within which the other end of a connection shows a sign of life.
+/// Returns the time within which a peer should respond on a connection.
 ///
-/// Guards against a member that is far or short of processor: judged by a fixed time it would be
-/// asked on one new connection after the other, none of them faster.
+/// Guards against a member that is distant or short of processor time: with a fixed timeout it
+/// would be probed on one new connection after another, none of them faster.
 pub(super) fn response_timeout(shared: &Shared, conn: &Connection) -> Duration {
     shared.settings.ack_timeout + conn.rtt().min(MAX_RTT) * ROUND_TRIPS
 }
 
-/// Waits for a reply as long as a span; longer when this process was late itself.
+/// Waits for a reply for the duration of a timeout, and again if the timer fired late.
 ///
-/// Guards against a process that goes on after a pause: its timers are over, and what came
-/// meanwhile lies unread in its socket.
+/// Guards against a process that was paused: its timers have expired while replies are unread in
+/// its socket.
 pub(super) async fn reply_within<T>(
     timeout: Duration,
     reply: impl Future<Output = T>,
@@ -50,7 +50,7 @@
     None
 }
 
-/// Waits for a span in which signs of life of the other end are read if there are any.
+/// Waits for a timeout, and longer if this process was paused, so that packets are read meanwhile.
 pub(super) async fn wait(timeout: Duration) {
     reply_within(timeout, pending::<()>()).await;
 }
--- a/acaciaringd/src/peer/tls.rs
+++ b/acaciaringd/src/peer/tls.rs
@@ -1,5 +1,5 @@
-//! Mutual TLS: both ends of a connection hold a certificate of the same authority, or one that
-//! the log names.
+//! Mutual TLS: the certificates of both ends are issued by the same CA, or are self-signed and
+//! listed in the log.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -27,31 +27,31 @@
 /// Name in every member's certificate.
 pub(super) const SERVER_NAME: &str = "acaciaring";
 
-/// Protocol named in the handshake.
+/// Protocol negotiated by ALPN in the handshake.
 const ALPN: &[u8] = b"acaciaring/1";
 
-/// Time without a packet after which a connection is given up.
+/// Time without a packet after which a connection is closed.
 const IDLE_TIMEOUT_MS: u32 = 20_000;
 
-/// Streams that a peer may have open at once on one connection.
+/// Concurrent streams that a peer may open on one connection.
 ///
-/// The QUIC library reserves some 90 bytes for each of them on every connection.
+/// The QUIC library reserves memory for each of them on every connection.
 const MAX_BIDI_STREAMS: u32 = 256;
 
 /// Streams that a peer may open for greetings.
 const MAX_UNI_STREAMS: u32 = 1;
 
-/// Round trip assumed before the first measurement; members are a few milliseconds apart.
+/// Round trip time assumed before the first measurement, for members a few milliseconds apart.
 const INITIAL_RTT: Duration = Duration::from_millis(10);
 
-/// Bytes that a connection takes in ahead of their reader.
+/// Bytes that a connection buffers ahead of its readers.
 const RECEIVE_WINDOW_BYTES: u32 = 16 << 20;
 
-/// Configurations of both ends of a connection.
+/// TLS and QUIC configurations of both ends of a connection.
 pub(super) struct Configs {
-    /// Digest of the certificate that this process made for itself, `None` with files.
+    /// Digest of the self-signed certificate of this process, `None` if a CA is used.
     pub fingerprint: Option<Fingerprint>,
-    /// Certificates of others that are accepted without an authority.
+    /// Self-signed certificates of other members that are accepted.
     pub trusted: Arc<Trusted>,
     /// For connections that peers open.
     pub server: ServerConfig,
@@ -59,7 +59,8 @@
     pub client: ClientConfig,
 }
 
-/// Makes the configurations of both ends, by the files of the settings or by an own certificate.
+/// Creates the configurations of both ends, from the files of the settings or with a new
+/// self-signed certificate.
 pub(super) fn configs(settings: &PeerSettings) -> Result<Configs, PeerError> {
     let provider = Arc::new(ring::default_provider());
     let trusted = Arc::new(Trusted::default());
@@ -75,7 +76,7 @@
     Ok(Configs { fingerprint, trusted, server, client })
 }
 
-/// What a process shows of itself, and how it judges others.
+/// Certificate and key of this process, and the verifiers of its peers.
 struct Credentials {
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
@@ -149,7 +150,7 @@
     Ok(ClientConfig::new(Arc::new(tls)))
 }
 
-/// Parameters of a connection, the same at both ends.
+/// Returns the QUIC parameters of a connection, the same at both ends.
 fn transport() -> TransportConfig {
     let mut config = TransportConfig::default();
     config
@@ -157,7 +158,7 @@
         .max_concurrent_uni_streams(VarInt::from_u32(MAX_UNI_STREAMS))
         .max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_TIMEOUT_MS))))
         .keep_alive_interval(None)
-        // Probes for larger packets would be most of what an idle connection sends.
+        // MTU probes would dominate the traffic of an idle connection.
         .mtu_discovery_config(None)
         .receive_window(VarInt::from_u32(RECEIVE_WINDOW_BYTES))
         .initial_rtt(INITIAL_RTT);
--- a/acaciaringd/src/peer/traffic.rs
+++ b/acaciaringd/src/peer/traffic.rs
@@ -1,14 +1,13 @@
-//! Bytes that the transport has moved.
+//! Traffic statistics of the transport.
 
 use std::collections::HashMap;
 
 use parking_lot::Mutex;
 use quinn::Connection;
 
-/// Sums over all connections since the start.
+/// Totals over all connections since the start.
 ///
-/// Bytes are those of UDP payloads; IP and UDP add 28 bytes to each packet.
-/// Handshakes that failed are not counted.
+/// Bytes are those of UDP payloads, without IP and UDP headers. Failed handshakes are not counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Traffic {
     /// Bytes sent.
@@ -19,7 +18,7 @@
     pub sent_packets: u64,
     /// Packets received.
     pub received_packets: u64,
-    /// Connections that are open.
+    /// Open connections.
     pub connections: usize,
 }
 
@@ -33,7 +32,7 @@
     }
 }
 
-/// All open connections, and the sums of those that are closed.
+/// All open connections, and the totals of the closed ones.
 #[derive(Default)]
 pub(super) struct Registry {
     inner: Mutex<Inner>,
@@ -51,7 +50,7 @@
         self.inner.lock().open.insert(id, conn);
     }
 
-    /// Moves a connection that is closed into the sums.
+    /// Removes a closed connection and adds its traffic to the totals.
     pub fn close(&self, id: u64) {
         let mut inner = self.inner.lock();
         if let Some(conn) = inner.open.remove(&id) {
@@ -64,7 +63,7 @@
         self.inner.lock().open.values().cloned().collect()
     }
 
-    /// Returns the sums over all connections, open or closed.
+    /// Returns the totals over all connections, open or closed.
     pub fn traffic(&self) -> Traffic {
         let inner = self.inner.lock();
         let mut sums = inner.closed;
--- a/acaciaringd/src/peer/transport.rs
+++ b/acaciaringd/src/peer/transport.rs
@@ -1,4 +1,4 @@
-//! The transport and what its parts share.
+//! The transport's public interface and the state shared by its tasks.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -36,41 +36,43 @@
 use crate::peer::traffic::{Registry, Traffic};
 use crate::peer::trust::{Fingerprint, Trusted};
 
-/// Time for telling peers that this process stops.
+/// Time for closing all connections when this process stops.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Steps in which a stop looks whether messages are still in hand.
+/// Interval at which a stop checks for messages in flight.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Outcome of a handler that may wait.
+/// Boxed future of a handler's result.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// What a member does with the messages of others.
+/// Handles the messages of other members.
 pub trait Handler: Send + Sync + 'static {
-    /// Takes in a datagram; must not block, for it runs on a thread that moves packets.
+    /// Handles a datagram; must not block, since it runs on a thread that processes packets.
     ///
-    /// A reply sent to `from` goes back on the connection on which the datagram came.
+    /// A reply sent to `from` uses the connection on which the datagram arrived.
     fn datagram(&self, from: SocketAddr, datagram: Datagram);
 
-    /// Answers a call; may wait, must not block.
+    /// Answers a call; may await, but must not block the thread.
     fn call(&self, call: call::Body) -> BoxFuture<'_, reply::Body>;
 
-    /// Runs a request; may wait, must not block. `request.left` is the time left now.
+    /// Runs a request; may await, but must not block the thread.
+    ///
+    /// `request.left` is the remaining time in milliseconds.
     fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> BoxFuture<'a, Answer>;
 }
 
-/// What the tasks of a transport share.
+/// State shared by the tasks of a transport.
 pub(super) struct Shared {
     pub settings: PeerSettings,
     pub handler: Arc<dyn Handler>,
-    /// Random number of this process start.
+    /// Random id of this run of the process.
     pub process: u64,
-    /// Endpoint on which this process listens; connections start from it too.
+    /// Endpoint on which this process listens and from which it connects.
     pub endpoint: Endpoint,
     pub client: ClientConfig,
-    /// Digest of the certificate that this process made for itself.
+    /// Digest of the self-signed certificate of this process.
     pub fingerprint: Option<Fingerprint>,
-    /// Certificates that are accepted without an authority.
+    /// Self-signed certificates that are accepted.
     pub trusted: Arc<Trusted>,
     pub runtime: Handle,
     pub pool: Pool,
@@ -78,7 +80,7 @@
     pub limiter: RequestLimiter,
     pub lags: Lags,
     pub registry: Registry,
-    /// Messages of others in hand.
+    /// Messages of other members that are being handled.
     pub inflight: Arc<InflightTracker>,
     pub metrics: Metrics,
     links: AtomicU64,
@@ -86,7 +88,7 @@
 }
 
 impl Shared {
-    /// Returns the number of a new connection.
+    /// Returns the id of a new connection.
     pub fn next_link(&self) -> LinkId {
         self.links.fetch_add(1, Ordering::Relaxed) + 1
     }
@@ -116,13 +118,13 @@
     ///
     /// # Errors
     ///
-    /// Fails when a certificate or key cannot be used, the address cannot be
-    /// bound or a thread cannot be started.
+    /// Fails if a certificate or key is unusable, the address cannot be bound or a thread cannot be
+    /// started.
     pub fn start(settings: PeerSettings, handler: Arc<dyn Handler>) -> Result<Self, PeerError> {
         Self::metered(settings, handler, Metrics::none())
     }
 
-    /// Does the same as [`Transport::start`], with metrics of the connections.
+    /// Like [`Transport::start`], with metrics of the connections.
     ///
     /// # Errors
     ///
@@ -169,10 +171,10 @@
         self.inner.address
     }
 
-    /// Sends a datagram without waiting; it is lost when no connection can be opened.
+    /// Sends a datagram without waiting; it is lost if no connection can be opened.
     ///
-    /// With `fresh` it goes out on a new connection that replaces the present
-    /// one, which is for a peer that has not answered the last datagrams.
+    /// With `fresh` it is sent on a new connection that replaces the present one, for a peer that
+    /// has not answered the last datagrams.
     pub fn send(&self, to: SocketAddr, datagram: &Datagram, fresh: bool) {
         let shared = &self.inner.shared;
         if !shared.is_stopped() {
@@ -180,20 +182,20 @@
         }
     }
 
-    /// Returns the handle of the threads for traffic.
+    /// Returns the handle of the runtime that processes packets.
     #[must_use]
     pub fn runtime(&self) -> &Handle {
         &self.inner.shared.runtime
     }
 
-    /// Makes a call and waits for the reply, at most `timeout`.
+    /// Makes a call and waits for its reply, at most for `timeout`.
     ///
-    /// Requests go through [`Transport::request`] instead.
+    /// Requests use [`Transport::request`] instead.
     ///
     /// # Errors
     ///
-    /// Fails without a reply; [`CallError::may_have_run`] tells whether the
-    /// member may have handled the call.
+    /// Fails without a reply; [`CallError::may_have_run`] returns whether the member may have
+    /// handled the call.
     pub async fn call(
         &self,
         to: SocketAddr,
@@ -207,7 +209,7 @@
         exchange::call(shared, to, call, timeout).await
     }
 
-    /// Does the same as [`Transport::call`] for a thread that may block.
+    /// Like [`Transport::call`], for a thread that may block.
     ///
     /// # Errors
     ///
@@ -221,10 +223,10 @@
         self.runtime().block_on(self.call(to, call, timeout))
     }
 
-    /// Sends a request, whose outcome is known after `left` at the latest.
+    /// Sends a request, whose outcome is known within `left`.
     ///
-    /// The sender draws `request.attempt` at random for each try and never
-    /// uses it again; zero is reserved. `request.left` is set here.
+    /// `request.attempt` must be a new random number for each attempt; zero is reserved.
+    /// `request.left` is set here.
     #[must_use]
     pub fn start_request(
         &self,
@@ -235,10 +237,9 @@
         RunningRequest::start(Arc::clone(&self.inner.shared), to, request, left)
     }
 
-    /// Does the same as [`Transport::start_request`] and waits for the outcome.
+    /// Like [`Transport::start_request`], and waits for the outcome.
     ///
-    /// When the future is dropped before it is ready, the member is told that the caller has
-    /// gone away.
+    /// Dropping the future before it is ready cancels the request at the member.
     pub async fn request(
         &self,
         to: SocketAddr,
@@ -248,7 +249,7 @@
         self.start_request(to, request, left).outcome().await
     }
 
-    /// Does the same as [`Transport::request`] for a thread that may block.
+    /// Like [`Transport::request`], for a thread that may block.
     #[must_use]
     pub fn blocking_request(
         &self,
@@ -259,7 +260,7 @@
         self.runtime().block_on(self.request(to, request, left))
     }
 
-    /// Tells a member, without waiting, that the caller of an attempt has gone away.
+    /// Cancels an attempt at a member, without waiting.
     pub fn cancel(&self, to: SocketAddr, attempt: u64) {
         let shared = &self.inner.shared;
         if !shared.is_stopped() {
@@ -267,52 +268,53 @@
         }
     }
 
-    /// Returns true when a message to `to` needs no new connection.
+    /// Returns true if a datagram to `to` needs no new connection.
     #[must_use]
     pub fn connected(&self, to: SocketAddr) -> bool {
         self.inner.shared.pool.connected(to)
     }
 
-    /// Returns the digest of the certificate that this process made for itself, empty with an authority.
+    /// Returns the digest of the self-signed certificate of this process, empty if a CA is used.
     #[must_use]
     pub fn fingerprint(&self) -> &[u8] {
         self.inner.shared.fingerprint.as_ref().map_or(&[], |fingerprint| fingerprint.as_slice())
     }
 
-    /// Replaces the digests of certificates that are accepted; without effect with an authority.
+    /// Replaces the digests of the accepted certificates; has no effect if a CA is used.
     pub fn trust<'a>(&self, fingerprints: impl Iterator<Item = &'a [u8]>) {
         self.inner.shared.trusted.set(fingerprints);
     }
 
-    /// Sets once what is called, at the handshake, when a certificate is not accepted.
+    /// Sets the callback for a certificate that is not accepted at a handshake; only the first call
+    /// counts.
     pub fn on_untrusted(&self, callback: impl Fn() + Send + Sync + 'static) {
         self.inner.shared.trusted.on_untrusted(Box::new(callback));
     }
 
-    /// Returns the bytes moved so far.
+    /// Returns the bytes and packets transferred so far.
     #[must_use]
     pub fn traffic(&self) -> Traffic {
         self.inner.shared.registry.traffic()
     }
 
-    /// Returns what the tasks share, for tests.
+    /// Returns the shared state, for tests.
     #[cfg(test)]
     pub(super) fn shared(&self) -> &Arc<Shared> {
         &self.inner.shared
     }
 
-    /// Closes all connections and tells the peers; later calls fail at once.
+    /// Closes all connections; later calls fail at once.
     ///
-    /// What is due to peers has half a second.
+    /// Answers in flight have half a second to reach their peers.
     pub fn stop(&self) {
-        // What is left then is lost.
+        // Answers that are still in flight are lost.
         let _ = self.stop_within(CLOSE_TIMEOUT);
     }
 
-    /// Does the same as [`Transport::stop`], with another bound on what is due; returns how much is left.
+    /// Like [`Transport::stop`], with a given time for answers in flight; returns how many remain.
     ///
-    /// No more messages are taken. Answers are due until the peers have them, for closing a
-    /// connection drops what is in it.
+    /// New messages are refused. An answer is in flight until its peer has acknowledged it, because
+    /// closing a connection drops the data in its buffers.
     #[must_use]
     pub fn stop_within(&self, bound: Duration) -> usize {
         let shared = &self.inner.shared;
@@ -322,8 +324,7 @@
             thread::sleep(POLL_INTERVAL);
         }
         let remaining = shared.inflight.count();
-        // A sender can't tell what it wrote just before the end of its connection from work that was cut
-        // off, so the end says which it is.
+        // The close code tells senders whether unanswered messages were refused or may have run.
         self.close(if shared.inflight.is_settled() { Code::Settled } else { Code::Stopping });
         remaining
     }
@@ -338,12 +339,12 @@
             conn.close(code, b"stopping");
         }
         shared.endpoint.close(code, b"stopping");
-        // Last, for a link that is dropped closes its connection without saying that the process stops.
+        // Comes last, since dropping a link closes its connection without the stop code.
         shared.pool.clear();
         let idle = shared.endpoint.wait_idle();
         let closing = async { time::timeout(CLOSE_TIMEOUT, idle).await };
         if shared.runtime.block_on(closing).is_err() {
-            error!("not all peers were told that this process stops");
+            error!("not all peer connections closed in time; stopping anyway");
         }
     }
 }
--- a/acaciaringd/src/peer/trust.rs
+++ b/acaciaringd/src/peer/trust.rs
@@ -1,7 +1,7 @@
-//! Certificates that members make for themselves, known by their digests.
+//! Trust in the self-signed certificates of members by their digests.
 //!
-//! A member states the digest of its certificate in the log; peers accept what the log names.
-//! So no files and no shared secret are needed, and an identity that the log has ended is
+//! A member publishes the digest of its certificate in the log, and peers accept exactly the
+//! digests of live members. This needs no files and no shared secret, and an evicted member is
 //! refused at the handshake.
 
 use std::collections::HashSet;
@@ -19,7 +19,7 @@
 };
 use rustls_pki_types::{CertificateDer, ServerName, UnixTime};
 
-/// Length of a digest, bytes.
+/// Length of a digest in bytes.
 const DIGEST: usize = 32;
 
 /// SHA-256 of a certificate.
@@ -35,7 +35,7 @@
 /// Called when a certificate is not accepted.
 type UntrustedCallback = Box<dyn Fn() + Send + Sync>;
 
-/// Digests of the certificates that are accepted.
+/// Digests of the accepted certificates.
 #[derive(Default)]
 pub(super) struct Trusted {
     fingerprints: RwLock<HashSet<Fingerprint>>,
@@ -44,20 +44,23 @@
 
 impl Debug for Trusted {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
-        out.debug_struct("Trusted").field("prints", &self.fingerprints).finish_non_exhaustive()
+        out.debug_struct("Trusted")
+            .field("fingerprints", &self.fingerprints)
+            .finish_non_exhaustive()
     }
 }
 
 impl Trusted {
-    /// Replaces what is accepted; entries of another length are passed over.
+    /// Replaces the accepted digests; entries of another length are ignored.
     pub(super) fn set<'a>(&self, fingerprints: impl Iterator<Item = &'a [u8]>) {
         let fingerprints =
             fingerprints.filter_map(|bytes| Fingerprint::try_from(bytes).ok()).collect();
         *self.fingerprints.write() = fingerprints;
     }
 
-    /// Sets once what is called when a certificate is not accepted: it may belong to a member of
-    /// which this one has not read yet.
+    /// Sets the callback for a certificate that is not accepted; only the first call counts.
+    ///
+    /// Such a certificate may belong to a member whose log record was not read yet.
     pub(super) fn on_untrusted(&self, callback: UntrustedCallback) {
         let _ = self.callback.set(callback);
     }
@@ -73,7 +76,7 @@
     }
 }
 
-/// Accepts certificates by their digests, at both ends of a connection.
+/// Verifies certificates by their digests, at both ends of a connection.
 pub(super) struct DigestVerifier {
     pub(super) trusted: Arc<Trusted>,
     pub(super) provider: Arc<CryptoProvider>,
@@ -81,7 +84,7 @@
 
 impl Debug for DigestVerifier {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
-        out.debug_struct("ByDigest").field("trusted", &self.trusted).finish_non_exhaustive()
+        out.debug_struct("DigestVerifier").field("trusted", &self.trusted).finish_non_exhaustive()
     }
 }
 
@@ -101,7 +104,7 @@
     }
 }
 
-/// Returns the refusal of an older version of TLS, which QUIC does not use.
+/// Rejects TLS 1.2, which QUIC does not use.
 fn reject_tls12() -> Result<HandshakeSignatureValid, Error> {
     Err(Error::PeerIncompatible(PeerIncompatible::Tls12NotOffered))
 }
--- a/acaciaringd/src/peer/trust/tests.rs
+++ b/acaciaringd/src/peer/trust/tests.rs
@@ -1,12 +1,11 @@
-//! Tests of members that know each other's certificates by the log.
+//! Tests of trust in self-signed certificates.
 
 use std::time::Duration;
 
 use crate::peer::tests::support::{Node, PATIENCE, echo, request};
 use crate::peer::{PeerSettings, RequestOutcome};
 
-/// A member is evicted, or a stranger has come by the address of one. Whoever is not named in
-/// the log must get no connection, in either direction.
+/// Guards against connections, in either direction, with a process that is not listed in the log.
 #[test]
 fn only_certificates_that_the_log_names_are_accepted() {
     let (one, other) = (Node::echo(PeerSettings::default()), Node::echo(PeerSettings::default()));
