--- a/acaciaringd/src/peer/serve.rs
+++ b/acaciaringd/src/peer/serve.rs
@@ -129,7 +129,7 @@
     let body = match body {
         Ok(body) => body,
         Err(error) => {
-            // A reset stream or closed connection is not the message's fault; the rest is bad input.
+            // A reset stream or closed connection is not the message's fault; the rest is invalid.
             if error.code() != Code::None {
                 let error = &error as &dyn std::error::Error;
                 warn!(%from, error, "refused an invalid message");
