--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -38,7 +38,7 @@
 use crate::read_pacer::ReadPacer;
 use crate::reader;
 use crate::recent::Recent;
-use crate::router::{Lingerers, Outages, Router, Shares, Spans, Suspects};
+use crate::router::{Outages, Router, Suspects, TimeoutHistory, TrafficSplits, WaitLimit};
 use crate::view::Shared;
 use crate::web::{self, WebError};
 
@@ -164,15 +164,15 @@
             choice: Mutex::new(Choice::new(ChoiceSettings::default())),
             budgets: options::budgets(settings),
             suspects: Suspects::default(),
-            full: Mutex::default(),
+            full_queues: Mutex::default(),
             outages: Outages::default(),
             metrics: metrics.clone(),
-            lingerers: Lingerers::new(settings.entry.workers as usize / LINGERERS),
-            shares: Shares::default(),
-            spans: Spans::default(),
+            wait_limit: WaitLimit::new(settings.entry.workers as usize / LINGERERS),
+            splits: TrafficSplits::default(),
+            timeouts: TimeoutHistory::default(),
             declarations: Arc::clone(&declarations),
-            lines: Ration::new(LINES),
-            late: Ration::new(LATE_LINES),
+            log_limit: Ration::new(LINES),
+            late_limit: Ration::new(LATE_LINES),
             pulse: Pulse::start(transport.runtime()),
         };
         let admin = MemberAdmin {
@@ -282,6 +282,6 @@
     let pacer = Arc::new(ReadPacer::new(settings.log.rate.min(settings.log.reads)));
     // Who is refused may have joined by a record that was not read here yet.
     let asked = Arc::clone(&pacer);
-    transport.on_refused(move || asked.request_read());
+    transport.on_untrusted(move || asked.request_read());
     pacer
 }
--- a/acaciaringd/src/peer/attempt.rs
+++ b/acaciaringd/src/peer/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending side of a request: survives a connection that has gone silent.
+//! Sending side of a request, which survives the loss of its connection.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,36 +14,36 @@
 use acaciaring_schema::peer::{Answer, Call, Reason, Reply, Request, Verdict, call, reply};
 
 use crate::clock;
-use crate::peer::exchange::{self, Sent, abandon, answers, cancel, watched};
+use crate::peer::exchange::{self, SentMessage, abandon, cancel, responds, wait_while_alive};
 use crate::peer::frame::{self, FrameError, FrameReader};
-use crate::peer::patience;
-use crate::peer::search::{Found, Search, Subject};
+use crate::peer::search::{AttemptInfo, Found, Search};
+use crate::peer::timeouts;
 use crate::peer::transport::Shared;
 
-/// Silent intervals after which a connection with a running request is tested.
-pub(super) const PATIENCE: u32 = 4;
+/// Silent intervals after which the connection of a running request is probed.
+pub(super) const SILENT_INTERVALS: u32 = 4;
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RequestOutcome {
     /// The member answered.
     Answer(Answer),
-    /// The request never arrived and never will; another member may get it.
+    /// The request did not arrive and cannot arrive later; it may be sent to another member.
     NotDelivered,
-    /// The request may have run; there is no whole answer.
+    /// The request may have run, but there is no complete answer.
     Lost,
 }
 
-/// Request that is under way at a member.
+/// Request that was sent to a member.
 ///
-/// When it is dropped before its end, the member is told that the caller has gone away.
-pub struct Running {
+/// Dropping it before its end cancels the request at the member.
+pub struct RunningRequest {
     outcome: Pin<Box<dyn Future<Output = RequestOutcome> + Send>>,
     silence: Arc<Notify>,
 }
 
-impl Running {
-    /// Sends a request, and brings back its answer over new connections if need be.
+impl RunningRequest {
+    /// Sends a request; its answer is fetched over a new connection if the first one fails.
     pub(super) fn start(
         shared: Arc<Shared>,
         to: SocketAddr,
@@ -51,20 +51,20 @@
         left: Duration,
     ) -> Self {
         let silence = Arc::new(Notify::new());
-        let told = Arc::clone(&silence);
+        let notify = Arc::clone(&silence);
         let outcome = async move {
             if shared.is_stopped() {
                 return RequestOutcome::NotDelivered;
             }
-            request(&shared, to, message, left, &told).await
+            request(&shared, to, message, left, &notify).await
         };
         Self { outcome: Box::pin(outcome), silence }
     }
 
-    /// Waits for the end; `None` once the member has gone silent.
+    /// Waits for the outcome; `None` once the member stops responding.
     ///
-    /// Silence is no proof: the member may be without processor and its answer come later.
-    pub async fn heard(&mut self) -> Option<RequestOutcome> {
+    /// The answer may still arrive, since the member may only lack processor time.
+    pub async fn outcome_or_silence(&mut self) -> Option<RequestOutcome> {
         tokio::select! {
             biased;
             outcome = &mut self.outcome => Some(outcome),
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Waits for the end, however long the member is silent.
-    pub async fn end(self) -> RequestOutcome {
+    /// Waits for the outcome, even if the member stops responding.
+    pub async fn outcome(self) -> RequestOutcome {
         self.outcome.await
     }
 }
@@ -93,10 +93,10 @@
     let clock = clock::now().since_start().as_micros();
     request.clock = u64::try_from(clock).unwrap_or(0);
     let call = Call { body: Some(call::Body::Request(request)) };
-    let frame = match frame::encode(&call, shared.settings.limit) {
+    let frame = match frame::encode(&call, shared.settings.message_limit) {
         Ok(frame) => frame,
         Err(size) => {
-            error!(%to, size, "request exceeds the limit");
+            error!(%to, size, "request exceeds the message limit; not sent");
             return RequestOutcome::NotDelivered;
         }
     };
@@ -109,27 +109,27 @@
             return RequestOutcome::NotDelivered;
         }
     };
-    let patience = exchange::patience(shared, &sent.link.conn, size);
-    let subject = Subject { to, attempt, start, deadline };
-    let hop = Hop { shared, subject, silence, arrived: false, sent };
-    let mut abandoned = Abandoned { shared, to, attempt, armed: true };
-    let outcome = time::timeout_at(deadline, hop.run(patience)).await;
-    abandoned.armed = outcome.is_err();
+    let ack_timeout = exchange::ack_timeout(shared, &sent.link.conn, size);
+    let info = AttemptInfo { to, attempt, start, deadline };
+    let sent_attempt = SentAttempt { shared, info, silence, arrived: false, sent };
+    let mut cancel_on_drop = CancelOnDrop { shared, to, attempt, armed: true };
+    let outcome = time::timeout_at(deadline, sent_attempt.run(ack_timeout)).await;
+    cancel_on_drop.armed = outcome.is_err();
     outcome.unwrap_or(RequestOutcome::Lost)
 }
 
-/// Tells the receiver that nobody waits for an attempt, unless it has ended.
+/// Cancels an attempt on drop, unless it has ended.
 ///
-/// Guards against work for a caller that has left: the future of its request is dropped at any
-/// point, and the receiver would go on until the deadline.
-struct Abandoned<'a> {
+/// Guards against work for a caller that has left: its future may be dropped at any point, and the
+/// receiver would continue until the deadline.
+struct CancelOnDrop<'a> {
     shared: &'a Arc<Shared>,
     to: SocketAddr,
     attempt: u64,
     armed: bool,
 }
 
-impl Drop for Abandoned<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if self.armed {
             cancel(self.shared, self.to, self.attempt);
@@ -138,93 +138,93 @@
 }
 
 /// Reads an answer.
-async fn answer(reader: &mut FrameReader) -> Result<Answer, FrameError> {
+async fn read_answer(reader: &mut FrameReader) -> Result<Answer, FrameError> {
     match reader.next::<Reply>().await?.body {
         Some(reply::Body::Answer(answer)) => Ok(answer),
         _ => Err(FrameError::Unknown),
     }
 }
 
-/// Returns what an answer says of an attempt that was asked for before it arrived.
+/// Returns the outcome of an answer to an attempt that was probed for.
 ///
-/// Guards against a request that is refused for good by its own sender's question: it arrived
-/// after the question and its refusal was back before the reply to that.
-fn taken(answer: Answer) -> RequestOutcome {
+/// Guards against a probe that overtakes its request: the request is then refused as superseded,
+/// and its refusal may arrive before the reply to the probe.
+fn outcome_of_answer(answer: Answer) -> RequestOutcome {
     let refused = answer.verdict() == Verdict::NotRun && answer.reason() == Reason::Superseded;
     if refused { RequestOutcome::NotDelivered } else { RequestOutcome::Answer(answer) }
 }
 
-/// Returns the outcome if the stream of an attempt has told it.
-fn known(reply: Result<Answer, FrameError>) -> Option<RequestOutcome> {
+/// Returns the outcome if the reply on the stream of an attempt determines it.
+fn outcome_of_reply(reply: Result<Answer, FrameError>) -> Option<RequestOutcome> {
     match reply {
-        Ok(answer) => Some(taken(answer)),
+        Ok(answer) => Some(outcome_of_answer(answer)),
         Err(error) => error.refusal().map(|_| RequestOutcome::NotDelivered),
     }
 }
 
-/// One attempt that has been sent.
-struct Hop<'a> {
+/// Attempt that was written to a stream.
+struct SentAttempt<'a> {
     shared: &'a Arc<Shared>,
-    subject: Subject,
+    info: AttemptInfo,
     silence: &'a Notify,
-    /// Whether the receiver has said that it has the attempt.
+    /// Whether the receiver has confirmed the arrival of the attempt.
     arrived: bool,
-    sent: Sent,
+    sent: SentMessage,
 }
 
-impl Hop<'_> {
-    /// Waits for the answer, and at first for a sign that the request has got there.
+impl SentAttempt<'_> {
+    /// Waits for the acknowledgement of the request and then for its answer.
     ///
-    /// The sign is the acknowledgement of its bytes by the connection. It says that the other end
-    /// lives, not that it has taken the request in, so a probe still has the last word on that.
+    /// The QUIC acknowledgement shows that the peer is alive, not that it has read the request,
+    /// which only a probe can confirm.
     ///
-    /// While the other end answers on the connection, bytes that were lost on the way are sent again by
-    /// the connection itself. Guards against a question whether the request has arrived that
-    /// overtakes it: the request would be refused for good, though it gets there a moment later.
-    async fn run(mut self, patience: Duration) -> RequestOutcome {
+    /// While the peer responds on the connection, QUIC retransmits lost packets. Guards against a
+    /// probe that overtakes the request: the request would be refused, though it arrives a moment
+    /// later.
+    async fn run(mut self, ack_timeout: Duration) -> RequestOutcome {
         let before = self.sent.link.received();
         let delivered = self.sent.stream.stopped();
         let reply = tokio::select! {
             biased;
-            reply = answer(&mut self.sent.reader) => Some(reply),
+            reply = read_answer(&mut self.sent.reader) => Some(reply),
             Ok(None) = delivered => None,
-            () = patience::pass(patience) => {
+            () = timeouts::wait(ack_timeout) => {
                 let silent = self.sent.link.received() == before;
-                if silent || !answers(self.shared, &self.sent.link.conn).await {
+                if silent || !responds(self.shared, &self.sent.link.conn).await {
                     return self.recover().await;
                 }
                 None
             }
         };
         if let Some(reply) = reply {
-            return self.end(reply).await;
+            return self.finish(reply).await;
         }
-        self.sent.link.heard.touch();
-        let answer = answer(&mut self.sent.reader);
-        match watched(self.shared, &self.sent.link, PATIENCE, answer).await {
-            Some(reply) => self.end(reply).await,
+        self.sent.link.liveness.touch();
+        let answer = read_answer(&mut self.sent.reader);
+        match wait_while_alive(self.shared, &self.sent.link, SILENT_INTERVALS, answer).await {
+            Some(reply) => self.finish(reply).await,
             None => self.recover().await,
         }
     }
 
-    /// Ends with what the stream has brought.
-    async fn end(self, reply: Result<Answer, FrameError>) -> RequestOutcome {
+    /// Returns the outcome of the reply on the stream.
+    async fn finish(self, reply: Result<Answer, FrameError>) -> RequestOutcome {
         match reply {
             Ok(answer) => {
-                self.sent.link.heard.touch();
+                self.sent.link.liveness.touch();
                 RequestOutcome::Answer(answer)
             }
-            Err(error) => self.broken(&error).await,
+            Err(error) => self.handle_error(&error).await,
         }
     }
 
-    /// Goes on after the stream has failed.
-    async fn broken(self, error: &FrameError) -> RequestOutcome {
+    /// Determines the outcome after the stream has failed.
+    async fn handle_error(self, error: &FrameError) -> RequestOutcome {
         match error {
             error if error.refusal().is_some() => RequestOutcome::NotDelivered,
             FrameError::Broken { .. } | FrameError::Ended => {
-                let Self { shared, subject, silence, arrived, sent } = self;
-                let search = Search { shared, subject, silence, arrived, sent: &sent.link };
+                let Self { shared, info, silence, arrived, sent } = self;
+                let search = Search { shared, info, silence, arrived, sent: &sent.link };
                 match search.run().await {
                     Found::Outcome(outcome) => outcome,
                     Found::Forgotten | Found::Stopped => RequestOutcome::Lost,
@@ -234,15 +234,15 @@
         }
     }
 
-    /// Looks for the attempt on new connections, still listening on the suspect one.
+    /// Searches for the attempt on new connections while still reading from the suspect one.
     async fn recover(self) -> RequestOutcome {
-        let Self { shared, subject, silence, arrived, mut sent } = self;
-        let Subject { to, attempt, .. } = subject;
-        debug!(%to, attempt, arrived, link = sent.link.id, "connection is suspect");
-        let search = Search { shared, subject, silence, arrived, sent: &sent.link };
+        let Self { shared, info, silence, arrived, mut sent } = self;
+        let AttemptInfo { to, attempt, .. } = info;
+        debug!(%to, attempt, arrived, link = sent.link.id, "connection is suspect; searching");
+        let search = Search { shared, info, silence, arrived, sent: &sent.link };
         let mut search = pin!(search.run());
         let found = tokio::select! {
-            reply = answer(&mut sent.reader) => match known(reply) {
+            reply = read_answer(&mut sent.reader) => match outcome_of_reply(reply) {
                 Some(outcome) => Found::Outcome(outcome),
                 None => search.await,
             },
@@ -250,10 +250,13 @@
         };
         let outcome = match found {
             Found::Outcome(outcome) => outcome,
-            // Bytes that were lost on the way are sent again for as long as the connection stands.
-            Found::Forgotten => answer(&mut sent.reader).await.map_or(RequestOutcome::Lost, taken),
-            // What had come before the end is read before it is told.
-            Found::Stopped => known(answer(&mut sent.reader).await).unwrap_or(RequestOutcome::Lost),
+            // QUIC retransmits the answer for as long as the connection is open.
+            Found::Forgotten => {
+                read_answer(&mut sent.reader).await.map_or(RequestOutcome::Lost, outcome_of_answer)
+            }
+            // An answer that arrived before the close can still be read.
+            Found::Stopped => outcome_of_reply(read_answer(&mut sent.reader).await)
+                .unwrap_or(RequestOutcome::Lost),
         };
         if outcome == RequestOutcome::NotDelivered {
             abandon(&mut sent.stream);
--- a/acaciaringd/src/peer/mod.rs
+++ b/acaciaringd/src/peer/mod.rs
@@ -1,20 +1,19 @@
 //! Transport between members: datagrams, calls and requests over QUIC with mutual TLS.
 //!
-//! Something between two members can lose track of an open connection, which
-//! then is silent for good while new ones work. A sender that gets no sign of a
-//! request's arrival in time opens a new connection from a new port and asks;
-//! the receiver either has the attempt or refuses it from then on.
+//! A NAT or firewall between two members can drop the state of an open connection, which then stays
+//! silent while new connections work. A sender whose request is not acknowledged in time opens a
+//! new connection from a new port and probes for the attempt; the receiver either has it or refuses
+//! it from then on.
 
 mod attempt;
 mod cancel;
-mod desk;
 mod error;
 mod exchange;
 mod frame;
+mod inflight;
 mod lags;
-mod lanes;
+mod limiter;
 mod link;
-mod patience;
 mod pool;
 mod run;
 mod search;
@@ -24,14 +23,15 @@
 #[cfg(test)]
 mod tests;
 mod threads;
+mod timeouts;
 mod tls;
 mod traffic;
 mod transport;
 mod trust;
 
-pub use self::attempt::{RequestOutcome, Running};
+pub use self::attempt::{RequestOutcome, RunningRequest};
 pub use self::cancel::CancelFlag;
 pub use self::error::{CallError, ConnectError, PeerError};
 pub use self::settings::PeerSettings;
 pub use self::traffic::Traffic;
-pub use self::transport::{Handler, Pending, Transport};
+pub use self::transport::{BoxFuture, Handler, Transport};
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -1,16 +1,19 @@
-//! Entry: finds the route and the owner of a caller's request, and brings the answer back.
+//! Request router: finds the route and owner of a client request and returns the answer.
+//!
+//! Keyed services send a request to the owner of its key, pooled ones to any member whose upstream
+//! serves the workspace.
 
-mod asked;
-mod budgets;
 mod keyed;
-mod lingerers;
+mod member_backoff;
 mod outages;
 mod outcome;
 mod pooled;
-mod shares;
-mod silence;
-mod spans;
+mod retry_budgets;
+mod stalled;
 mod suspects;
+mod timeout_history;
+mod traffic_splits;
+mod wait_limit;
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -27,14 +30,16 @@
 use rand::Rng;
 use tracing::{debug, info};
 
-pub(crate) use self::budgets::{Budgets, CommonBudget};
-pub(crate) use self::lingerers::Lingerers;
 pub(crate) use self::outages::Outages;
-use self::outcome::{Load, Try, arrived, come_back, judge, whole};
-pub(crate) use self::shares::Shares;
-use self::silence::Silence;
-pub(crate) use self::spans::Spans;
+use self::outcome::{
+    AttemptOutcome, Load, classify, entry_answer, reached_upstream, with_retry_after,
+};
+pub(crate) use self::retry_budgets::{ClusterBudget, RetryBudgets};
+use self::stalled::StalledAttempt;
 pub(crate) use self::suspects::Suspects;
+pub(crate) use self::timeout_history::TimeoutHistory;
+pub(crate) use self::traffic_splits::TrafficSplits;
+pub(crate) use self::wait_limit::WaitLimit;
 use crate::clock;
 use crate::declared::Declarations;
 use crate::entry::{EntryAnswer, EntryRequest};
@@ -46,63 +51,63 @@
 use crate::view::{Shared, View};
 use crate::wire;
 
-/// HTTP status of a body above the route's limit.
-const TOO_LARGE: u16 = 413;
+/// HTTP status for a request body above the route's limit.
+const PAYLOAD_TOO_LARGE: u16 = 413;
 
-/// Shortest time that a message states.
-const MILLI: Duration = Duration::from_millis(1);
+/// Smallest latency target sent to another member; zero on the wire means that there is none.
+const MIN_AIM: Duration = Duration::from_millis(1);
 
-/// When a caller may come back after its request could not reach an owner.
-const COME_BACK: Duration = Duration::from_millis(300);
+/// Retry delay sent to a client whose request could not reach an owner.
+const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Part of the time that a member named after which those come back whom the entry refuses for it.
-const RETURN: Range<f64> = 0.75..1.25;
+/// Random factor for the retry delay of a request that is refused on behalf of a full member.
+const RETRY_JITTER: Range<f64> = 0.75..1.25;
 
-/// Entry of one process.
+/// Routes the client requests that this process receives.
 pub(crate) struct Router {
     pub(crate) shared: Arc<Shared>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) transport: Transport,
     pub(crate) choice: Mutex<Choice>,
-    pub(crate) budgets: Budgets,
+    pub(crate) budgets: RetryBudgets,
     pub(crate) suspects: Suspects,
-    /// What members refused a moment ago, being full.
-    pub(crate) full: Mutex<FullQueues>,
+    /// Recent refusals of members whose queues were full.
+    pub(crate) full_queues: Mutex<FullQueues>,
     pub(crate) outages: Outages,
     pub(crate) metrics: Metrics,
-    pub(crate) lingerers: Lingerers,
-    /// Shares of routes that are shared out.
-    pub(crate) shares: Shares,
-    /// Times that callers of each class state.
-    pub(crate) spans: Spans,
+    pub(crate) wait_limit: WaitLimit,
+    /// Weighted split of routes that several workspaces serve.
+    pub(crate) splits: TrafficSplits,
+    /// Timeouts that clients of each class state.
+    pub(crate) timeouts: TimeoutHistory,
     pub(crate) declarations: Arc<Declarations>,
-    /// Bound on the lines about requests without an answer.
-    pub(crate) lines: Ration,
-    /// Bound on the lines about requests that were answered late.
-    pub(crate) late: Ration,
-    /// How late this process is.
+    /// Rate limit of the log lines about requests without an answer.
+    pub(crate) log_limit: Ration,
+    /// Rate limit of the log lines about requests that were answered late.
+    pub(crate) late_limit: Ration,
+    /// Measures the scheduling lag of this process.
     pub(crate) pulse: Arc<Pulse>,
 }
 
-/// What is known of a caller's request before it is sent on.
+/// A client request with its route and deadlines, ready to be sent to members.
 struct Plan {
     route: Arc<Route>,
     class: Class,
     key: Option<KeyHash>,
     deadline: Time,
-    /// Time up to which an answer is in time, where a later one is of less use.
+    /// Time by which the class's latency target is met; `None` without a target.
     aim: Option<Time>,
     request: Request,
-    /// Name by which the caller finds the request in logs.
+    /// Name by which the client finds the request in logs.
     label: String,
     received: Time,
-    /// Tries so far, and the member of the last one, for the logs.
+    /// Number of attempts and the member of the last one, for the logs.
     tries: AtomicU32,
-    last: AtomicU64,
+    last_member: AtomicU64,
 }
 
 impl Plan {
-    /// Returns the time that the request has, as a queue looks at it.
+    /// Returns the request's rank and remaining times, by which a queue admits it.
     fn slack(&self, now: Time) -> Slack {
         let left = self.deadline.since(now);
         Slack { rank: self.class.rank, aim: self.aim.map_or(left, |aim| aim.since(now)), left }
@@ -110,14 +115,14 @@
 }
 
 impl Router {
-    /// Answers a caller's request; when the future is dropped, its work is cancelled.
+    /// Answers a client request; dropping the future cancels its work.
     pub(crate) async fn handle(&self, request: EntryRequest) -> EntryAnswer {
         let received = request.received;
         let label = request.label.clone();
         let answer = match self.plan(request) {
             Ok(plan) => self.route(&plan).await,
             Err(answer) => {
-                self.note_unplanned(&label, &answer);
+                self.log_refused(&label, &answer);
                 answer
             }
         };
@@ -126,9 +131,9 @@
         answer
     }
 
-    /// Writes a line for a request that was refused before a member was chosen, within the bound of such lines.
-    fn note_unplanned(&self, label: &str, answer: &EntryAnswer) {
-        let Some(left_out) = self.lines.admit(clock::now()) else { return };
+    /// Logs, rate limited, a request that was refused before a member was chosen.
+    fn log_refused(&self, label: &str, answer: &EntryAnswer) {
+        let Some(left_out) = self.log_limit.admit(clock::now()) else { return };
         let reason = answer.reason.map_or("", Reason::as_str);
         info!(
             request = label,
@@ -136,14 +141,14 @@
             reason,
             declared = self.declarations.version(),
             left_out,
-            "request refused at the entry"
+            "request refused before a member was chosen"
         );
     }
 
-    /// Writes a line for a request without a whole answer of an upstream, within the bound of such lines.
-    fn note(&self, plan: &Plan, refusal: Refusal) {
+    /// Logs, rate limited, a request without a complete answer of an upstream.
+    fn log_unanswered(&self, plan: &Plan, refusal: Refusal) {
         let now = clock::now();
-        let Some(left_out) = self.lines.admit(now) else { return };
+        let Some(left_out) = self.log_limit.admit(now) else { return };
         let view = self.shared.view();
         info!(
             request = plan.label,
@@ -153,7 +158,7 @@
             verdict = refusal.verdict.as_str(),
             reason = refusal.reason.as_str(),
             tries = plan.tries.load(Ordering::Relaxed),
-            member = plan.last.load(Ordering::Relaxed),
+            member = plan.last_member.load(Ordering::Relaxed),
             took_ms = wire::millis(now.since(plan.received)),
             left_ms = wire::millis(plan.deadline.since(now)),
             retry_ms = refusal.retry.map(wire::millis),
@@ -164,8 +169,8 @@
         );
     }
 
-    /// Counts the verdict of a request, also of one that the entry refuses itself.
-    pub(crate) fn told(&self, verdict: Verdict) {
+    /// Counts the verdict of a request, including those that this process refuses itself.
+    pub(crate) fn count_verdict(&self, verdict: Verdict) {
         let counter = match verdict {
             Verdict::Answered => Counter::RequestsAnswered,
             Verdict::NotRun => Counter::RequestsNotRun,
@@ -174,18 +179,18 @@
         self.metrics.count(counter, 1);
     }
 
-    /// Writes a line for a request that was answered after its time, within the bound of such lines.
-    fn note_late(&self, plan: &Plan, answer: &Answer) {
+    /// Logs, rate limited, a request that was answered after its latency target.
+    fn log_late(&self, plan: &Plan, answer: &Answer) {
         let now = clock::now();
         let Some(aim) = plan.aim.filter(|aim| now > *aim) else { return };
-        let Some(left_out) = self.late.admit(now) else { return };
+        let Some(left_out) = self.late_limit.admit(now) else { return };
         info!(
             request = plan.label,
             service = &*plan.route.workspace,
             class = &*plan.class.name,
             key = plan.key.map(|key| key.0),
             tries = plan.tries.load(Ordering::Relaxed),
-            member = plan.last.load(Ordering::Relaxed),
+            member = plan.last_member.load(Ordering::Relaxed),
             took_ms = wire::millis(now.since(plan.received)),
             late_ms = wire::millis(now.since(aim)),
             busy = answer.busy,
@@ -201,28 +206,28 @@
         let read = request.received.since_start();
         request.received = Time::from_start(read.saturating_sub(lag));
         let view = self.shared.view();
-        self.check_standing()?;
+        self.check_membership()?;
         let route = view.routes.find(request.host.as_deref(), &request.path);
         let route = Arc::clone(route.ok_or_else(|| self.unrouted())?);
-        let route = self.shares.pick(route);
+        let route = self.splits.pick(route);
         if request.body.len() as u64 > route.body {
             let refusal = Refusal::not_run(Reason::BadRequest);
-            return Err(EntryAnswer::refusal_with(refusal, TOO_LARGE));
+            return Err(EntryAnswer::refusal_with(refusal, PAYLOAD_TOO_LARGE));
         }
         let class = route.class(&request.method, &request.path).clone();
-        in_time(&class, lag)?;
+        check_lag(&class, lag)?;
         let key = find_key(&route, &request)?;
         let id = match &request.key {
             Some(text) => RequestId::from_key(&route.workspace, key, text),
             None => RequestId(rand::rng().random()),
         };
-        let span = request.deadline.map_or(class.deadline, |asked| asked.min(class.deadline));
-        let deadline = request.received + span;
+        let timeout = request.deadline.map_or(class.deadline, |asked| asked.min(class.deadline));
+        let deadline = request.received + timeout;
         let aim = self.aim(&route, &class, &request);
         let received = request.received;
         let label = request.label.clone();
         let message = message(request, &route, &class, key, id);
-        let (tries, last) = (AtomicU32::default(), AtomicU64::default());
+        let (tries, last_member) = (AtomicU32::default(), AtomicU64::default());
         Ok(Plan {
             route,
             class,
@@ -233,50 +238,49 @@
             label,
             received,
             tries,
-            last,
+            last_member,
         })
     }
 
-    /// Returns up to when an answer is in time, counted from the caller's first try.
+    /// Returns the time by which the latency target is met, counted from the client's first try.
     ///
-    /// What is critical is never put off for its caller's having waited.
+    /// The time that a client has already waited never counts against a critical request.
     fn aim(&self, route: &Route, class: &Class, request: &EntryRequest) -> Option<Time> {
         let target = class.target?;
-        let waited = request
-            .deadline
-            .filter(|_| class.rank != Rank::Critical)
-            .map(|asked| self.spans.waited(request.received, &route.workspace, &class.name, asked));
+        let waited = request.deadline.filter(|_| class.rank != Rank::Critical).map(|asked| {
+            self.timeouts.estimate_wait(request.received, &route.workspace, &class.name, asked)
+        });
         Some(request.received + target.saturating_sub(waited.unwrap_or_default()))
     }
 
-    /// Refuses requests while this member has no standing among the others.
+    /// Refuses requests while this process may not be a member of the cluster.
     ///
-    /// Guards against an evicted member that still takes requests by an old
-    /// configuration: `accepted` waits for all members but the evicted ones, so
-    /// a member that may be evicted must not act on what it knows. Where the configuration is
-    /// declared, it is enough that others know this process.
-    fn check_standing(&self) -> Result<(), Refusal> {
-        let may = if self.shared.declares {
+    /// Guards against an evicted member that routes requests by an old configuration: a change is
+    /// `accepted` without waiting for evicted members, so routing needs a valid lease. Where the
+    /// configuration is declared, it is enough that other members know this process.
+    fn check_membership(&self) -> Result<(), Refusal> {
+        let admitted = if self.shared.declares {
             self.shared.is_known()
         } else {
             clock::now() < self.shared.lease.get()
         };
-        if may {
+        if admitted {
             return Ok(());
         }
-        Err(Refusal::not_run(Reason::NoLease).after(COME_BACK))
+        Err(Refusal::not_run(Reason::NoLease).after(RETRY_AFTER))
     }
 
-    /// Returns the refusal of a request without route; a member without configuration knows of none.
+    /// Returns the refusal of a request without a route, which may be tried again while this
+    /// process has no configuration yet.
     fn unrouted(&self) -> Refusal {
         if self.shared.declares && !self.shared.is_ready() {
-            return Refusal::not_run(Reason::NoLease).after(COME_BACK);
+            return Refusal::not_run(Reason::NoLease).after(RETRY_AFTER);
         }
         Refusal::not_run(Reason::NoRoute)
     }
 
-    /// Decides whether a request may be tried again, within what all members share.
-    fn allowed(&self, now: Time, plan: &Plan, failure: &Failure) -> RetryDecision {
+    /// Decides whether a request may be retried, within the retry budget shared by all members.
+    fn decide_retry(&self, now: Time, plan: &Plan, failure: &Failure) -> RetryDecision {
         let members = self.shared.view().state.members().count();
         let (service, class) = (&plan.route.workspace, &plan.class.name);
         self.budgets.next(now, members, service, class, failure)
@@ -285,97 +289,102 @@
     async fn route(&self, plan: &Plan) -> EntryAnswer {
         self.budgets.first_try(clock::now(), &plan.route.workspace, &plan.class.name);
         let answer = match plan.route.division {
-            Division::Keyed { .. } => self.keyed(plan).await,
-            Division::Pooled => self.pooled(plan).await,
+            Division::Keyed { .. } => self.route_keyed(plan).await,
+            Division::Pooled => self.route_pooled(plan).await,
         };
         match answer {
             Ok(answer) => {
-                self.note_late(plan, &answer);
-                whole(answer)
+                self.log_late(plan, &answer);
+                entry_answer(answer)
             }
             Err(refusal) => {
-                let refusal = come_back(refusal);
-                self.note(plan, refusal);
+                let refusal = with_retry_after(refusal);
+                self.log_unanswered(plan, refusal);
                 EntryAnswer::refusal(refusal)
             }
         }
     }
 
-    /// Makes one try at a member; an error is one whose member has gone silent.
-    async fn attempt(&self, plan: &Plan, view: &View, target: MemberId) -> Result<Try, Silence> {
+    /// Sends the request to one member; the error is an attempt whose member stopped responding.
+    async fn attempt(
+        &self,
+        plan: &Plan,
+        view: &View,
+        target: MemberId,
+    ) -> Result<AttemptOutcome, StalledAttempt> {
         let left = plan.deadline.since(clock::now());
         plan.tries.fetch_add(1, Ordering::Relaxed);
-        plan.last.store(target.0, Ordering::Relaxed);
+        plan.last_member.store(target.0, Ordering::Relaxed);
         let request = Request {
             attempt: rand::rng().random(),
             left: wire::millis(left),
             target: target.0,
             applied: view.state.next(),
             declared: self.declarations.version(),
-            aim: plan.aim.map_or(0, |aim| wire::millis(aim.since(clock::now()).max(MILLI))),
+            aim: plan.aim.map_or(0, |aim| wire::millis(aim.since(clock::now()).max(MIN_AIM))),
             ..plan.request.clone()
         };
         if view.me == Some(target) {
             let answer = self.gate.run(&request, &CancelFlag::default()).await;
-            return Ok(judge(RequestOutcome::Answer(answer)));
+            return Ok(classify(RequestOutcome::Answer(answer)));
         }
         match view.peer(target) {
-            Some(address) => self.hop(target, address, request, left).await,
-            None => Ok(Try::Undelivered),
+            Some(address) => self.forward(target, address, request, left).await,
+            None => Ok(AttemptOutcome::Undelivered),
         }
     }
 }
 
 impl Router {
-    /// Notes that another member refused a request because its queue was full.
+    /// Records that another member refused a request because its queue was full.
     ///
-    /// The time that is left by now is less than what the member looked at, so the memory holds for
-    /// fewer requests than it might, never for more.
-    fn note_full(&self, plan: &Plan, target: MemberId, refusal: Refusal) {
+    /// Less time is left now than when the member decided, so the record applies to too few
+    /// requests rather than to too many.
+    fn record_full(&self, plan: &Plan, target: MemberId, refusal: Refusal) {
         let Refusal { reason: Reason::Busy, retry: Some(retry), .. } = refusal else { return };
         if self.shared.view().me != Some(target) {
             let now = clock::now();
-            self.full.lock().note(now, target, plan.slack(now), retry);
+            self.full_queues.lock().note(now, target, plan.slack(now), retry);
         }
     }
 
-    /// Returns the refusal of a request whose owner would refuse it, being full.
+    /// Returns a refusal if the owner's queue was recently full for requests like this one.
     fn refuse_full(&self, now: Time, plan: &Plan, owner: MemberId) -> Option<Refusal> {
-        let retry = self.full.lock().refuses(now, owner, plan.slack(now))?;
-        plan.last.store(owner.0, Ordering::Relaxed);
+        let retry = self.full_queues.lock().refuses(now, owner, plan.slack(now))?;
+        plan.last_member.store(owner.0, Ordering::Relaxed);
         Some(self.full_refusal(retry))
     }
 
-    /// Takes out the members that would refuse a request, being full.
+    /// Removes the members whose queues were recently full for requests like this one.
     ///
-    /// Returns their refusal when only members are left that were tried.
-    fn retain_open(
+    /// Returns a refusal if that leaves no member that has not been tried.
+    fn exclude_full(
         &self,
         now: Time,
         plan: &Plan,
         members: &mut Vec<MemberId>,
         tried: &[MemberId],
     ) -> Option<Refusal> {
-        let retry = self.full.lock().retain(now, members, plan.slack(now));
-        let over = members.iter().all(|member| tried.contains(member));
-        retry.filter(|_| over).map(|retry| self.full_refusal(retry))
+        let retry = self.full_queues.lock().retain(now, members, plan.slack(now));
+        let all_tried = members.iter().all(|member| tried.contains(member));
+        retry.filter(|_| all_tried).map(|retry| self.full_refusal(retry))
     }
 
-    /// Returns the refusal of a request that is not sent on; refused alike, callers would return together.
+    /// Returns the refusal of a request that is not forwarded; jitter spreads the clients' retries.
     fn full_refusal(&self, retry: Duration) -> Refusal {
         self.metrics.count(Counter::RequestsFull, 1);
-        let retry = retry.mul_f64(rand::rng().random_range(RETURN));
+        let retry = retry.mul_f64(rand::rng().random_range(RETRY_JITTER));
         Refusal::not_run(Reason::Busy).after(retry)
     }
 }
 
-/// Refuses a request that has waited for so long before it was read that it would hardly be in time.
-fn in_time(class: &Class, lag: Duration) -> Result<(), Refusal> {
-    let hopeless = |target: Duration| lag > target / 2;
-    if class.rank == Rank::Critical || !class.target.is_some_and(hopeless) {
+/// Refuses a request that waited unread for more than half of its latency target.
+fn check_lag(class: &Class, lag: Duration) -> Result<(), Refusal> {
+    let too_late = |target: Duration| lag > target / 2;
+    if class.rank == Rank::Critical || !class.target.is_some_and(too_late) {
         return Ok(());
     }
-    // Refused together, they would return together.
+    // Jitter spreads the retries of requests that are refused at the same time.
     Err(Refusal::not_run(Reason::Busy).after(lag.mul_f64(rand::rng().random_range(1.0..2.0))))
 }
 
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -1,4 +1,4 @@
-//! Requests to services that are not divided by key.
+//! Routing of requests to services that are not partitioned by key.
 
 use std::time::Duration;
 
@@ -8,104 +8,113 @@
 use acaciaring_schema::peer::Answer;
 use tokio::time::sleep;
 
-use super::outcome::LOST;
-use super::{COME_BACK, Load, Plan, Router, Silence, Try, arrived};
+use super::outcome::LOST_ANSWER;
+use super::{AttemptOutcome, Load, Plan, RETRY_AFTER, Router, StalledAttempt, reached_upstream};
 use crate::clock;
 use crate::metrics::Counter;
-use crate::peer::Pending;
+use crate::peer::BoxFuture;
 use crate::view::View;
 
-/// Members that may take a request.
+/// Members whose upstream serves the workspace of a request.
 struct Candidates {
     all: Vec<MemberId>,
-    /// This process's own, if it is one of them.
+    /// This process, if it is one of them.
     own: Option<MemberId>,
-    /// Those of this data centre, this process's own among them.
+    /// Members in the data centre of this process, including itself.
     near: Vec<MemberId>,
 }
 
-/// Progress of one request.
+/// Attempts made for one request.
 #[derive(Default, Clone)]
 struct Progress {
     tried: Vec<MemberId>,
     tries: u32,
-    /// Tries that no upstream has seen.
+    /// Attempts that reached no upstream.
     unseen: u32,
-    /// True once a try may have reached an upstream.
-    lost: bool,
+    /// True once an upstream may have run the request.
+    may_have_run: bool,
 }
 
 impl Router {
-    /// Brings a request to one of the members whose upstream serves the workspace.
-    pub(super) async fn pooled(&self, plan: &Plan) -> Result<Answer, Refusal> {
-        self.tries(plan, Progress::default()).await
+    /// Sends a request to one of the members whose upstream serves the workspace.
+    pub(super) async fn route_pooled(&self, plan: &Plan) -> Result<Answer, Refusal> {
+        self.try_members(plan, Progress::default()).await
     }
 
-    /// Makes tries until one is answered or no further one is allowed.
-    async fn tries(&self, plan: &Plan, mut progress: Progress) -> Result<Answer, Refusal> {
+    /// Tries members until one answers or no further retry is allowed.
+    async fn try_members(&self, plan: &Plan, mut progress: Progress) -> Result<Answer, Refusal> {
         loop {
             let view = self.shared.view();
             let mut candidates = Candidates::find(&view, plan);
             let now = clock::now();
-            let full = self.retain_open(now, plan, &mut candidates.all, &progress.tried);
-            candidates.keep_open();
+            let full = self.exclude_full(now, plan, &mut candidates.all, &progress.tried);
+            candidates.sync_near();
             let refusal = if let Some(refusal) = full {
                 refusal
             } else {
                 let Some(target) = self.choose(now, &candidates, &progress.tried) else {
-                    return Err(progress.settle(self.none(now, &candidates.all)));
+                    return Err(progress.final_refusal(self.no_member(now, &candidates.all)));
                 };
                 progress.tried.push(target);
-                let ended = match self.timed(plan, &view, target).await {
+                let ended = match self.attempt_tracked(plan, &view, target).await {
                     Ok(ended) => ended,
-                    Err(silence) => {
+                    Err(stalled) => {
                         let mut later = progress.clone();
                         later.tries += 1;
-                        if let Some(after) = self.again(plan, &candidates, LOST, &mut later) {
-                            return self.beside(silence, self.tries_on(plan, after, later)).await;
+                        if let Some(after) =
+                            self.retry_delay(plan, &candidates, LOST_ANSWER, &mut later)
+                        {
+                            return self
+                                .race_stalled(stalled, self.resume_tries(plan, after, later))
+                                .await;
                         }
-                        self.wait(silence).await
+                        self.await_stalled(stalled).await
                     }
                 };
-                if let Try::Refused { refusal, .. } = &ended {
-                    self.note_full(plan, target, *refusal);
+                if let AttemptOutcome::Refused { refusal, .. } = &ended {
+                    self.record_full(plan, target, *refusal);
                 }
                 match ended.result() {
                     Ok(answer) => return Ok(answer),
                     Err(refusal) => refusal,
                 }
             };
-            progress.note(refusal);
-            let after = self.again(plan, &candidates, refusal, &mut progress);
-            sleep(after.ok_or_else(|| progress.settle(refusal))?).await;
+            progress.record(refusal);
+            let after = self.retry_delay(plan, &candidates, refusal, &mut progress);
+            sleep(after.ok_or_else(|| progress.final_refusal(refusal))?).await;
             self.metrics.count(Counter::RequestsRetried, 1);
         }
     }
 
-    /// Makes further tries after a pause.
-    fn tries_on<'a>(
+    /// Continues with further members after a delay.
+    fn resume_tries<'a>(
         &'a self,
         plan: &'a Plan,
         after: Duration,
         progress: Progress,
-    ) -> Pending<'a, Result<Answer, Refusal>> {
+    ) -> BoxFuture<'a, Result<Answer, Refusal>> {
         Box::pin(async move {
             sleep(after).await;
             self.metrics.count(Counter::RequestsRetried, 1);
-            self.tries(plan, progress).await
+            self.try_members(plan, progress).await
         })
     }
 
-    /// Makes a try and lets the choice learn from it.
-    async fn timed(&self, plan: &Plan, view: &View, target: MemberId) -> Result<Try, Silence> {
-        let flight = Flight::new(self, target);
+    /// Sends the request to a member and reports the outcome to the load balancer.
+    async fn attempt_tracked(
+        &self,
+        plan: &Plan,
+        view: &View,
+        target: MemberId,
+    ) -> Result<AttemptOutcome, StalledAttempt> {
+        let flight = InFlight::new(self, target);
         let outcome = self.attempt(plan, view, target).await;
-        // Others are better off elsewhere while the member is silent.
-        flight.end(outcome.as_ref().unwrap_or(&Try::Lost));
+        // Counts as a failure, so that other requests avoid a member that does not respond.
+        flight.end(outcome.as_ref().unwrap_or(&AttemptOutcome::Lost));
         outcome
     }
 
-    /// Chooses a member not tried yet, or one tried before when there is no other.
+    /// Chooses a member that has not been tried, or one that has when there is no other.
     fn choose(&self, now: Time, candidates: &Candidates, tried: &[MemberId]) -> Option<MemberId> {
         let own = candidates.own.map(|member| {
             let (busy, capacity) = self.gate.load();
@@ -115,16 +124,16 @@
         self.choice.lock().choose_near(now, &mut rand::rng(), near, &candidates.all, tried)
     }
 
-    /// Returns the refusal of a request for which there is no member.
-    fn none(&self, now: Time, candidates: &[MemberId]) -> Refusal {
+    /// Returns the refusal of a request for which no member is available.
+    fn no_member(&self, now: Time, candidates: &[MemberId]) -> Refusal {
         match self.choice.lock().opening(now, candidates) {
             Some(retry) => Refusal::not_run(Reason::Busy).after(retry),
-            None => Refusal::not_run(Reason::Unreachable).after(COME_BACK),
+            None => Refusal::not_run(Reason::Unreachable).after(RETRY_AFTER),
         }
     }
 
-    /// Returns after which pause a further try may go out; `None` when none may.
-    fn again(
+    /// Returns the delay before the next attempt; `None` when there may be none.
+    fn retry_delay(
         &self,
         plan: &Plan,
         candidates: &Candidates,
@@ -139,13 +148,15 @@
             left: plan.deadline.since(now),
             tries: progress.tries,
             redirects: progress.unseen,
-            arrived: arrived(refusal),
+            arrived: reached_upstream(refusal),
             elsewhere,
-            most: progress.most(plan.class.tries),
+            most: progress.max_tries(plan.class.tries),
+        };
+        let RetryDecision::Retry { after } = self.decide_retry(now, plan, &failure) else {
+            return None;
         };
-        let RetryDecision::Retry { after } = self.allowed(now, plan, &failure) else { return None };
         if !elsewhere {
-            // Each member was tried; after the pause they may be tried again.
+            // Each member was tried; all are candidates again after the delay.
             progress.tried.clear();
         }
         Some(after)
@@ -153,55 +164,59 @@
 }
 
 impl Progress {
-    fn note(&mut self, refusal: Refusal) {
+    fn record(&mut self, refusal: Refusal) {
         self.tries += 1;
-        self.unseen += u32::from(!arrived(refusal));
-        self.lost |= refusal.verdict == Verdict::Unknown;
+        self.unseen += u32::from(!reached_upstream(refusal));
+        self.may_have_run |= refusal.verdict == Verdict::Unknown;
     }
 
-    /// Returns how many tries a class allows, those not counted that no upstream has seen.
-    fn most(&self, tries: u32) -> u32 {
+    /// Returns the limit on attempts, to which those that reached no upstream do not count.
+    ///
+    /// A limit of zero means none.
+    fn max_tries(&self, tries: u32) -> u32 {
         if tries > 0 { tries + self.unseen } else { 0 }
     }
 
-    /// Returns the final answer; "not run" only if no try may have run.
+    /// Returns the final refusal, which is "not run" only if no attempt can have run.
     ///
-    /// Guards against a lost answer followed by a refusal elsewhere: the caller would be told
-    /// that nothing ran, from the last try alone.
-    fn settle(&self, refusal: Refusal) -> Refusal {
-        let verdict = if self.lost { Verdict::Unknown } else { refusal.verdict };
+    /// Guards against a lost answer followed by a refusal of another member: the last attempt
+    /// alone would tell the client that nothing ran.
+    fn final_refusal(&self, refusal: Refusal) -> Refusal {
+        let verdict = if self.may_have_run { Verdict::Unknown } else { refusal.verdict };
         Refusal { verdict, ..refusal }
     }
 }
 
-/// Request of this entry at a member, counted there until it ends.
+/// Counts a request as in flight at a member until it is dropped.
 ///
-/// Guards against a panic on the way: the member would count one request in flight for ever and
-/// get less than its share.
-struct Flight<'a> {
+/// Guards against a panic before the end of the request: the count would stay too high and the
+/// member would get less than its share of requests.
+struct InFlight<'a> {
     router: &'a Router,
     target: MemberId,
     start: Time,
     ended: bool,
 }
 
-impl<'a> Flight<'a> {
+impl<'a> InFlight<'a> {
     fn new(router: &'a Router, target: MemberId) -> Self {
         let start = clock::now();
         router.choice.lock().sent(start, target);
         Self { router, target, start, ended: false }
     }
 
-    fn end(mut self, outcome: &Try) {
+    fn end(mut self, outcome: &AttemptOutcome) {
         self.ended = true;
         let now = clock::now();
         let (sent, load) = match outcome {
-            Try::Whole(answer) => {
+            AttemptOutcome::Answered(answer) => {
                 let load = Load { busy: answer.busy, capacity: answer.capacity };
                 (Sent::Answered(now.since(self.start)), Some(load))
             }
-            Try::Refused { refusal, load, .. } => (learn(*refusal, *load), Some(*load)),
-            Try::Undelivered | Try::Lost => (Sent::Failed, None),
+            AttemptOutcome::Refused { refusal, load, .. } => {
+                (choice_feedback(*refusal, *load), Some(*load))
+            }
+            AttemptOutcome::Undelivered | AttemptOutcome::Lost => (Sent::Failed, None),
         };
         let mut choice = self.router.choice.lock();
         choice.done(now, self.target, sent);
@@ -211,7 +226,7 @@
     }
 }
 
-impl Drop for Flight<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         if !self.ended {
             self.router.choice.lock().done(clock::now(), self.target, Sent::Failed);
@@ -219,11 +234,11 @@
     }
 }
 
-/// Returns what a refusal says of the member.
+/// Returns what a refusal tells the load balancer about the member.
 ///
-/// A full queue concerns the class and deadline of the one request: a member that refuses
-/// background work still takes critical work, so it is not left alone for it.
-fn learn(refusal: Refusal, load: Load) -> Sent {
+/// A full queue depends on the class and deadline of the request: a member that refuses
+/// background work still accepts critical work, so the member is not avoided for it.
+fn choice_feedback(refusal: Refusal, load: Load) -> Sent {
     match refusal.reason {
         Reason::Busy if load.capacity == 0 => Sent::Refused(refusal.retry),
         Reason::UpstreamDown | Reason::Draining | Reason::LostAnswer => Sent::Failed,
@@ -234,12 +249,12 @@
 impl Candidates {
     /// Finds the members whose upstream serves the workspace.
     fn find(view: &View, plan: &Plan) -> Self {
-        let place = view.me.and_then(|me| view.state.member(me)).map(|me| &me.data_centre);
+        let data_centre = view.me.and_then(|me| view.state.member(me)).map(|me| &me.data_centre);
         let (mut all, mut near) = (Vec::new(), Vec::new());
         let members = view.state.members_of(&plan.route.workspace);
         for member in members.filter(|member| member.alive()) {
             all.push(member.id);
-            if Some(&member.data_centre) == place {
+            if Some(&member.data_centre) == data_centre {
                 near.push(member.id);
             }
         }
@@ -247,8 +262,8 @@
         Self { all, own, near }
     }
 
-    /// Leaves out of those that are near what was taken out of all.
-    fn keep_open(&mut self) {
+    /// Removes from `near` and `own` the members that were removed from `all`.
+    fn sync_near(&mut self) {
         self.near.retain(|id| self.all.contains(id));
         self.own = self.own.filter(|own| self.near.contains(own));
     }
--- a/acaciaringd/src/router/budgets.rs
+++ b/acaciaringd/src/router/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets of retries, one for each class of each service.
+//! Retry budgets by service and class.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,36 +8,36 @@
 use acaciaring_core::{Name, Time};
 use parking_lot::Mutex;
 
-/// Retries of one service that all members together may make, beyond the share of first tries.
+/// Retries of one service that all members may make together, beyond those earned by first tries.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct CommonBudget {
+pub(crate) struct ClusterBudget {
     /// Retries in each window.
     pub(crate) burst: f64,
     pub(crate) window: Duration,
 }
 
-/// Budgets of one entry.
+/// Retry budgets of this process.
 ///
-/// With one for all, an overload of one class would use up the retries that the others need.
+/// Each class has its own, so that an overload of one cannot use up the retries of the others.
 #[derive(Debug)]
-pub(crate) struct Budgets {
+pub(crate) struct RetryBudgets {
     settings: RetrySettings,
-    common: CommonBudget,
+    cluster: ClusterBudget,
     buckets: Mutex<HashMap<(Name, Name), RetryBudget>>,
 }
 
-impl Budgets {
-    /// Makes budgets that are full.
-    pub(crate) fn new(settings: RetrySettings, common: CommonBudget) -> Self {
-        Self { settings, common, buckets: Mutex::default() }
+impl RetryBudgets {
+    /// Creates the budgets, initially full.
+    pub(crate) fn new(settings: RetrySettings, cluster: ClusterBudget) -> Self {
+        Self { settings, cluster, buckets: Mutex::default() }
     }
 
-    /// Notes the first try of a request of a class.
+    /// Records the first try of a request, which earns a part of a retry.
     pub(super) fn first_try(&self, now: Time, workspace: &Name, class: &Name) {
-        self.with(now, workspace, class, |budget| budget.first_try(now));
+        self.with_budget(now, workspace, class, |budget| budget.first_try(now));
     }
 
-    /// Decides what to do after a failed try of a request of a class, as one of so many members.
+    /// Decides what follows a failed try, in a cluster of `members`.
     pub(super) fn next(
         &self,
         now: Time,
@@ -46,33 +46,33 @@
         class: &Name,
         failure: &Failure,
     ) -> RetryDecision {
-        let part = self.common.burst / self.sharers(members, workspace);
-        self.with(now, workspace, class, |budget| {
-            budget.bound(part, self.common.window, &self.settings);
+        let part = self.cluster.burst / self.bucket_count(members, workspace);
+        self.with_budget(now, workspace, class, |budget| {
+            budget.bound(part, self.cluster.window, &self.settings);
             budget.next(now, &mut rand::rng(), failure)
         })
     }
 
-    /// Returns how many buckets the common budget of a service is divided among.
+    /// Returns the number of buckets among which the cluster budget of a service is divided.
     #[expect(clippy::cast_precision_loss, reason = "a few thousand at most")]
-    fn sharers(&self, members: usize, workspace: &Name) -> f64 {
+    fn bucket_count(&self, members: usize, workspace: &Name) -> f64 {
         let buckets = self.buckets.lock();
         let classes = buckets.keys().filter(|(name, _)| name == workspace).count();
         (members.max(1) * classes.max(1)) as f64
     }
 
-    fn with<T>(
+    fn with_budget<T>(
         &self,
         now: Time,
         workspace: &Name,
         class: &Name,
-        act: impl FnOnce(&mut RetryBudget) -> T,
+        update: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let name = (Arc::clone(workspace), Arc::clone(class));
         let mut buckets = self.buckets.lock();
         let budget =
             buckets.entry(name).or_insert_with(|| RetryBudget::new(now, self.settings.clone()));
-        act(budget)
+        update(budget)
     }
 }
 
--- a/acaciaringd/src/router/shares/tests.rs
+++ b/acaciaringd/src/router/traffic_splits/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of routes that are shared out.
+//! Tests of the weighted split of routes.
 
 use std::collections::BTreeMap;
 
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn each_short_span_of_requests_is_shared_out_by_weight() {
+fn each_short_run_of_requests_is_split_by_weight() {
     let parts = vec![(90, route("books", Vec::new())), (10, route("lab", Vec::new()))];
     let whole = route("books", parts);
-    let shares = Shares::default();
+    let splits = TrafficSplits::default();
     for _ in 0..5 {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for _ in 0..20 {
-            *counts.entry(shares.pick(Arc::clone(&whole)).workspace.to_string()).or_default() += 1;
+            *counts.entry(splits.pick(Arc::clone(&whole)).workspace.to_string()).or_default() += 1;
         }
         assert_eq!(counts, BTreeMap::from([("books".into(), 18), ("lab".into(), 2)]));
     }
@@ -37,5 +37,5 @@
 #[test]
 fn a_route_without_parts_is_itself() {
     let whole = route("books", Vec::new());
-    assert_eq!(Shares::default().pick(Arc::clone(&whole)), whole);
+    assert_eq!(TrafficSplits::default().pick(Arc::clone(&whole)), whole);
 }
