--- a/acaciaring/src/check.rs
+++ b/acaciaring/src/check.rs
@@ -80,7 +80,7 @@
         let Some(template) = template_of(sources, source) else { continue };
         match build(&template.document, &source.document) {
             Ok(route) => {
-                let clash = routes.iter().find(|other| other.clashes(&route));
+                let clash = routes.iter().find(|other| other.conflicts_with(&route));
                 let message =
                     clash.map(|clash| format!("answers the same requests as {}", clash.workspace));
                 faults.extend(message.map(|message| fault(source, "name", message)));
--- a/acaciaring_core/src/balance/keys.rs
+++ b/acaciaring_core/src/balance/keys.rs
@@ -55,8 +55,8 @@
 
 /// Returns the keys to split out: hot ones that make up most of their slot, at a member that is hot.
 fn splits(now: Time, view: &View<'_>, settings: &BalanceSettings, survey: &Survey) -> Vec<UnitId> {
-    // The slots of a founded service are so small that a hot key moves with its slot.
-    if !survey.hot(settings) || survey.per_rate <= 0.0 || view.service.founded {
+    // The slots of a numeric service are so small that a hot key moves with its slot.
+    if !survey.hot(settings) || survey.per_rate <= 0.0 || view.service.numeric {
         return Vec::new();
     }
     let least = settings.split_least * survey.mean / survey.per_rate;
--- a/acaciaring_core/src/balance/moves.rs
+++ b/acaciaring_core/src/balance/moves.rs
@@ -91,12 +91,12 @@
         let mut chosen = Vec::new();
         let slots = self.survey.owned.div_ceil(self.survey.own.len().max(1)).max(1);
         for (member, quota) in shares::fills(self.view, settings, self.survey) {
-            let quota = if self.view.service.founded { quota / slots } else { quota };
+            let quota = if self.view.service.numeric { quota / slots } else { quota };
             let typical = self.survey.mean / self.survey.fair;
             let mut units: Vec<_> = free.iter().filter(|own| own.standby == member).collect();
             let distance = |own: &OwnUnit| (self.load_at(member, own.rate) - typical).abs();
             let service = self.view.service;
-            if service.founded {
+            if service.numeric {
                 let members = self.view.members.len();
                 units.sort_by_key(|own| (service.block(own.unit.slot, members), own.unit));
             } else {
--- a/acaciaring_core/src/balance/survey.rs
+++ b/acaciaring_core/src/balance/survey.rs
@@ -115,7 +115,7 @@
         }
     }
     let owned = own.len();
-    let own = if view.service.founded { join_blocks(view, &own) } else { own };
+    let own = if view.service.numeric { join_blocks(view, &own) } else { own };
     (index.into_iter().collect(), own, owned)
 }
 
--- a/acaciaring_core/src/rights.rs
+++ b/acaciaring_core/src/rights.rs
@@ -249,7 +249,7 @@
         expired: impl Fn(MemberId) -> bool,
     ) -> bool {
         let free = |other| self.free_of(key, me, assignment, other, &expired);
-        self.served.contains(key) || (free(assignment.prior) && free(assignment.rival))
+        self.served.contains(key) || (free(assignment.prior) && free(assignment.prior_standby))
     }
 
     fn standby_ready(
@@ -264,11 +264,11 @@
         // Once it has taken over, a standby goes on over changes of version: the
         // owner is lost or bound by its release while the standby is the same.
         // After a switchover back the standby itself is `prior` and must stop, and it is
-        // `rival` once the owner's next process is in the owner's place.
-        let stops = [assignment.prior, assignment.rival].contains(&Some(me));
+        // `prior_standby` once the owner's next process is in the owner's place.
+        let stops = [assignment.prior, assignment.prior_standby].contains(&Some(me));
         let goes_on = self.served.contains(key) && !stops;
         let free = |other| self.free_of(key, me, assignment, other, &expired);
-        let former = free(assignment.prior) && free(assignment.rival);
+        let former = free(assignment.prior) && free(assignment.prior_standby);
         let taken = free(assignment.owner) && former;
         !renounced && assignment.owner.is_some() && (goes_on || taken)
     }
--- a/acaciaring_core/src/route/build.rs
+++ b/acaciaring_core/src/route/build.rs
@@ -81,7 +81,7 @@
         classes,
         weights,
         body,
-        parts: Vec::new(),
+        weighted_routes: Vec::new(),
     })
 }
 
@@ -155,7 +155,7 @@
         deadline: deadline?,
         target: None,
         tries: 0,
-        single: false,
+        single_use: false,
     })
 }
 
--- a/acaciaring_core/src/route/lookup.rs
+++ b/acaciaring_core/src/route/lookup.rs
@@ -6,7 +6,7 @@
 use super::path::{decode, is_regular, path_of, query_of, segments, strip_prefix};
 use super::{Class, Division, KeySource, Route};
 use crate::id::{KeyHash, Name};
-use crate::state::NUMBERS;
+use crate::state::NUMERIC_KEYS;
 
 /// Routes of one host name by their prefix.
 type Prefixes = HashMap<Name, Arc<Route>>;
@@ -109,7 +109,7 @@
 
     /// Returns true when this route and another would answer the same requests.
     #[must_use]
-    pub fn clashes(&self, other: &Self) -> bool {
+    pub fn conflicts_with(&self, other: &Self) -> bool {
         let same = self.host == other.host && self.prefix == other.prefix;
         same && self.workspace != other.workspace
     }
@@ -148,7 +148,7 @@
 ) -> Option<KeyHash> {
     let text = String::from_utf8(header_key(headers, name)?).ok()?;
     let number: u32 = text.parse().ok()?;
-    (number < NUMBERS).then(|| KeyHash(number.into()))
+    (number < NUMERIC_KEYS).then(|| KeyHash(number.into()))
 }
 
 fn query_key(target: &str, name: &str) -> Option<Vec<u8>> {
--- a/acaciaring_core/src/route/mod.rs
+++ b/acaciaring_core/src/route/mod.rs
@@ -44,7 +44,7 @@
     Header(Name),
     /// Query parameter.
     Query(Name),
-    /// Header, in lower case, whose value is the key's number below [`NUMBERS`](crate::state::NUMBERS).
+    /// Header, in lower case, whose value is the key's number below [`NUMERIC_KEYS`](crate::state::NUMERIC_KEYS).
     Number(Name),
 }
 
@@ -90,7 +90,7 @@
     /// Upstreams to which one request may be sent at most; 0 leaves it to the settings.
     pub tries: u32,
     /// True when a request's identity is never used again, so that nobody need remember it.
-    pub single: bool,
+    pub single_use: bool,
 }
 
 /// A tenant's weights for moving units.
@@ -122,7 +122,7 @@
     /// Largest body in bytes.
     pub body: u64,
     /// Where the route is shared out: each part's weight, and the route by which it is served.
-    pub parts: Vec<(u32, Arc<Route>)>,
+    pub weighted_routes: Vec<(u32, Arc<Route>)>,
 }
 
 impl Class {
--- a/acaciaring_core/src/state/assignment.rs
+++ b/acaciaring_core/src/state/assignment.rs
@@ -18,7 +18,7 @@
     ///
     /// It may have taken over before it read that the owner is there again, so the owner waits for
     /// its release as for that of `prior`.
-    pub rival: Option<MemberId>,
+    pub prior_standby: Option<MemberId>,
     /// Offset of the record that last changed this assignment.
     pub version: Offset,
     /// Offset of the record that last changed the owner.
@@ -44,14 +44,14 @@
     /// Hot keys, each with its own assignment.
     pub hot: BTreeMap<KeyHash, HotKey>,
     /// True when an assignment made the service: its keys are numbers, and each slot has a range of them.
-    pub founded: bool,
+    pub numeric: bool,
 }
 
-/// Blocks of slots for each member of a founded service, up to twice as many.
+/// Blocks of slots for each member of a numeric service, up to twice as many.
 const BLOCKS_EACH: u32 = 32;
 
-/// Count of the numbers that are keys of a founded service.
-pub const NUMBERS: u32 = 1 << 16;
+/// Count of the numbers that are keys of a numeric service.
+pub const NUMERIC_KEYS: u32 = 1 << 16;
 
 impl Service {
     /// Returns the unit that covers a key: the hot key itself or its slot.
@@ -63,20 +63,20 @@
     pub fn unit_of(&self, key: KeyHash) -> UnitId {
         let count = u32::try_from(self.slots.len()).expect("slots are counted by a u32");
         let hot = self.hot.contains_key(&key);
-        let slot = if self.founded { slot_of_number(key, count) } else { key.slot(count) };
+        let slot = if self.numeric { slot_of_number(key, count) } else { key.slot(count) };
         UnitId { slot, key: hot.then_some(key) }
     }
 
-    /// Returns the keys of a unit of a founded service, without the hot keys in its slot; in order.
+    /// Returns the keys of a unit of a numeric service, without the hot keys in its slot; in order.
     #[must_use]
-    pub fn numbers(&self, unit: UnitId) -> Vec<RangeInclusive<u32>> {
+    pub fn key_ranges(&self, unit: UnitId) -> Vec<RangeInclusive<u32>> {
         if let Some(key) = unit.key {
             return u32::try_from(key.0).map(|number| number..=number).into_iter().collect();
         }
         let count = u64::try_from(self.slots.len()).unwrap_or(u64::MAX).max(1);
         let first = |slot: u64| {
-            let first = (slot * u64::from(NUMBERS)).div_ceil(count);
-            u32::try_from(first).unwrap_or(NUMBERS)
+            let first = (slot * u64::from(NUMERIC_KEYS)).div_ceil(count);
+            u32::try_from(first).unwrap_or(NUMERIC_KEYS)
         };
         let slot = u64::from(unit.slot);
         let (mut start, end) = (first(slot), first(slot + 1));
@@ -96,14 +96,14 @@
 
     /// Returns the block of neighbouring slots to which a slot belongs, where it has `members`.
     ///
-    /// Slots of a founded service are small, so that a few busy neighbours can be parted. What is
+    /// Slots of a numeric service are small, so that a few busy neighbours can be parted. What is
     /// assigned, taken over or filled goes by blocks, or an upstream would hold so many
     /// separate ranges that its grants fit no message.
     #[must_use]
     pub fn block(&self, slot: Slot, members: usize) -> u32 {
         let slots = u32::try_from(self.slots.len()).unwrap_or(u32::MAX);
         let members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
-        let size = if self.founded { slots / BLOCKS_EACH.saturating_mul(members) } else { 1 };
+        let size = if self.numeric { slots / BLOCKS_EACH.saturating_mul(members) } else { 1 };
         slot / prior_power_of_two(size)
     }
 
@@ -136,8 +136,8 @@
 
 /// Returns the slot of a key that is a number: slots have ranges of the same length.
 fn slot_of_number(key: KeyHash, slots: u32) -> Slot {
-    let number = key.0.min(u64::from(NUMBERS) - 1);
-    let slot = number * u64::from(slots) / u64::from(NUMBERS);
+    let number = key.0.min(u64::from(NUMERIC_KEYS) - 1);
+    let slot = number * u64::from(slots) / u64::from(NUMERIC_KEYS);
     Slot::try_from(slot).unwrap_or(0)
 }
 
--- a/acaciaring_core/src/state/documents.rs
+++ b/acaciaring_core/src/state/documents.rs
@@ -165,7 +165,7 @@
                     workspace: Name::clone(&workspace),
                     slots: vec![Assignment::default(); count],
                     hot: BTreeMap::new(),
-                    founded: false,
+                    numeric: false,
                 };
                 self.services.insert(Name::clone(&workspace), service);
             }
--- a/acaciaring_core/src/state/lessors.rs
+++ b/acaciaring_core/src/state/lessors.rs
@@ -56,12 +56,12 @@
     /// had only foreign lessors to choose from, and would keep them.
     #[must_use]
     pub fn better_lessors(&self, member: &Member) -> Option<Vec<MemberId>> {
-        self.better_lessors_but(member, &[])
+        self.better_lessors_excluding(member, &[])
     }
 
     /// Does the same as [`State::better_lessors`], without lessors of which the member hears nothing.
     #[must_use]
-    pub fn better_lessors_but(
+    pub fn better_lessors_excluding(
         &self,
         member: &Member,
         silent: &[MemberId],
--- a/acaciaring_core/src/state/mod.rs
+++ b/acaciaring_core/src/state/mod.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-pub use self::assignment::{Assignment, HotKey, NUMBERS, Service};
+pub use self::assignment::{Assignment, HotKey, NUMERIC_KEYS, Service};
 use self::counts::Counts;
 pub use self::documents::Published;
 pub use self::lessors::LESSORS_MAX;
@@ -64,7 +64,7 @@
 
     /// Returns true for a member that is known and not dead.
     #[must_use]
-    pub fn lives(&self, id: MemberId) -> bool {
+    pub fn is_present(&self, id: MemberId) -> bool {
         self.member(id).is_some_and(|member| member.phase != Phase::Dead)
     }
 
@@ -91,7 +91,7 @@
 
     /// Returns true for a service that has a route in force, or needs none in the log.
     fn shows(&self, service: &Service) -> bool {
-        service.founded || self.routes.contains_key(&service.workspace)
+        service.numeric || self.routes.contains_key(&service.workspace)
     }
 
     /// Returns a document, also a retired one.
@@ -113,25 +113,25 @@
 
     /// Returns how many units a member owns.
     #[must_use]
-    pub fn owned(&self, member: MemberId) -> usize {
+    pub fn owned_count(&self, member: MemberId) -> usize {
         self.counts.owned(member)
     }
 
     /// Returns for how many units a member stands by.
     #[must_use]
-    pub fn standing_by(&self, member: MemberId) -> usize {
+    pub fn standby_count(&self, member: MemberId) -> usize {
         self.counts.standby(member)
     }
 
     /// Returns how many members that are not dead have this one as lessor.
     #[must_use]
-    pub fn holders(&self, lessor: MemberId) -> usize {
+    pub fn holder_count(&self, lessor: MemberId) -> usize {
         self.counts.holders(lessor)
     }
 
     /// Returns true when a record with this id was folded lately, whatever came of it.
     #[must_use]
-    pub fn remembers(&self, id: &RecordId) -> bool {
+    pub fn is_recent(&self, id: &RecordId) -> bool {
         self.recent.contains(id)
     }
 
--- a/acaciaring_core/src/state/replica.rs
+++ b/acaciaring_core/src/state/replica.rs
@@ -5,7 +5,7 @@
 use snafu::{Snafu, ensure};
 
 use super::fold::Decoded;
-use super::snapshot::{Assembler, SnapshotError, Whole};
+use super::snapshot::{Assembler, CompleteSnapshot, SnapshotError};
 use super::{Outcome, RecordId, State};
 use crate::id::Offset;
 
@@ -24,18 +24,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ReplicaError {
     /// The batch begins after the record that is wanted, which the log still keeps.
-    #[snafu(display("the batch begins at {start}, wanted is {wanted}"))]
+    #[snafu(display("the batch begins at {start}, wanted is {position}"))]
     BatchGap {
         /// Offset that must come next.
-        wanted: Offset,
+        position: Offset,
         /// Offset at which the batch begins.
         start: Offset,
     },
     /// The log ends before records that were read from it.
-    #[snafu(display("the log ends before {next}, wanted is {wanted}"))]
+    #[snafu(display("the log ends before {next}, wanted is {position}"))]
     Regressed {
         /// Offset that must come next.
-        wanted: Offset,
+        position: Offset,
         /// End of the log.
         next: Offset,
     },
@@ -105,7 +105,7 @@
 
     /// Returns the offset of the next record to read.
     #[must_use]
-    pub fn wanted(&self) -> Offset {
+    pub fn position(&self) -> Offset {
         match &self.phase {
             Phase::Folding => self.state.next().max(1),
             Phase::Scanning(scan) => scan.next(),
@@ -128,21 +128,21 @@
     /// # Errors
     ///
     /// Fails when the batch does not fit or no snapshot was found; the replica is
-    /// still good, and the next batch is to begin at [`Self::wanted`].
-    pub fn offer(&mut self, batch: &Batch) -> Result<Vec<Folded>, ReplicaError> {
-        let wanted = self.wanted();
-        ensure!(batch.next >= wanted, RegressedSnafu { wanted, next: batch.next });
-        if batch.oldest > wanted {
+    /// still good, and the next batch is to begin at [`Self::position`].
+    pub fn apply_batch(&mut self, batch: &Batch) -> Result<Vec<Folded>, ReplicaError> {
+        let position = self.position();
+        ensure!(batch.next >= position, RegressedSnafu { position, next: batch.next });
+        if batch.oldest > position {
             // Retention overtook this reader, for example after a long pause. Folding
             // on would skip records, so only a snapshot that covers them may follow.
             self.phase = Phase::Scanning(Scan::new(batch.oldest));
         }
-        let wanted = self.wanted();
-        let fits = batch.entries.is_empty() || batch.start <= wanted;
-        ensure!(fits, BatchGapSnafu { wanted, start: batch.start });
+        let position = self.position();
+        let fits = batch.entries.is_empty() || batch.start <= position;
+        ensure!(fits, BatchGapSnafu { position, start: batch.start });
         let mut folded = Vec::new();
         for (offset, entry) in (batch.start..).zip(&batch.entries) {
-            if offset >= wanted {
+            if offset >= position {
                 self.take(offset, entry, &mut folded);
             }
         }
@@ -167,14 +167,14 @@
         }
     }
 
-    fn assemble(&mut self, offset: Offset, body: &Body) -> Option<Whole> {
+    fn assemble(&mut self, offset: Offset, body: &Body) -> Option<CompleteSnapshot> {
         let whole = self.assembler.feed(offset, body)?;
         self.snapshot_next = self.snapshot_next.max(whole.next);
         Some(whole)
     }
 
     /// Goes on from a snapshot if no record is missing after it.
-    fn load(&mut self, whole: &Whole, folded: &mut Vec<Folded>) {
+    fn load(&mut self, whole: &CompleteSnapshot, folded: &mut Vec<Folded>) {
         let Phase::Scanning(scan) = &mut self.phase else { return };
         // What the search began with is later than the state, so such a snapshot is newer.
         let Some(covered) = whole.next.checked_sub(scan.start) else { return };
--- a/acaciaring_core/src/state/snapshot/assembler.rs
+++ b/acaciaring_core/src/state/snapshot/assembler.rs
@@ -37,7 +37,7 @@
 
 /// Snapshot with all chunks and the right digest.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Whole {
+pub struct CompleteSnapshot {
     /// Offset of the first record that the snapshot does not cover.
     pub next: Offset,
     /// Offset of the commit record.
@@ -45,7 +45,7 @@
     bytes: Vec<u8>,
 }
 
-impl Whole {
+impl CompleteSnapshot {
     /// Restores the state.
     ///
     /// # Errors
@@ -62,7 +62,7 @@
 
 impl Assembler {
     /// Takes the record at `offset` and returns the snapshot that it completes.
-    pub fn feed(&mut self, offset: Offset, body: &Body) -> Option<Whole> {
+    pub fn feed(&mut self, offset: Offset, body: &Body) -> Option<CompleteSnapshot> {
         match body {
             Body::Chunk(chunk) => {
                 self.add(offset, chunk);
@@ -95,13 +95,13 @@
         }
     }
 
-    fn complete(&mut self, offset: Offset, commit: &Commit) -> Option<Whole> {
+    fn complete(&mut self, offset: Offset, commit: &Commit) -> Option<CompleteSnapshot> {
         let id: RecordId = commit.snapshot.as_slice().try_into().ok()?;
         let partial = self.partial.remove(&id)?;
         let indices = partial.chunks.keys().copied();
         let whole = indices.eq(0..commit.chunks) && commit.next <= offset;
         let bytes = partial.chunks.into_values().collect::<Vec<_>>().concat();
         let right = commit.digest == digest(&bytes);
-        (whole && right).then_some(Whole { next: commit.next, committed: offset, bytes })
+        (whole && right).then_some(CompleteSnapshot { next: commit.next, committed: offset, bytes })
     }
 }
--- a/acaciaring_core/src/state/snapshot/decode.rs
+++ b/acaciaring_core/src/state/snapshot/decode.rs
@@ -128,13 +128,14 @@
 
     /// Returns true when the members of an assignment may have their roles.
     fn fits(&self, assignment: &Assignment) -> bool {
-        let Assignment { owner, standby, prior, rival, version, token } = *assignment;
+        let Assignment { owner, standby, prior, prior_standby, version, token } = *assignment;
         let present = |id: MemberId| self.present(id.0).is_ok();
         let members = owner.is_none_or(present)
             && prior.is_none_or(present)
-            && rival.is_none_or(present)
+            && prior_standby.is_none_or(present)
             && standby.is_none_or(|standby| self.alive(standby.0).is_ok());
-        let distinct = owner.is_none() || (owner != standby && owner != prior && owner != rival);
+        let distinct =
+            owner.is_none() || (owner != standby && owner != prior && owner != prior_standby);
         let ordered = token <= version && version < self.next.max(1);
         members && distinct && ordered && (owner.is_some() || standby.is_none())
     }
@@ -197,7 +198,7 @@
         workspace: wire.workspace.as_str().into(),
         slots: wire.slots.iter().map(assignment).collect(),
         hot: BTreeMap::new(),
-        founded: wire.founded,
+        numeric: wire.founded,
     };
     let sized = !service.slots.is_empty() && u32::try_from(service.slots.len()).is_ok();
     if !sized || wire.hot.len() > HOT_MAX {
@@ -220,7 +221,7 @@
         owner: MemberId::from_wire(wire.owner),
         standby: MemberId::from_wire(wire.standby),
         prior: MemberId::from_wire(wire.prior),
-        rival: MemberId::from_wire(wire.rival),
+        prior_standby: MemberId::from_wire(wire.rival),
         version: wire.version,
         token: wire.token,
     }
--- a/acaciaring_core/src/state/snapshot/encode.rs
+++ b/acaciaring_core/src/state/snapshot/encode.rs
@@ -92,7 +92,7 @@
         workspace: service.workspace.to_string(),
         slots: service.slots.iter().map(assignment).collect(),
         hot: hot.collect(),
-        founded: service.founded,
+        founded: service.numeric,
     }
 }
 
@@ -101,7 +101,7 @@
         owner: MemberId::to_wire(assignment.owner),
         standby: MemberId::to_wire(assignment.standby),
         prior: MemberId::to_wire(assignment.prior),
-        rival: MemberId::to_wire(assignment.rival),
+        rival: MemberId::to_wire(assignment.prior_standby),
         version: assignment.version,
         token: assignment.token,
     }
--- a/acaciaring_core/src/state/snapshot/mod.rs
+++ b/acaciaring_core/src/state/snapshot/mod.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-pub use self::assembler::{Assembler, Whole};
+pub use self::assembler::{Assembler, CompleteSnapshot};
 pub use self::chunk::{CHUNK_SIZE, chunk};
 pub use self::decode::SnapshotError;
 use crate::id::Offset;
--- a/acaciaring_core/src/state/succession.rs
+++ b/acaciaring_core/src/state/succession.rs
@@ -21,7 +21,7 @@
         for service in self.services.values_mut() {
             let mut picker = Picker::new(&mut self.counts, &self.members, &service.workspace);
             let touched = |place: &Assignment| {
-                [place.owner, place.standby, place.prior, place.rival].contains(&Some(lost))
+                [place.owner, place.standby, place.prior, place.prior_standby].contains(&Some(lost))
             };
             let blocks = blocks(service, picker.members());
             for (place, block) in assignments(service).zip(blocks).filter(|(p, _)| touched(p)) {
@@ -46,8 +46,8 @@
     pub(super) fn replace(&mut self, offset: Offset, former: MemberId, later: MemberId) {
         for service in self.services.values_mut() {
             for place in assignments(service) {
-                let Assignment { owner, standby, prior, rival, token, .. } = *place;
-                if ![owner, standby, prior, rival].contains(&Some(former)) {
+                let Assignment { owner, standby, prior, prior_standby, token, .. } = *place;
+                if ![owner, standby, prior, prior_standby].contains(&Some(former)) {
                     continue;
                 }
                 let swap = |id: Option<MemberId>| if id == Some(former) { Some(later) } else { id };
@@ -56,7 +56,11 @@
                     owner: swap(owner),
                     standby: swap(standby),
                     prior: swap(prior),
-                    rival: if owned { standby.or(rival) } else { swap(rival) },
+                    prior_standby: if owned {
+                        standby.or(prior_standby)
+                    } else {
+                        swap(prior_standby)
+                    },
                     version: offset,
                     token: if owned { offset } else { token },
                 };
@@ -91,7 +95,7 @@
 /// Returns the block of each assignment in the order of [`assignments`], none where each stands alone.
 pub(super) fn blocks(service: &Service, members: usize) -> Vec<Option<u32>> {
     let slots = (0..).zip(&service.slots);
-    let block = |slot| service.founded.then(|| service.block(slot, members));
+    let block = |slot| service.numeric.then(|| service.block(slot, members));
     let slots = slots.map(|(slot, _)| block(slot));
     slots.chain(service.hot.iter().map(|_| None)).collect()
 }
@@ -101,19 +105,19 @@
 /// A missing standby is to be picked; version and token are to be set.
 fn successor(place: &Assignment, lost: MemberId, departure: Departure) -> Option<Assignment> {
     let lost = Some(lost);
-    let Assignment { owner, standby, prior, rival, .. } = *place;
+    let Assignment { owner, standby, prior, prior_standby, .. } = *place;
     let dies = departure == Departure::Dies;
     let prior = if dies && prior == lost { None } else { prior };
-    let rival = if dies && rival == lost { None } else { rival };
+    let prior_standby = if dies && prior_standby == lost { None } else { prior_standby };
     if owner == lost && (dies || standby.is_some()) {
         // A former owner that becomes the owner again has nobody to wait for.
         let prior = if dies { prior.filter(|prior| Some(*prior) != standby) } else { lost };
-        let rival = rival.filter(|rival| Some(*rival) != standby);
-        return Some(Assignment { owner: standby, standby: None, prior, rival, ..*place });
+        let prior_standby = prior_standby.filter(|prior_standby| Some(*prior_standby) != standby);
+        return Some(Assignment { owner: standby, standby: None, prior, prior_standby, ..*place });
     }
     if standby == lost {
-        return Some(Assignment { standby: None, prior, rival, ..*place });
+        return Some(Assignment { standby: None, prior, prior_standby, ..*place });
     }
-    let changed = prior != place.prior || rival != place.rival;
-    changed.then_some(Assignment { prior, rival, ..*place })
+    let changed = prior != place.prior || prior_standby != place.prior_standby;
+    changed.then_some(Assignment { prior, prior_standby, ..*place })
 }
--- a/acaciaring_core/src/state/units.rs
+++ b/acaciaring_core/src/state/units.rs
@@ -6,7 +6,7 @@
 
 use super::standby::Picker;
 use super::succession::{assignments, blocks};
-use super::{Assignment, HotKey, Member, NUMBERS, Rejection, Service, State};
+use super::{Assignment, HotKey, Member, NUMERIC_KEYS, Rejection, Service, State};
 use crate::id::{KeyHash, MemberId, Name, Offset, UnitId};
 
 /// Most hot keys of one service.
@@ -46,7 +46,7 @@
                 owner: Some(owner),
                 standby: picker.pick_in(owner, block),
                 prior: place.prior.filter(|prior| *prior != owner),
-                rival: place.rival.filter(|rival| *rival != owner),
+                prior_standby: place.prior_standby.filter(|prior_standby| *prior_standby != owner),
                 version: offset,
                 token: offset,
             };
@@ -66,14 +66,14 @@
         }
         let count = usize::try_from(slots).unwrap_or(usize::MAX);
         let candidate = self.members_of(workspace).any(|member| !member.lessors.is_empty());
-        if workspace.is_empty() || slots > NUMBERS || !candidate {
+        if workspace.is_empty() || slots > NUMERIC_KEYS || !candidate {
             return Err(Rejection::NoCandidate);
         }
         let service = Service {
             workspace: Name::from(workspace),
             slots: vec![Assignment::default(); count],
             hot: BTreeMap::new(),
-            founded: true,
+            numeric: true,
         };
         self.services.insert(Name::clone(&service.workspace), service);
         Ok(())
@@ -99,7 +99,7 @@
             standby: Some(owner),
             prior: Some(owner),
             // Only what is served may be passed on, so it had released.
-            rival: None,
+            prior_standby: None,
             version: offset,
             token: offset,
         });
@@ -186,7 +186,7 @@
         for (key, slot, hot) in merged {
             let joined = |a: Assignment| Assignment {
                 prior: a.prior.or(hot.prior),
-                rival: a.rival.or(hot.rival),
+                prior_standby: a.prior_standby.or(hot.prior_standby),
                 version: offset,
                 ..a
             };
@@ -279,6 +279,6 @@
     let fits = |one: Option<MemberId>, other: Option<MemberId>| {
         one.is_none() || other.is_none() || one == other
     };
-    let former = fits(slot.prior, hot.prior) && fits(slot.rival, hot.rival);
+    let former = fits(slot.prior, hot.prior) && fits(slot.prior_standby, hot.prior_standby);
     slot.owner == hot.owner && slot.standby == hot.standby && former
 }
--- a/acaciaring_core/tests/fold/documents.rs
+++ b/acaciaring_core/tests/fold/documents.rs
@@ -36,13 +36,13 @@
     let version = log.applied(parameters(CONTRACTS, "orders", 8, log.state.next() - 1));
     assert_eq!(log.entry(entry), Outcome::Duplicate);
     assert_eq!(log.state.document(Parameters, CONTRACTS).expect("published").version, version);
-    assert!(log.state.remembers(&[7; 16]));
+    assert!(log.state.is_recent(&[7; 16]));
     assert_eq!(log.state.skipped(), 1);
     // The memory for ids is bounded.
     for _ in 0..RECENT_MAX {
         log.append(template(1));
     }
-    assert!(!log.state.remembers(&[7; 16]));
+    assert!(!log.state.is_recent(&[7; 16]));
     assert_eq!(log.state.to_snapshot().recent.len(), RECENT_MAX);
 }
 
--- a/acaciaring_core/tests/fold/members.rs
+++ b/acaciaring_core/tests/fold/members.rs
@@ -39,7 +39,7 @@
     // The only member of its region takes lessors from the other one.
     let set = &log.state.member(foreign).expect("known").lessors;
     assert_eq!(centres(&log, set).len(), 3);
-    let holders: Vec<_> = members.iter().map(|member| log.state.holders(member.id)).collect();
+    let holders: Vec<_> = members.iter().map(|member| log.state.holder_count(member.id)).collect();
     assert!(holders.iter().all(|count| *count <= 6), "uneven: {holders:?}");
 }
 
@@ -76,7 +76,7 @@
     let newcomer = log.join(4);
     let member = log.state.member(newcomer).expect("known").clone();
     let silent = member.lessors[..2].to_vec();
-    let better = log.state.better_lessors_but(&member, &silent).expect("others are there");
+    let better = log.state.better_lessors_excluding(&member, &silent).expect("others are there");
     assert_eq!(better.len(), 3);
     assert!(better.contains(&member.lessors[2]), "the one that answers stays");
     assert!(silent.iter().all(|id| !better.contains(id)));
@@ -231,7 +231,7 @@
 fn phases_only_move_forward() {
     let mut log = Log::with_service(5, 10);
     let ids: Vec<_> = log.state.members().map(|member| member.id).collect();
-    let count = log.state.owned(ids[0]);
+    let count = log.state.owned_count(ids[0]);
     let detach = Body::Detach(Detach { member: ids[0].0 });
     assert_eq!(log.rejected(detach), Rejection::Owns { count });
     let workspace = "other".to_owned();
--- a/acaciaring_core/tests/fold/properties.rs
+++ b/acaciaring_core/tests/fold/properties.rs
@@ -183,11 +183,11 @@
         let (log, _) = build(&steps);
         let mut replica = Replica::default();
         for size in sizes.iter().cycle() {
-            if replica.wanted() == log.next() {
+            if replica.position() == log.next() {
                 break;
             }
-            let start = replica.wanted().saturating_sub(2).max(1);
-            replica.offer(&log.batch(1, start, size + 2)).expect("batches in order");
+            let start = replica.position().saturating_sub(2).max(1);
+            replica.apply_batch(&log.batch(1, start, size + 2)).expect("batches in order");
         }
         prop_assert_eq!(replica.state(), &log.state);
     }
--- a/acaciaring_core/tests/fold/replica.rs
+++ b/acaciaring_core/tests/fold/replica.rs
@@ -34,7 +34,7 @@
     log.entry(vec![0xff]);
     log.entry(entry);
     let mut replica = Replica::default();
-    let folded = replica.offer(&log.batch(1, 1, 10)).expect("a batch from the start");
+    let folded = replica.apply_batch(&log.batch(1, 1, 10)).expect("a batch from the start");
     let outcomes: Vec<_> = folded.iter().map(|f| (f.offset, f.id, f.outcome.clone())).collect();
     let expected = [
         (1, Some([7; 16]), Outcome::Applied),
@@ -52,13 +52,13 @@
 fn a_gap_is_refused_and_an_overlap_is_passed_over() {
     let log = Log::with_service(6, 8);
     let mut replica = Replica::default();
-    assert_eq!(replica.offer(&log.batch(1, 1, 4)).map(|folded| folded.len()), Ok(4));
-    let gap = ReplicaError::BatchGap { wanted: 5, start: 6 };
-    assert_eq!(replica.offer(&log.batch(1, 6, 3)), Err(gap));
-    assert_eq!(replica.wanted(), 5);
-    assert_eq!(replica.offer(&log.batch(1, 3, 4)).map(|folded| folded.len()), Ok(2));
-    assert_eq!(replica.offer(&log.batch(1, 1, 3)), Ok(Vec::new()));
-    replica.offer(&log.batch(1, 7, 100)).expect("the rest");
+    assert_eq!(replica.apply_batch(&log.batch(1, 1, 4)).map(|folded| folded.len()), Ok(4));
+    let gap = ReplicaError::BatchGap { position: 5, start: 6 };
+    assert_eq!(replica.apply_batch(&log.batch(1, 6, 3)), Err(gap));
+    assert_eq!(replica.position(), 5);
+    assert_eq!(replica.apply_batch(&log.batch(1, 3, 4)).map(|folded| folded.len()), Ok(2));
+    assert_eq!(replica.apply_batch(&log.batch(1, 1, 3)), Ok(Vec::new()));
+    replica.apply_batch(&log.batch(1, 7, 100)).expect("the rest");
     assert_eq!(replica.state(), &log.state);
     let mut state = log.state.clone();
     let expected = log.next();
@@ -66,8 +66,8 @@
     assert_eq!(state.fold(expected - 1, &log.entries[0]), Outcome::Gap { expected });
     assert_eq!(state, log.state);
     let shorter = Log { entries: log.entries[..5].to_vec(), ..Log::default() };
-    let regressed = ReplicaError::Regressed { wanted: expected, next: 6 };
-    assert_eq!(replica.offer(&shorter.batch(1, 6, 10)), Err(regressed));
+    let regressed = ReplicaError::Regressed { position: expected, next: 6 };
+    assert_eq!(replica.apply_batch(&shorter.batch(1, 6, 10)), Err(regressed));
 }
 
 /// A process starts when the log has dropped its oldest records. It reads from
@@ -86,9 +86,9 @@
     for size in [1, 2, 3, 100] {
         let mut replica = Replica::default();
         let mut folded = 0;
-        while replica.wanted() < log.next() {
-            let start = replica.wanted().max(oldest);
-            folded += replica.offer(&log.batch(oldest, start, size)).expect("in order").len();
+        while replica.position() < log.next() {
+            let start = replica.position().max(oldest);
+            folded += replica.apply_batch(&log.batch(oldest, start, size)).expect("in order").len();
             assert!(replica.folding() || replica.state().next() == 0);
         }
         assert_eq!(replica.state(), &log.state);
@@ -114,24 +114,24 @@
     };
     // The record that retires it is kept: it is folded after the snapshot.
     let mut replica = Replica::default();
-    replica.offer(&log.batch(retired, retired, 100)).expect("a usable snapshot");
+    replica.apply_batch(&log.batch(retired, retired, 100)).expect("a usable snapshot");
     assert!(gone(&replica));
     // It is not kept any more: the snapshot is of no use to a newcomer.
     let mut replica = Replica::default();
     let lost = ReplicaError::HistoryLost { oldest: first_chunk, problem: None };
-    assert_eq!(replica.offer(&log.batch(first_chunk, first_chunk, 100)), Err(lost));
+    assert_eq!(replica.apply_batch(&log.batch(first_chunk, first_chunk, 100)), Err(lost));
     assert_eq!(replica.state().next(), 0);
     // A reader that knows it as retired was overtaken: it waits for a newer snapshot.
     let mut replica = Replica::default();
-    replica.offer(&reader.batch(1, 1, 100)).expect("the log so far");
+    replica.apply_batch(&reader.batch(1, 1, 100)).expect("the log so far");
     let oldest = first_chunk + 1;
     let batch = log.batch(oldest, oldest, 100);
-    assert!(matches!(replica.offer(&batch), Err(ReplicaError::HistoryLost { .. })));
+    assert!(matches!(replica.apply_batch(&batch), Err(ReplicaError::HistoryLost { .. })));
     assert!(gone(&replica) && !replica.folding());
     let newer = copy(&log);
     let start = snapshot(&mut log, &newer, 2);
     log.join(1);
-    replica.offer(&log.batch(oldest, start, 100)).expect("a newer snapshot");
+    replica.apply_batch(&log.batch(oldest, start, 100)).expect("a newer snapshot");
     assert!(gone(&replica) && replica.folding());
     assert_eq!(replica.state(), &log.state);
 }
@@ -143,27 +143,27 @@
 fn retention_overtakes_a_reader() {
     let mut log = Log::with_service(6, 8);
     let mut replica = Replica::default();
-    replica.offer(&log.batch(1, 1, 5)).expect("the first records");
+    replica.apply_batch(&log.batch(1, 1, 5)).expect("the first records");
     let before = replica.state().clone();
     let oldest = log.next();
     log.join(0);
     let batch = log.batch(oldest, oldest, 100);
     let lost = ReplicaError::HistoryLost { oldest, problem: None };
-    assert_eq!(replica.offer(&batch), Err(lost));
+    assert_eq!(replica.apply_batch(&batch), Err(lost));
     assert_eq!(replica.state(), &before);
     // Retention overtakes the search too; what was kept before is no use then.
     let newer = copy(&log);
     log.join(1);
     let oldest = log.next();
     let start = snapshot(&mut log, &newer, 1);
-    assert!(replica.offer(&log.batch(oldest, start, 100)).is_err());
+    assert!(replica.apply_batch(&log.batch(oldest, start, 100)).is_err());
     let newer = copy(&log);
     let start = snapshot(&mut log, &newer, 2);
-    assert_eq!(replica.wanted(), start);
-    replica.offer(&log.batch(oldest, start, 100)).expect("a newer snapshot");
+    assert_eq!(replica.position(), start);
+    replica.apply_batch(&log.batch(oldest, start, 100)).expect("a newer snapshot");
     assert_eq!(replica.state(), &log.state);
     // All that it has read may go: nothing is missing.
     let empty = log.batch(log.next(), log.next(), 0);
-    assert_eq!(replica.offer(&empty), Ok(Vec::new()));
+    assert_eq!(replica.apply_batch(&empty), Ok(Vec::new()));
     assert!(replica.folding());
 }
--- a/acaciaring_core/tests/fold/resume.rs
+++ b/acaciaring_core/tests/fold/resume.rs
@@ -50,7 +50,7 @@
 fn an_assignment_makes_a_service_whose_slots_are_ranges() {
     let (log, members) = service(3, 4096);
     let service = log.state.service(BOOKS).expect("founded");
-    assert_eq!(service.numbers(UnitId::slot(1)), [16..=31]);
+    assert_eq!(service.key_ranges(UnitId::slot(1)), [16..=31]);
     assert_eq!(service.unit_of(KeyHash(31)), UnitId::slot(1));
     assert_eq!(service.unit_of(KeyHash(65_535)), UnitId::slot(4095));
     let counts: Vec<usize> = members.iter().map(|id| owned(&log.state, *id).len()).collect();
@@ -90,7 +90,7 @@
     let later = start(&mut log, "a", "i-a");
     assert_eq!(owned(&log.state, later), before);
     let new = log.state.service(BOOKS).expect("founded").slots[slot];
-    assert_eq!((new.standby, new.rival, new.prior), (old.standby, old.standby, None));
+    assert_eq!((new.standby, new.prior_standby, new.prior), (old.standby, old.standby, None));
     assert!(new.token > old.token);
     assert_eq!(log.state.member(members[0]).map(|member| member.phase), Some(Phase::Dead));
     let snapshot = log.state.to_snapshot();
@@ -159,5 +159,5 @@
     let units = vec![acaciaring_schema::log::Unit { slot, key: None, version }];
     log.applied(Body::Switchover(Switchover { member: later.0, workspace: BOOKS.into(), units }));
     let after = log.state.service(BOOKS).expect("founded").slots[index];
-    assert_eq!((after.rival, after.prior), (None, Some(later)));
+    assert_eq!((after.prior_standby, after.prior), (None, Some(later)));
 }
--- a/acaciaring_core/tests/fold/snapshots.rs
+++ b/acaciaring_core/tests/fold/snapshots.rs
@@ -1,7 +1,9 @@
 //! Snapshots: what they hold, what is refused, how they are put together.
 
 use acaciaring_core::state::State;
-use acaciaring_core::state::snapshot::{Assembler, SnapshotError, Whole, aged, chunk, due};
+use acaciaring_core::state::snapshot::{
+    Assembler, CompleteSnapshot, SnapshotError, aged, chunk, due,
+};
 use acaciaring_core::{KeyHash, Time};
 use acaciaring_schema::log::record::Body;
 use acaciaring_schema::log::{Leave, Record, Split, Unit};
@@ -26,7 +28,7 @@
     log
 }
 
-fn feed(assembler: &mut Assembler, log: &mut Log, record: &Record) -> Option<Whole> {
+fn feed(assembler: &mut Assembler, log: &mut Log, record: &Record) -> Option<CompleteSnapshot> {
     let body = record.body.clone().expect("a body");
     log.applied(body.clone());
     assembler.feed(log.state.next() - 1, &body)
@@ -90,7 +92,7 @@
         whole.extend(feed(&mut assembler, &mut log, record));
     }
     whole.sort_by_key(|whole| whole.next);
-    let states: Vec<_> = whole.iter().map(Whole::state).collect();
+    let states: Vec<_> = whole.iter().map(CompleteSnapshot::state).collect();
     assert_eq!(states, [Ok(state), Ok(later)]);
 }
 
--- a/acaciaring_core/tests/fold/units.rs
+++ b/acaciaring_core/tests/fold/units.rs
@@ -57,8 +57,8 @@
 fn slots_are_assigned_evenly_with_standbys_spread_and_far() {
     let mut log = Log::with_service(8, 64);
     for member in log.state.members() {
-        assert_eq!(log.state.owned(member.id), 8);
-        assert!((4..=12).contains(&log.state.standing_by(member.id)));
+        assert_eq!(log.state.owned_count(member.id), 8);
+        assert!((4..=12).contains(&log.state.standby_count(member.id)));
     }
     check_spread(&log);
     let ids: Vec<_> = log.state.members().map(|member| member.id).collect();
@@ -196,7 +196,7 @@
     log.applied(Body::Leave(Leave { member: owner.0, applied: log.state.next() }));
     let now = log.slot(0);
     assert_eq!((now.owner, now.prior), (Some(standby), Some(owner)));
-    assert_eq!((log.state.owned(owner), log.state.standing_by(owner)), (0, 0));
+    assert_eq!((log.state.owned_count(owner), log.state.standby_count(owner)), (0, 0));
     log.applied(Body::Exit(Exit { member: owner.0 }));
     assert!(log.service().slots.iter().all(|a| a.prior.is_none()));
 }
--- a/acaciaring_core/tests/ownership_schedule.rs
+++ b/acaciaring_core/tests/ownership_schedule.rs
@@ -440,7 +440,7 @@
         let Some(me) = self.me(vm) else { return };
         for (unit, assignment) in self.units(vm) {
             let former = assignment.owner != Some(me)
-                && [assignment.prior, assignment.rival].contains(&Some(me));
+                && [assignment.prior, assignment.prior_standby].contains(&Some(me));
             if !former || self.vms[vm].held.contains_key(&unit) {
                 continue;
             }
@@ -538,7 +538,7 @@
         }
         if phase == Some(Phase::Leaving) {
             let owes = self.units(vm).into_iter().any(|(unit, a)| {
-                let former = a.owner != Some(me) && [a.prior, a.rival].contains(&Some(me));
+                let former = a.owner != Some(me) && [a.prior, a.prior_standby].contains(&Some(me));
                 former && !self.released(me, unit, &a)
             });
             if !owes && self.vms[vm].held.is_empty() && !self.pending(vm, Purpose::Exit) {
--- a/acaciaring_core/tests/rights.rs
+++ b/acaciaring_core/tests/rights.rs
@@ -52,7 +52,14 @@
     token: u64,
     version: u64,
 ) -> Assignment {
-    Assignment { owner: Some(owner), standby: Some(standby), prior, rival: None, version, token }
+    Assignment {
+        owner: Some(owner),
+        standby: Some(standby),
+        prior,
+        prior_standby: None,
+        version,
+        token,
+    }
 }
 
 #[test]
@@ -215,7 +222,7 @@
     let before = assignment(P, S, None, 3, 3);
     let mut standby = Process::new(S);
     assert!(standby.serves(&before, &[P]));
-    let after = Assignment { rival: Some(S), ..assignment(T, S, None, 8, 8) };
+    let after = Assignment { prior_standby: Some(S), ..assignment(T, S, None, 8, 8) };
     let mut owner = Process::new(T);
     assert!(!owner.serves(&after, &[]), "the standby may serve");
     assert!(standby.serves(&before, &[P]), "until it reads the record");
@@ -228,7 +235,7 @@
 
 #[test]
 fn owner_in_a_former_place_serves_when_the_standby_is_lost_for_good() {
-    let after = Assignment { rival: Some(S), ..assignment(T, S, None, 8, 8) };
+    let after = Assignment { prior_standby: Some(S), ..assignment(T, S, None, 8, 8) };
     assert!(Process::new(T).serves(&after, &[S]));
 }
 
@@ -241,7 +248,7 @@
     else {
         panic!("the standby serves");
     };
-    let after = Assignment { rival: Some(S), ..assignment(T, S, None, 8, 8) };
+    let after = Assignment { prior_standby: Some(S), ..assignment(T, S, None, 8, 8) };
     let Right::Serve { token, .. } = Process::new(T).right_at(Time::ZERO, &after, &[S]) else {
         panic!("the owner serves");
     };
--- a/acaciaring_core/tests/support/fleet.rs
+++ b/acaciaring_core/tests/support/fleet.rs
@@ -109,7 +109,7 @@
             workspace: "test".into(),
             slots: vec![Assignment::default(); shape.slots as usize],
             hot: BTreeMap::new(),
-            founded: false,
+            numeric: false,
         };
         let mut fleet = Self {
             popularity: popularity.collect(),
@@ -265,7 +265,7 @@
                 owner: Some(owner),
                 standby,
                 prior: None,
-                rival: None,
+                prior_standby: None,
                 version: 1,
                 token: 1,
             };
--- a/acaciaring_model/src/takeover/fold.rs
+++ b/acaciaring_model/src/takeover/fold.rs
@@ -61,7 +61,7 @@
                     owner,
                     standby,
                     prior,
-                    rival: None,
+                    prior_standby: None,
                     version: offset,
                     token: offset,
                 };
--- a/acaciaringd/src/admin.rs
+++ b/acaciaringd/src/admin.rs
@@ -261,8 +261,8 @@
         http: Arc::clone(&member.http),
         workspace: workspace(member),
         lessors: member.lessors.clone(),
-        owned: view.state.owned(member.id) as u64,
-        standing_by: view.state.standing_by(member.id) as u64,
+        owned: view.state.owned_count(member.id) as u64,
+        standing_by: view.state.standby_count(member.id) as u64,
     };
     admin::Members { members: view.state.members().map(entry).collect() }
 }
--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -188,8 +188,8 @@
             self.balance.services.insert(member, service);
         }
         let state = &self.state;
-        self.balance.loads.retain(|id, _| state.lives(*id));
-        self.balance.leaving.retain(|id| state.lives(*id));
+        self.balance.loads.retain(|id, _| state.is_present(*id));
+        self.balance.leaving.retain(|id| state.is_present(*id));
         let loads = &self.balance.loads;
         self.balance.services.retain(|id, _| loads.contains_key(id));
     }
--- a/acaciaringd/src/control/concern.rs
+++ b/acaciaringd/src/control/concern.rs
@@ -19,7 +19,8 @@
 }
 
 fn waiting(assignment: &Assignment, member: MemberId) -> impl Iterator<Item = MemberId> {
-    let holds = [assignment.owner, assignment.prior, assignment.rival].contains(&Some(member));
+    let holds =
+        [assignment.owner, assignment.prior, assignment.prior_standby].contains(&Some(member));
     let both = [assignment.owner, assignment.standby];
     both.into_iter().flatten().filter(move |_| holds)
 }
--- a/acaciaringd/src/control/fold.rs
+++ b/acaciaringd/src/control/fold.rs
@@ -42,7 +42,7 @@
         }
         let state = self.replica.state();
         let members = state.members().filter(|member| member.alive()).count();
-        self.parts.wanted.folded(self.replica.wanted(), batch.next, members);
+        self.parts.wanted.folded(self.replica.position(), batch.next, members);
         // The first member of a new system finds no record; it would wait for one for ever.
         self.progress.caught |= state.next().max(1) >= batch.next;
         if state.next() != before {
@@ -60,15 +60,15 @@
         while let Some(place) = rest.entries.iter().position(|entry| is_assign(entry)) {
             let tail = rest.entries.split_off(place);
             let head = Batch { entries: mem::take(&mut rest.entries), ..rest };
-            folded.extend(self.replica.offer(&head)?);
+            folded.extend(self.replica.apply_batch(&head)?);
             let offset = rest.start + place as u64;
             let assign = Batch { start: offset, entries: tail[..1].to_vec(), ..rest };
             let before = self.fresh_units();
-            folded.extend(self.replica.offer(&assign)?);
+            folded.extend(self.replica.apply_batch(&assign)?);
             self.note_founded(before);
             rest = Batch { start: offset + 1, entries: tail[1..].to_vec(), ..rest };
         }
-        folded.extend(self.replica.offer(&rest)?);
+        folded.extend(self.replica.apply_batch(&rest)?);
         Ok(folded)
     }
 }
--- a/acaciaringd/src/control/handover.rs
+++ b/acaciaringd/src/control/handover.rs
@@ -67,7 +67,7 @@
         for service in self.state.services() {
             for (unit, assignment) in service.units() {
                 let owned = assignment.owner == me;
-                let former = !owned && [assignment.prior, assignment.rival].contains(&me);
+                let former = !owned && [assignment.prior, assignment.prior_standby].contains(&me);
                 let closing = self.closed && assignment.owner == me && assignment.standby.is_some();
                 if former || closing {
                     let place = (Arc::clone(&service.workspace), unit);
@@ -162,10 +162,10 @@
 
     /// Returns what the upstream gave out for the next holder of each unit.
     fn handovers(&self, workspace: &Name, units: &[(UnitId, Offset)]) -> Vec<String> {
-        let Some(service) = self.state.service(workspace).filter(|service| service.founded) else {
+        let Some(service) = self.state.service(workspace).filter(|service| service.numeric) else {
             return Vec::new();
         };
-        let handover = |unit| self.holding.way.handover(&service.numbers(unit)).to_string();
+        let handover = |unit| self.holding.way.handover(&service.key_ranges(unit)).to_string();
         units.iter().map(|(unit, _)| handover(*unit)).collect()
     }
 
--- a/acaciaringd/src/control/holding.rs
+++ b/acaciaringd/src/control/holding.rs
@@ -240,13 +240,13 @@
             let right = identity.right(now, &live, &service.workspace, unit, assignment);
             let Right::Serve { token, .. } = right else { continue };
             let mut handover = None;
-            if !self.holding.way.serves(now, unit, token, || service.numbers(unit)) {
+            if !self.holding.way.serves(now, unit, token, || service.key_ranges(unit)) {
                 debug!(%unit, token = token.0, ?assignment, "unit is granted anew");
                 let place = (Arc::clone(&service.workspace), unit);
                 handover = self.roles.handovers.get(&place).map(Arc::clone);
             }
             let handover = handover.unwrap_or_else(|| Name::from(""));
-            wanted.push(Wanted { unit, token, keys: service.numbers(unit), handover });
+            wanted.push(Wanted { unit, token, keys: service.key_ranges(unit), handover });
         }
         wanted
     }
@@ -258,7 +258,7 @@
         }
         for (workspace, units) in permits.iter_mut() {
             let service = self.state.service(workspace);
-            let keys = |unit| service.map(|service| service.numbers(unit)).unwrap_or_default();
+            let keys = |unit| service.map(|service| service.key_ranges(unit)).unwrap_or_default();
             for (unit, permit) in units.iter_mut() {
                 if let Permit::Serve { token, .. } = *permit
                     && !self.holding.way.serves(now, *unit, token, || keys(*unit))
@@ -271,10 +271,10 @@
 
     /// Returns true while the upstream may still hold a unit.
     pub(super) fn upstream_holds(&self, now: Time, workspace: &Name, unit: UnitId) -> bool {
-        let Some(service) = self.state.service(workspace).filter(|s| s.founded) else {
+        let Some(service) = self.state.service(workspace).filter(|s| s.numeric) else {
             return false;
         };
-        self.holding.way.may_hold(now, unit, &service.numbers(unit))
+        self.holding.way.may_hold(now, unit, &service.key_ranges(unit))
     }
 
     /// Returns true while the upstream may still hold anything.
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -170,7 +170,9 @@
                 if idle(&state, me) {
                     identity.holder.reset(member.version, &member.lessors);
                 } else {
-                    identity.holder.install(member.version, &member.lessors, |id| state.lives(id));
+                    identity
+                        .holder
+                        .install(member.version, &member.lessors, |id| state.is_present(id));
                 }
             } else if member.lessors.contains(&me) {
                 identity.lessor.learn(now, member.id, member.version);
@@ -237,9 +239,11 @@
 
 /// Returns true when the log names a member as owner, standby or prior of nothing.
 pub(super) fn idle(state: &State, member: MemberId) -> bool {
-    if state.owned(member) > 0 || state.standing_by(member) > 0 {
+    if state.owned_count(member) > 0 || state.standby_count(member) > 0 {
         return false;
     }
     let mut units = state.services().flat_map(Service::units);
-    units.all(|(_, assignment)| ![assignment.prior, assignment.rival].contains(&Some(member)))
+    units.all(|(_, assignment)| {
+        ![assignment.prior, assignment.prior_standby].contains(&Some(member))
+    })
 }
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -244,7 +244,7 @@
                 let _ = done.send(());
             }
             // What the log service itself has brought in the meantime is not wanted.
-            Event::Relayed(batch) if batch.next < self.replica.wanted() => {}
+            Event::Relayed(batch) if batch.next < self.replica.position() => {}
             Event::Relayed(batch) => self.batch(now, &batch),
             Event::Datagram(from, datagram) => self.datagram(now, from, datagram),
             Event::Vote(vote) => self.vote(vote),
--- a/acaciaringd/src/control/ordering.rs
+++ b/acaciaringd/src/control/ordering.rs
@@ -37,7 +37,7 @@
         let mut wanted = Vec::with_capacity(units.len());
         for (unit, permit) in units {
             let Permit::Serve { token, .. } = *permit else { continue };
-            let keys = service.numbers(*unit);
+            let keys = service.key_ranges(*unit);
             let place = (Arc::clone(workspace), *unit);
             let handover = self.roles.handovers.get(&place);
             let handover = handover.map_or_else(|| Name::from(""), Arc::clone);
@@ -91,7 +91,7 @@
     pub(super) fn misplaced(&mut self, workspace: &Name, unit: UnitId) {
         info!(%workspace, %unit, "the upstream does not hold what it was given");
         let service = self.state.service(workspace);
-        let keys = service.map(|service| service.numbers(unit)).unwrap_or_default();
+        let keys = service.map(|service| service.key_ranges(unit)).unwrap_or_default();
         self.holding.way.deny(unit, &keys);
         self.dirty = true;
     }
--- a/acaciaringd/src/control/placement.rs
+++ b/acaciaringd/src/control/placement.rs
@@ -108,7 +108,7 @@
         let holds = identity.holder.holds(now);
         let choosy = !holds && idle(&self.state, identity.me);
         let silent = if choosy { identity.holder.silent() } else { Vec::new() };
-        let Some(lessors) = self.state.better_lessors_but(member, &silent) else {
+        let Some(lessors) = self.state.better_lessors_excluding(member, &silent) else {
             return identity.holder.prepare(&[]);
         };
         if holds && !identity.holder.ready(now, &lessors) {
@@ -170,7 +170,7 @@
         let keyed = route.is_some_and(|route| matches!(route.division, Division::Keyed { .. }));
         let mut members = self.state.members_of(&service.workspace);
         vacant
-            && (keyed || service.founded)
+            && (keyed || service.numeric)
             && members.any(|member| member.alive() && !member.lessors.is_empty())
     }
 
--- a/acaciaringd/src/control/publish.rs
+++ b/acaciaringd/src/control/publish.rs
@@ -66,7 +66,7 @@
 
     fn settled_answer(&self, id: &RecordId) -> Option<PublishReply> {
         let known = self.answers.find(id).cloned();
-        known.or_else(|| self.state.remembers(id).then_some(PublishReply::Before))
+        known.or_else(|| self.state.is_recent(id).then_some(PublishReply::Before))
     }
 
     /// Tells the operator, and a repeat, what became of an own publish.
--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -80,8 +80,8 @@
     /// is refused by its lessors. Either way nothing is served: the lease is over.
     fn watch_lease(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
-        let dead = !self.state.lives(identity.me);
-        let alive = |id| self.state.lives(id);
+        let dead = !self.state.is_present(identity.me);
+        let alive = |id| self.state.is_present(id);
         let holder = &identity.holder;
         let lost = holder.refused() || holder.abandoned(now) || holder.orphaned(now, alive);
         if identity.retiring.is_none() && (dead || lost) {
@@ -111,7 +111,7 @@
                 if assignment.standby == Some(identity.me) {
                     // Taken over, and still held: whoever stands by next could serve beside it.
                     let way = &self.holding.way;
-                    if self.holding.reports && way.may_hold(now, unit, &service.numbers(unit)) {
+                    if self.holding.reports && way.may_hold(now, unit, &service.key_ranges(unit)) {
                         return;
                     }
                     renounced.push((Arc::clone(workspace), unit, assignment.version));
--- a/acaciaringd/src/control/roles.rs
+++ b/acaciaringd/src/control/roles.rs
@@ -71,8 +71,8 @@
         let mut seen = HashSet::new();
         for service in state.services() {
             for (unit, assignment) in service.units() {
-                let Assignment { owner, standby, prior, rival, .. } = assignment;
-                if ![owner, standby, prior, rival].contains(&&Some(me)) {
+                let Assignment { owner, standby, prior, prior_standby, .. } = assignment;
+                if ![owner, standby, prior, prior_standby].contains(&&Some(me)) {
                     continue;
                 }
                 let place = (Arc::clone(&service.workspace), unit);
@@ -191,7 +191,9 @@
         Some(Permit::Serve { .. }) => Some(Duty::Server),
         Some(Permit::Wait) if before == Some(Duty::Server) => before,
         _ if assignment.standby == Some(me) => Some(Duty::Standby(assignment.version)),
-        _ if [assignment.owner, assignment.prior, assignment.rival].contains(&Some(me)) => before,
+        _ if [assignment.owner, assignment.prior, assignment.prior_standby].contains(&Some(me)) => {
+            before
+        }
         _ => None,
     }
 }
--- a/acaciaringd/src/gauges.rs
+++ b/acaciaringd/src/gauges.rs
@@ -35,9 +35,9 @@
     let held = clock::now() < shared.lease.get();
     metrics.gauge(Gauge::LeaseHeld, u64::from(held));
     let view = shared.view();
-    let (owned, standby) = view
-        .me
-        .map_or((0, 0), |me| (view.state.owned(me) as u64, view.state.standing_by(me) as u64));
+    let (owned, standby) = view.me.map_or((0, 0), |me| {
+        (view.state.owned_count(me) as u64, view.state.standby_count(me) as u64)
+    });
     metrics.gauge(Gauge::UnitsOwned, owned);
     metrics.gauge(Gauge::UnitsStandby, standby);
     metrics.gauge(Gauge::LogApplied, view.state.next().saturating_sub(1));
--- a/acaciaringd/src/router/keyed.rs
+++ b/acaciaringd/src/router/keyed.rs
@@ -240,7 +240,7 @@
     fn leave(&self, plan: &Plan, search: &mut Search, refusal: Refusal) -> Option<Duration> {
         if plan.class.repeat == Repeat::Once && refusal.verdict == Verdict::Unknown {
             // Nobody remembers a request whose identity is used once: a second try could run it again.
-            return (!plan.class.single).then_some(Duration::ZERO);
+            return (!plan.class.single_use).then_some(Duration::ZERO);
         }
         let now = clock::now();
         let failure = Failure {
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -408,7 +408,7 @@
         body: request.body,
         once: class.repeat == acaciaring_core::route::Repeat::Once,
         rank: wire::rank_number(class.rank),
-        single: class.single,
+        single: class.single_use,
         trace: request.trace.to_string(),
         ..Request::default()
     }
--- a/acaciaringd/src/router/shares.rs
+++ b/acaciaringd/src/router/shares.rs
@@ -21,23 +21,23 @@
 impl Shares {
     /// Returns the part of a route that serves its next request, or the route itself.
     pub(crate) fn pick(&self, route: Arc<Route>) -> Arc<Route> {
-        if route.parts.is_empty() {
+        if route.weighted_routes.is_empty() {
             return route;
         }
-        let weights: Vec<u32> = route.parts.iter().map(|(weight, _)| *weight).collect();
+        let weights: Vec<u32> = route.weighted_routes.iter().map(|(weight, _)| *weight).collect();
         let total: i64 = weights.iter().copied().map(i64::from).sum();
         let place = (route.host.clone(), Arc::clone(&route.prefix), weights);
         let mut owed = self.owed.lock();
         if owed.len() > MOST {
             owed.clear();
         }
-        let owed = owed.entry(place).or_insert_with(|| vec![0; route.parts.len()]);
-        for (owed, (weight, _)) in owed.iter_mut().zip(&route.parts) {
+        let owed = owed.entry(place).or_insert_with(|| vec![0; route.weighted_routes.len()]);
+        for (owed, (weight, _)) in owed.iter_mut().zip(&route.weighted_routes) {
             *owed += i64::from(*weight);
         }
         let most = (0..owed.len()).max_by_key(|index| owed[*index]).unwrap_or(0);
         owed[most] -= total;
-        Arc::clone(&route.parts[most].1)
+        Arc::clone(&route.weighted_routes[most].1)
     }
 }
 
--- a/acaciaringd/src/router/shares/tests.rs
+++ b/acaciaringd/src/router/shares/tests.rs
@@ -6,7 +6,7 @@
 
 use super::*;
 
-fn route(workspace: &str, parts: Vec<(u32, Arc<Route>)>) -> Arc<Route> {
+fn route(workspace: &str, weighted_routes: Vec<(u32, Arc<Route>)>) -> Arc<Route> {
     Arc::new(Route {
         workspace: workspace.into(),
         tenant: "".into(),
@@ -16,7 +16,7 @@
         classes: Vec::new(),
         weights: Weights { churn: 1, downtime: 1 },
         body: 1,
-        parts,
+        weighted_routes,
     })
 }
 
--- a/acaciaringd/src/status.rs
+++ b/acaciaringd/src/status.rs
@@ -11,7 +11,7 @@
     let view = shared.view();
     let (busy, capacity) = gate.load();
     let member = view.me.and_then(|me| view.state.member(me));
-    let owned = view.me.map_or(0, |me| view.state.owned(me));
+    let owned = view.me.map_or(0, |me| view.state.owned_count(me));
     StatusReply {
         member: view.me.map_or(0, |me| me.0),
         vm: member.map_or_else(String::new, |member| member.vm.to_string()),
