--- a/acaciaring_core/src/state/members.rs
+++ b/acaciaring_core/src/state/members.rs
@@ -4,7 +4,7 @@
 
 use acaciaring_schema::log;
 
-use super::succession::Departure;
+use super::reassignment::Departure;
 use super::{Assignment, Attachment, Member, Phase, Rejection, Service, State, majority};
 use crate::id::{MemberId, Name, Offset};
 
--- a/acaciaring_core/src/state/mod.rs
+++ b/acaciaring_core/src/state/mod.rs
@@ -8,11 +8,11 @@
 mod member;
 mod members;
 mod outcome;
+mod reassignment;
 mod recent;
 mod replica;
 pub mod snapshot;
 mod standby;
-mod succession;
 mod units;
 
 use std::collections::{BTreeMap, VecDeque};
--- a/acaciaring_core/src/state/units.rs
+++ b/acaciaring_core/src/state/units.rs
@@ -4,8 +4,8 @@
 
 use acaciaring_schema::log;
 
+use super::reassignment::{assignments, blocks};
 use super::standby::Picker;
-use super::succession::{assignments, blocks};
 use super::{Assignment, HotKey, Member, NUMERIC_KEYS, Rejection, Service, State};
 use crate::id::{KeyHash, MemberId, Name, Offset, UnitId};
 
