--- a/acaciaring_core/src/state/assignment.rs
+++ b/acaciaring_core/src/state/assignment.rs
@@ -48,7 +48,7 @@
 }
 
 /// Blocks of slots for each member of a numeric service, up to twice as many.
-const BLOCKS_EACH: u32 = 32;
+const BLOCKS_PER_MEMBER: u32 = 32;
 
 /// Count of the numbers that are keys of a numeric service.
 pub const NUMERIC_KEYS: u32 = 1 << 16;
@@ -103,7 +103,7 @@
     pub fn block(&self, slot: Slot, members: usize) -> u32 {
         let slots = u32::try_from(self.slots.len()).unwrap_or(u32::MAX);
         let members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
-        let size = if self.numeric { slots / BLOCKS_EACH.saturating_mul(members) } else { 1 };
+        let size = if self.numeric { slots / BLOCKS_PER_MEMBER.saturating_mul(members) } else { 1 };
         slot / prior_power_of_two(size)
     }
 
--- a/acaciaring_core/src/state/counts.rs
+++ b/acaciaring_core/src/state/counts.rs
@@ -17,17 +17,17 @@
 
 impl Counts {
     /// Returns how many units a member owns.
-    pub(super) fn owned(&self, member: MemberId) -> usize {
+    pub(super) fn owned_count(&self, member: MemberId) -> usize {
         self.owned.get(&member).copied().unwrap_or(0)
     }
 
     /// Returns for how many units a member stands by.
-    pub(super) fn standby(&self, member: MemberId) -> usize {
+    pub(super) fn standby_count(&self, member: MemberId) -> usize {
         self.standby.get(&member).copied().unwrap_or(0)
     }
 
     /// Returns how many members that are not dead have this one as lessor.
-    pub(super) fn holders(&self, lessor: MemberId) -> usize {
+    pub(super) fn holder_count(&self, lessor: MemberId) -> usize {
         self.holders.get(&lessor).copied().unwrap_or(0)
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// Returns the members that are alive and attached to a workspace, in order of joining.
-    pub(super) fn attached(&self, workspace: &str) -> impl Iterator<Item = MemberId> {
+    pub(super) fn candidates(&self, workspace: &str) -> impl Iterator<Item = MemberId> {
         self.attached.get(workspace).into_iter().flatten().copied()
     }
 
@@ -59,25 +59,25 @@
     }
 
     /// Counts a member as holder of its lessors.
-    pub(super) fn hold(&mut self, lessors: &[MemberId]) {
+    pub(super) fn add_lessors(&mut self, lessors: &[MemberId]) {
         increase(&mut self.holders, lessors.iter().copied());
     }
 
-    /// Reverses [`Self::hold`].
-    pub(super) fn release(&mut self, lessors: &[MemberId]) {
+    /// Reverses [`Self::add_lessors`].
+    pub(super) fn remove_lessors(&mut self, lessors: &[MemberId]) {
         decrease(&mut self.holders, lessors.iter().copied());
     }
 
     /// Makes a member a candidate for roles in its workspace, if it may have any.
-    pub(super) fn attach(&mut self, member: &Member) {
+    pub(super) fn add_candidate(&mut self, member: &Member) {
         if let Some(attachment) = member.attachment.as_ref().filter(|_| member.alive()) {
             let workspace = Name::clone(&attachment.workspace);
             self.attached.entry(workspace).or_default().insert(member.id);
         }
     }
 
-    /// Reverses [`Self::attach`].
-    pub(super) fn detach(&mut self, member: &Member) {
+    /// Reverses [`Self::add_candidate`].
+    pub(super) fn remove_candidate(&mut self, member: &Member) {
         let Some(attachment) = &member.attachment else { return };
         let Some(attached) = self.attached.get_mut(&attachment.workspace) else { return };
         attached.remove(&member.id);
--- a/acaciaring_core/src/state/documents.rs
+++ b/acaciaring_core/src/state/documents.rs
@@ -23,9 +23,9 @@
 impl Published {
     /// Returns the template that parameters in force name.
     fn template(&self) -> Option<&Name> {
-        let names =
+        let is_template_name =
             |field: &&DocumentField| &*field.section == "workspace" && &*field.key == "template";
-        let field = self.document.fields.iter().find(names);
+        let field = self.document.fields.iter().find(is_template_name);
         field.filter(|_| !self.retired).map(|field| &field.value)
     }
 }
@@ -54,9 +54,9 @@
             return Err(Rejection::Invalid { faults });
         }
         let published = Published { document, version: offset, retired: false };
-        let routes = self.affected(&published)?;
+        let routes = self.build_affected(&published)?;
         self.check_routes(&routes)?;
-        self.enforce(routes);
+        self.install_routes(routes);
         self.store(published);
         Ok(())
     }
@@ -66,7 +66,7 @@
             return Err(Rejection::UnknownDocument);
         }
         if kind == DocumentKind::Template
-            && let Some(user) = self.users(&name).next()
+            && let Some(user) = self.users_of(&name).next()
         {
             return Err(Rejection::InUse { workspace: Name::clone(&user.document.name) });
         }
@@ -82,16 +82,16 @@
     }
 
     /// Returns the parameters in force that use a template.
-    fn users(&self, template: &str) -> impl Iterator<Item = &Published> {
+    fn users_of(&self, template: &str) -> impl Iterator<Item = &Published> {
         self.parameters.values().filter(move |p| p.template().is_some_and(|t| &**t == template))
     }
 
     /// Builds the routes that a document changes.
-    pub(super) fn affected(&self, published: &Published) -> Result<Vec<Route>, Rejection> {
+    pub(super) fn build_affected(&self, published: &Published) -> Result<Vec<Route>, Rejection> {
         let document = &published.document;
         let pairs: Vec<(&Document, &Document)> = match document.kind {
             DocumentKind::Template => {
-                self.users(&document.name).map(|user| (document, &user.document)).collect()
+                self.users_of(&document.name).map(|user| (document, &user.document)).collect()
             }
             DocumentKind::Parameters => vec![(self.template_of(published)?, document)],
         };
@@ -120,16 +120,16 @@
     pub(super) fn check_routes(&self, changed: &[Route]) -> Result<(), Rejection> {
         let names: BTreeSet<_> = changed.iter().map(|route| &route.workspace).collect();
         let others = self.routes.values().filter(|route| !names.contains(&route.workspace));
-        let mut places: BTreeMap<_, _> =
+        let mut workspaces: BTreeMap<_, _> =
             others.map(|route| ((&route.host, &route.prefix), &route.workspace)).collect();
         let mut faults = Vec::new();
         for route in changed {
             let workspace = &route.workspace;
-            if let Some(other) = places.insert((&route.host, &route.prefix), workspace) {
+            if let Some(other) = workspaces.insert((&route.host, &route.prefix), workspace) {
                 let message = format!("workspace {other} has the same host and prefix");
                 faults.push(fault(workspace, "route", "prefix", &message));
             }
-            if !self.division_stays(route) {
+            if !self.division_allowed(route) {
                 let message = "the division of a service that has owners cannot change";
                 faults.push(fault(workspace, "division", "slots", message));
             }
@@ -141,21 +141,21 @@
     ///
     /// Members that lag behind the log place keys by the old division. A service
     /// whose route was retired may change once none of its units has an owner.
-    fn division_stays(&self, route: &Route) -> bool {
+    fn division_allowed(&self, route: &Route) -> bool {
         if let Some(present) = self.routes.get(&route.workspace) {
             return present.division == route.division;
         }
         self.services.get(&route.workspace).is_none_or(|service| {
-            let vacant = |a: &Assignment| a.owner.is_none() && a.prior.is_none();
-            slots(route) == service.slots.len() || service.units().all(|(_, a)| vacant(a))
+            let unowned = |a: &Assignment| a.owner.is_none() && a.prior.is_none();
+            slot_count(route) == service.slots.len() || service.units().all(|(_, a)| unowned(a))
         })
     }
 
     /// Puts routes in force, each with its service when it is divided by key.
-    fn enforce(&mut self, routes: Vec<Route>) {
+    fn install_routes(&mut self, routes: Vec<Route>) {
         for route in routes {
             let workspace = Name::clone(&route.workspace);
-            let count = slots(&route);
+            let count = slot_count(&route);
             let kept = self.services.get(&workspace).is_some_and(|s| s.slots.len() == count);
             if !kept {
                 self.services.remove(&workspace);
@@ -183,7 +183,7 @@
 }
 
 /// Returns the count of slots of a route's service, 0 when it is not divided by key.
-pub(super) fn slots(route: &Route) -> usize {
+pub(super) fn slot_count(route: &Route) -> usize {
     match route.division {
         Division::Keyed { slots, .. } => usize::try_from(slots).unwrap_or(usize::MAX),
         Division::Pooled => 0,
--- a/acaciaring_core/src/state/fold.rs
+++ b/acaciaring_core/src/state/fold.rs
@@ -39,14 +39,14 @@
             return Outcome::Gap { expected };
         }
         self.next = offset + 1;
-        let outcome = record.map_or(Outcome::Undecodable, |record| self.settle(offset, record));
+        let outcome = record.map_or(Outcome::Undecodable, |record| self.apply_once(offset, record));
         if !outcome.applied() {
             self.skipped += 1;
         }
         outcome
     }
 
-    fn settle(&mut self, offset: Offset, record: &Decoded) -> Outcome {
+    fn apply_once(&mut self, offset: Offset, record: &Decoded) -> Outcome {
         // Parts of snapshots change nothing, so a duplicate of one is harmless.
         if matches!(record.body, Body::Chunk(_) | Body::Commit(_)) {
             return Outcome::Applied;
--- a/acaciaring_core/src/state/lessors.rs
+++ b/acaciaring_core/src/state/lessors.rs
@@ -16,22 +16,23 @@
         offset: Offset,
         record: &log::Lessors,
     ) -> Result<(), Rejection> {
-        let id = self.present(record.member)?;
+        let id = self.require_present(record.member)?;
         let version = self.members.get(&id).map_or(0, |member| member.version);
         if record.base != version {
             return Err(Rejection::Conflict { current: version });
         }
         let lessors: BTreeSet<_> = record.lessors.iter().copied().map(MemberId).collect();
         let distinct = lessors.len() == record.lessors.len();
-        let alive = lessors.iter().all(|lessor| *lessor != id && self.alive(lessor.0).is_ok());
+        let alive =
+            lessors.iter().all(|lessor| *lessor != id && self.require_alive(lessor.0).is_ok());
         if !distinct || !alive || !(1..=LESSORS_MAX).contains(&lessors.len()) {
             return Err(Rejection::Lessors);
         }
         if let Some(member) = self.members.get_mut(&id) {
-            self.counts.release(&member.lessors);
+            self.counts.remove_lessors(&member.lessors);
             member.lessors = lessors.into_iter().collect();
             member.version = offset;
-            self.counts.hold(&member.lessors);
+            self.counts.add_lessors(&member.lessors);
         }
         Ok(())
     }
@@ -64,31 +65,32 @@
     pub fn better_lessors_excluding(
         &self,
         member: &Member,
-        silent: &[MemberId],
+        unresponsive: &[MemberId],
     ) -> Option<Vec<MemberId>> {
         let mut kept: Vec<&Member> = Vec::new();
-        let mut doubled: Vec<&Member> = Vec::new();
+        let mut duplicates: Vec<&Member> = Vec::new();
         let present = member.lessors.iter().filter_map(|id| self.members.get(id));
-        let (home, foreign): (Vec<&Member>, Vec<&Member>) = present
-            .filter(|lessor| lessor.alive() && !silent.contains(&lessor.id))
+        let (local, foreign): (Vec<&Member>, Vec<&Member>) = present
+            .filter(|lessor| lessor.alive() && !unresponsive.contains(&lessor.id))
             .partition(|l| l.region == member.region);
-        keep(home, &mut kept, &mut doubled);
+        split_by_data_centre(local, &mut kept, &mut duplicates);
         while kept.len() < LESSORS_MAX
-            && let Some(fresh) =
-                self.fresh(member, &kept, silent).filter(|f| f.region == member.region)
+            && let Some(candidate) = self
+                .best_in_new_data_centre(member, &kept, unresponsive)
+                .filter(|c| c.region == member.region)
         {
-            kept.push(fresh);
+            kept.push(candidate);
         }
-        keep(foreign, &mut kept, &mut doubled);
+        split_by_data_centre(foreign, &mut kept, &mut duplicates);
         // A second lessor of a data centre stays unless one from another data centre takes its place.
         while kept.len() < LESSORS_MAX
-            && let Some(fresh) = self.fresh(member, &kept, silent)
+            && let Some(candidate) = self.best_in_new_data_centre(member, &kept, unresponsive)
         {
-            kept.push(fresh);
+            kept.push(candidate);
         }
-        kept.extend(doubled);
+        kept.extend(duplicates);
         kept.truncate(LESSORS_MAX);
-        let set = self.complete(member, kept, silent);
+        let set = self.complete(member, kept, unresponsive);
         (set != member.lessors && !set.is_empty()).then_some(set)
     }
 
@@ -97,12 +99,14 @@
         &'a self,
         member: &Member,
         mut chosen: Vec<&'a Member>,
-        silent: &[MemberId],
+        unresponsive: &[MemberId],
     ) -> Vec<MemberId> {
         while chosen.len() < LESSORS_MAX {
-            let second = || self.best(member, &chosen, silent, |_| true);
+            let any_data_centre = || self.best_candidate(member, &chosen, unresponsive, |_| true);
             // For want of another data centre, the best candidate anywhere.
-            let next = self.fresh(member, &chosen, silent).or_else(second);
+            let next = self
+                .best_in_new_data_centre(member, &chosen, unresponsive)
+                .or_else(any_data_centre);
             let Some(next) = next else { break };
             chosen.push(next);
         }
@@ -112,36 +116,45 @@
     }
 
     /// Returns the best candidate in a data centre that has no lessor yet.
-    fn fresh(&self, member: &Member, chosen: &[&Member], silent: &[MemberId]) -> Option<&Member> {
+    fn best_in_new_data_centre(
+        &self,
+        member: &Member,
+        chosen: &[&Member],
+        unresponsive: &[MemberId],
+    ) -> Option<&Member> {
         let taken = |other: &Member| chosen.iter().any(|c| c.data_centre == other.data_centre);
-        self.best(member, chosen, silent, |other| !taken(other))
+        self.best_candidate(member, chosen, unresponsive, |other| !taken(other))
     }
 
-    fn best(
+    fn best_candidate(
         &self,
         member: &Member,
         chosen: &[&Member],
-        silent: &[MemberId],
+        unresponsive: &[MemberId],
         fits: impl Fn(&Member) -> bool,
     ) -> Option<&Member> {
-        let free = |other: &&Member| {
+        let eligible = |other: &&Member| {
             let taken = other.id == member.id || chosen.iter().any(|c| c.id == other.id);
-            other.alive() && !taken && !silent.contains(&other.id)
+            other.alive() && !taken && !unresponsive.contains(&other.id)
         };
         let rank = |other: &&Member| {
             let foreign = other.region != member.region;
-            let near = other.data_centre == member.data_centre && other.rack == member.rack;
-            (foreign, near, self.counts.holders(other.id), other.id)
+            let same_rack = other.data_centre == member.data_centre && other.rack == member.rack;
+            (foreign, same_rack, self.counts.holder_count(other.id), other.id)
         };
-        self.members.values().filter(free).filter(|other| fits(other)).min_by_key(rank)
+        self.members.values().filter(eligible).filter(|other| fits(other)).min_by_key(rank)
     }
 }
 
 /// Keeps one lessor of each data centre and sets the others aside.
-fn keep<'a>(lessors: Vec<&'a Member>, kept: &mut Vec<&'a Member>, doubled: &mut Vec<&'a Member>) {
+fn split_by_data_centre<'a>(
+    lessors: Vec<&'a Member>,
+    kept: &mut Vec<&'a Member>,
+    duplicates: &mut Vec<&'a Member>,
+) {
     for lessor in lessors {
         if kept.iter().any(|k| k.data_centre == lessor.data_centre) {
-            doubled.push(lessor);
+            duplicates.push(lessor);
         } else {
             kept.push(lessor);
         }
--- a/acaciaring_core/src/state/mod.rs
+++ b/acaciaring_core/src/state/mod.rs
@@ -25,7 +25,7 @@
 pub use self::member::{Attachment, Member, Phase, majority};
 pub use self::members::DEAD_MAX;
 pub use self::outcome::{Outcome, Rejection};
-use self::recent::Recent;
+use self::recent::RecentIds;
 pub use self::recent::{RECENT_MAX, RecordId};
 pub use self::replica::{Folded, Replica, ReplicaError};
 pub use self::units::HOT_MAX;
@@ -44,7 +44,7 @@
     templates: BTreeMap<Name, Published>,
     parameters: BTreeMap<Name, Published>,
     routes: BTreeMap<Name, Arc<Route>>,
-    recent: Recent,
+    recent: RecentIds,
     skipped: u64,
     counts: Counts,
 }
@@ -75,22 +75,22 @@
 
     /// Returns the members that are alive and attached to a workspace, in order of joining.
     pub fn members_of(&self, workspace: &str) -> impl Iterator<Item = &Member> {
-        self.counts.attached(workspace).filter_map(|id| self.members.get(&id))
+        self.counts.candidates(workspace).filter_map(|id| self.members.get(&id))
     }
 
     /// Returns the assignments of a workspace whose service is divided by key.
     #[must_use]
     pub fn service(&self, workspace: &str) -> Option<&Service> {
-        self.services.get(workspace).filter(|service| self.shows(service))
+        self.services.get(workspace).filter(|service| self.is_visible(service))
     }
 
     /// Returns the assignments of all workspaces.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
-        self.services.values().filter(|service| self.shows(service))
+        self.services.values().filter(|service| self.is_visible(service))
     }
 
     /// Returns true for a service that has a route in force, or needs none in the log.
-    fn shows(&self, service: &Service) -> bool {
+    fn is_visible(&self, service: &Service) -> bool {
         service.numeric || self.routes.contains_key(&service.workspace)
     }
 
@@ -114,19 +114,19 @@
     /// Returns how many units a member owns.
     #[must_use]
     pub fn owned_count(&self, member: MemberId) -> usize {
-        self.counts.owned(member)
+        self.counts.owned_count(member)
     }
 
     /// Returns for how many units a member stands by.
     #[must_use]
     pub fn standby_count(&self, member: MemberId) -> usize {
-        self.counts.standby(member)
+        self.counts.standby_count(member)
     }
 
     /// Returns how many members that are not dead have this one as lessor.
     #[must_use]
     pub fn holder_count(&self, lessor: MemberId) -> usize {
-        self.counts.holders(lessor)
+        self.counts.holder_count(lessor)
     }
 
     /// Returns true when a record with this id was folded lately, whatever came of it.
--- a/acaciaring_core/src/state/reassignment.rs
+++ b/acaciaring_core/src/state/reassignment.rs
@@ -17,24 +17,31 @@
 
 impl State {
     /// Passes on the roles of a member that is no longer a candidate for them.
-    pub(super) fn pass_on(&mut self, offset: Offset, lost: MemberId, departure: Departure) {
+    pub(super) fn reassign_roles(
+        &mut self,
+        offset: Offset,
+        departed: MemberId,
+        departure: Departure,
+    ) {
         for service in self.services.values_mut() {
             let mut picker = Picker::new(&mut self.counts, &self.members, &service.workspace);
-            let touched = |place: &Assignment| {
-                [place.owner, place.standby, place.prior, place.prior_standby].contains(&Some(lost))
+            let is_affected = |current: &Assignment| {
+                [current.owner, current.standby, current.prior, current.prior_standby]
+                    .contains(&Some(departed))
             };
             let blocks = blocks(service, picker.members());
-            for (place, block) in assignments(service).zip(blocks).filter(|(p, _)| touched(p)) {
-                let Some(mut next) = successor(place, lost, departure) else { continue };
+            for (current, block) in assignments(service).zip(blocks).filter(|(p, _)| is_affected(p))
+            {
+                let Some(mut next) = without_member(current, departed, departure) else { continue };
                 next.version = offset;
-                if next.owner != place.owner {
+                if next.owner != current.owner {
                     next.token = offset;
                 }
                 // The old roles must not count while the new standby is picked.
-                picker.take(place);
-                next.standby = next.standby.or_else(|| picker.pick_in(next.owner?, block));
-                picker.give(&next);
-                *place = next;
+                picker.remove(current);
+                next.standby = next.standby.or_else(|| picker.pick_for_block(next.owner?, block));
+                picker.add(&next);
+                *current = next;
             }
         }
     }
@@ -43,10 +50,10 @@
     ///
     /// The tokens of what it owned rise: its standby may have taken over under a higher one than
     /// the former member had, before it reads this. The owner waits for the standby's release.
-    pub(super) fn replace(&mut self, offset: Offset, former: MemberId, later: MemberId) {
+    pub(super) fn transfer_roles(&mut self, offset: Offset, former: MemberId, later: MemberId) {
         for service in self.services.values_mut() {
-            for place in assignments(service) {
-                let Assignment { owner, standby, prior, prior_standby, token, .. } = *place;
+            for current in assignments(service) {
+                let Assignment { owner, standby, prior, prior_standby, token, .. } = *current;
                 if ![owner, standby, prior, prior_standby].contains(&Some(former)) {
                     continue;
                 }
@@ -64,9 +71,9 @@
                     version: offset,
                     token: if owned { offset } else { token },
                 };
-                self.counts.remove(place);
+                self.counts.remove(current);
                 self.counts.add(&next);
-                *place = next;
+                *current = next;
             }
         }
     }
@@ -74,13 +81,13 @@
     /// Makes a newcomer the standby of each unit that has an owner but no standby.
     pub(super) fn fill_standbys(&mut self, offset: Offset, newcomer: MemberId, workspace: &str) {
         let Some(service) = self.services.get_mut(workspace) else { return };
-        for place in assignments(service) {
-            let needed = place.standby.is_none() && place.owner.is_some_and(|o| o != newcomer);
+        for current in assignments(service) {
+            let needed = current.standby.is_none() && current.owner.is_some_and(|o| o != newcomer);
             if needed {
-                let next = Assignment { standby: Some(newcomer), version: offset, ..*place };
-                self.counts.remove(place);
+                let next = Assignment { standby: Some(newcomer), version: offset, ..*current };
+                self.counts.remove(current);
                 self.counts.add(&next);
-                *place = next;
+                *current = next;
             }
         }
     }
@@ -103,21 +110,31 @@
 /// Returns the assignment without the lost member, or `None` when it has no part in it.
 ///
 /// A missing standby is to be picked; version and token are to be set.
-fn successor(place: &Assignment, lost: MemberId, departure: Departure) -> Option<Assignment> {
-    let lost = Some(lost);
-    let Assignment { owner, standby, prior, prior_standby, .. } = *place;
+fn without_member(
+    current: &Assignment,
+    departed: MemberId,
+    departure: Departure,
+) -> Option<Assignment> {
+    let departed = Some(departed);
+    let Assignment { owner, standby, prior, prior_standby, .. } = *current;
     let dies = departure == Departure::Dies;
-    let prior = if dies && prior == lost { None } else { prior };
-    let prior_standby = if dies && prior_standby == lost { None } else { prior_standby };
-    if owner == lost && (dies || standby.is_some()) {
+    let prior = if dies && prior == departed { None } else { prior };
+    let prior_standby = if dies && prior_standby == departed { None } else { prior_standby };
+    if owner == departed && (dies || standby.is_some()) {
         // A former owner that becomes the owner again has nobody to wait for.
-        let prior = if dies { prior.filter(|prior| Some(*prior) != standby) } else { lost };
+        let prior = if dies { prior.filter(|prior| Some(*prior) != standby) } else { departed };
         let prior_standby = prior_standby.filter(|prior_standby| Some(*prior_standby) != standby);
-        return Some(Assignment { owner: standby, standby: None, prior, prior_standby, ..*place });
+        return Some(Assignment {
+            owner: standby,
+            standby: None,
+            prior,
+            prior_standby,
+            ..*current
+        });
     }
-    if standby == lost {
-        return Some(Assignment { standby: None, prior, prior_standby, ..*place });
+    if standby == departed {
+        return Some(Assignment { standby: None, prior, prior_standby, ..*current });
     }
-    let changed = prior != place.prior || prior_standby != place.prior_standby;
-    changed.then_some(Assignment { prior, prior_standby, ..*place })
+    let changed = prior != current.prior || prior_standby != current.prior_standby;
+    changed.then_some(Assignment { prior, prior_standby, ..*current })
 }
--- a/acaciaring_core/src/state/recent.rs
+++ b/acaciaring_core/src/state/recent.rs
@@ -14,12 +14,12 @@
 
 /// Bounded window of record ids, oldest first.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub(super) struct Recent {
+pub(super) struct RecentIds {
     order: VecDeque<RecordId>,
     ids: BTreeSet<RecordId>,
 }
 
-impl Recent {
+impl RecentIds {
     /// Adds an id and returns true, or returns false when it is known.
     pub(super) fn insert(&mut self, id: RecordId) -> bool {
         if !self.ids.insert(id) {
--- a/acaciaring_core/src/state/replica.rs
+++ b/acaciaring_core/src/state/replica.rs
@@ -75,17 +75,17 @@
     /// Offset of the first record in `kept`.
     start: Offset,
     /// Records read so far, which a snapshot to come may not cover.
-    kept: Vec<Vec<u8>>,
+    buffered: Vec<Vec<u8>>,
     problem: Option<SnapshotError>,
 }
 
 impl Scan {
     fn new(start: Offset) -> Self {
-        Self { start, kept: Vec::new(), problem: None }
+        Self { start, buffered: Vec::new(), problem: None }
     }
 
     fn next(&self) -> Offset {
-        let count = u64::try_from(self.kept.len()).unwrap_or(u64::MAX);
+        let count = u64::try_from(self.buffered.len()).unwrap_or(u64::MAX);
         self.start.saturating_add(count)
     }
 }
@@ -143,7 +143,7 @@
         let mut folded = Vec::new();
         for (offset, entry) in (batch.start..).zip(&batch.entries) {
             if offset >= position {
-                self.take(offset, entry, &mut folded);
+                self.process_record(offset, entry, &mut folded);
             }
         }
         if let Phase::Scanning(scan) = &self.phase {
@@ -153,32 +153,32 @@
         Ok(folded)
     }
 
-    fn take(&mut self, offset: Offset, entry: &[u8], folded: &mut Vec<Folded>) {
+    fn process_record(&mut self, offset: Offset, entry: &[u8], folded: &mut Vec<Folded>) {
         let record = Decoded::from_bytes(entry);
-        let whole = record.as_ref().and_then(|record| self.assemble(offset, &record.body));
+        let snapshot = record.as_ref().and_then(|record| self.assemble(offset, &record.body));
         match &mut self.phase {
             Phase::Folding => folded.push(fold(&mut self.state, offset, record.as_ref())),
             Phase::Scanning(scan) => {
-                scan.kept.push(entry.to_vec());
-                if let Some(whole) = whole {
-                    self.load(&whole, folded);
+                scan.buffered.push(entry.to_vec());
+                if let Some(snapshot) = snapshot {
+                    self.load_snapshot(&snapshot, folded);
                 }
             }
         }
     }
 
     fn assemble(&mut self, offset: Offset, body: &Body) -> Option<CompleteSnapshot> {
-        let whole = self.assembler.feed(offset, body)?;
-        self.snapshot_next = self.snapshot_next.max(whole.next);
-        Some(whole)
+        let snapshot = self.assembler.feed(offset, body)?;
+        self.snapshot_next = self.snapshot_next.max(snapshot.next);
+        Some(snapshot)
     }
 
     /// Goes on from a snapshot if no record is missing after it.
-    fn load(&mut self, whole: &CompleteSnapshot, folded: &mut Vec<Folded>) {
+    fn load_snapshot(&mut self, snapshot: &CompleteSnapshot, folded: &mut Vec<Folded>) {
         let Phase::Scanning(scan) = &mut self.phase else { return };
         // What the search began with is later than the state, so such a snapshot is newer.
-        let Some(covered) = whole.next.checked_sub(scan.start) else { return };
-        match whole.state() {
+        let Some(covered) = snapshot.next.checked_sub(scan.start) else { return };
+        match snapshot.state() {
             Ok(state) => self.state = state,
             Err(problem) => {
                 scan.problem = Some(problem);
@@ -186,7 +186,7 @@
             }
         }
         let covered = usize::try_from(covered).unwrap_or(usize::MAX);
-        for (offset, entry) in (whole.next..).zip(scan.kept.iter().skip(covered)) {
+        for (offset, entry) in (snapshot.next..).zip(scan.buffered.iter().skip(covered)) {
             folded.push(fold(&mut self.state, offset, Decoded::from_bytes(entry).as_ref()));
         }
         self.phase = Phase::Folding;
--- a/acaciaring_core/src/state/snapshot/assembler.rs
+++ b/acaciaring_core/src/state/snapshot/assembler.rs
@@ -32,7 +32,7 @@
 struct Partial {
     chunks: BTreeMap<u32, Vec<u8>>,
     bytes: usize,
-    latest: Offset,
+    last_offset: Offset,
 }
 
 /// Snapshot with all chunks and the right digest.
@@ -76,20 +76,20 @@
     fn add(&mut self, offset: Offset, chunk: &Chunk) {
         let Ok(id) = chunk.snapshot.as_slice().try_into() else { return };
         let partial = self.partial.entry(id).or_default();
-        partial.latest = offset;
+        partial.last_offset = offset;
         // A chunk that was appended twice is the same twice; the digest finds one that is not.
         if let Some(old) = partial.chunks.insert(chunk.index, chunk.data.clone()) {
             partial.bytes -= old.len();
         }
         partial.bytes += chunk.data.len();
-        self.shrink();
+        self.evict_oldest();
     }
 
-    fn shrink(&mut self) {
+    fn evict_oldest(&mut self) {
         let bytes =
             |partial: &BTreeMap<_, Partial>| partial.values().map(|p| p.bytes).sum::<usize>();
         while self.partial.len() > PARTIAL_MAX || bytes(&self.partial) > BYTES_MAX {
-            let oldest = self.partial.iter().min_by_key(|(_, partial)| partial.latest);
+            let oldest = self.partial.iter().min_by_key(|(_, partial)| partial.last_offset);
             let Some(id) = oldest.map(|(id, _)| *id) else { return };
             self.partial.remove(&id);
         }
@@ -99,9 +99,13 @@
         let id: RecordId = commit.snapshot.as_slice().try_into().ok()?;
         let partial = self.partial.remove(&id)?;
         let indices = partial.chunks.keys().copied();
-        let whole = indices.eq(0..commit.chunks) && commit.next <= offset;
+        let complete = indices.eq(0..commit.chunks) && commit.next <= offset;
         let bytes = partial.chunks.into_values().collect::<Vec<_>>().concat();
-        let right = commit.digest == digest(&bytes);
-        (whole && right).then_some(CompleteSnapshot { next: commit.next, committed: offset, bytes })
+        let digest_matches = commit.digest == digest(&bytes);
+        (complete && digest_matches).then_some(CompleteSnapshot {
+            next: commit.next,
+            committed: offset,
+            bytes,
+        })
     }
 }
--- a/acaciaring_core/src/state/snapshot/chunk.rs
+++ b/acaciaring_core/src/state/snapshot/chunk.rs
@@ -34,7 +34,7 @@
         chunks,
         digest: digest(&bytes).to_vec(),
     }));
-    let record = |(index, body)| Record { id: part_id(id, index).to_vec(), body: Some(body) };
+    let record = |(index, body)| Record { id: record_id(id, index).to_vec(), body: Some(body) };
     (0..).zip(bodies).map(record).collect()
 }
 
@@ -44,7 +44,7 @@
 }
 
 /// Derives the id of a snapshot's record.
-fn part_id(id: RecordId, index: u32) -> RecordId {
+fn record_id(id: RecordId, index: u32) -> RecordId {
     let mut hasher = xxh3::Xxh3::new();
     hasher.update(&id);
     hasher.update(&index.to_le_bytes());
--- a/acaciaring_core/src/state/snapshot/decode.rs
+++ b/acaciaring_core/src/state/snapshot/decode.rs
@@ -8,7 +8,7 @@
 
 use crate::id::{KeyHash, MemberId, Name, Offset, UnitId};
 use crate::route::Document;
-use crate::state::documents::{document_field, document_kind, slots};
+use crate::state::documents::{document_field, document_kind, slot_count};
 use crate::state::{
     Assignment, Attachment, HOT_MAX, HotKey, LESSORS_MAX, Member, Phase, Published, RECENT_MAX,
     Rejection, Service, State,
@@ -98,8 +98,8 @@
         if member.phase == Phase::Dead {
             self.dead.push_back(member.id);
         } else {
-            self.counts.hold(&member.lessors);
-            self.counts.attach(&member);
+            self.counts.add_lessors(&member.lessors);
+            self.counts.add_candidate(&member);
         }
         self.members.insert(member.id, member);
         Ok(())
@@ -116,9 +116,9 @@
 
     fn restore_service(&mut self, wire: &wire::Service) -> Result<(), SnapshotError> {
         let service = service(wire).context(ServiceSnafu { workspace: &wire.workspace })?;
-        let fits = service.units().all(|(_, assignment)| self.fits(assignment));
-        let fresh = !self.services.contains_key(&service.workspace);
-        ensure!(fits && fresh, ServiceSnafu { workspace: &wire.workspace });
+        let valid = service.units().all(|(_, assignment)| self.has_valid_roles(assignment));
+        let unique = !self.services.contains_key(&service.workspace);
+        ensure!(valid && unique, ServiceSnafu { workspace: &wire.workspace });
         for (_, assignment) in service.units() {
             self.counts.add(assignment);
         }
@@ -127,13 +127,13 @@
     }
 
     /// Returns true when the members of an assignment may have their roles.
-    fn fits(&self, assignment: &Assignment) -> bool {
+    fn has_valid_roles(&self, assignment: &Assignment) -> bool {
         let Assignment { owner, standby, prior, prior_standby, version, token } = *assignment;
-        let present = |id: MemberId| self.present(id.0).is_ok();
+        let present = |id: MemberId| self.require_present(id.0).is_ok();
         let members = owner.is_none_or(present)
             && prior.is_none_or(present)
             && prior_standby.is_none_or(present)
-            && standby.is_none_or(|standby| self.alive(standby.0).is_ok());
+            && standby.is_none_or(|standby| self.require_alive(standby.0).is_ok());
         let distinct =
             owner.is_none() || (owner != standby && owner != prior && owner != prior_standby);
         let ordered = token <= version && version < self.next.max(1);
@@ -143,9 +143,9 @@
     fn restore_document(&mut self, wire: &wire::Document) -> Result<(), SnapshotError> {
         let fault = DocumentSnafu { name: &wire.name };
         let kind = document_kind(wire.kind).context(fault)?;
-        let fresh = self.document(kind, &wire.name).is_none();
+        let unique = self.document(kind, &wire.name).is_none();
         let version = (1..self.next).contains(&wire.version);
-        ensure!(fresh && version && !wire.name.is_empty(), fault);
+        ensure!(unique && version && !wire.name.is_empty(), fault);
         let fields = wire.fields.iter().map(document_field).collect();
         let document = Document { name: wire.name.as_str().into(), kind, fields };
         self.store(Published { document, version: wire.version, retired: wire.retired });
@@ -156,14 +156,14 @@
     fn restore_routes(&mut self) -> Result<(), SnapshotError> {
         let mut routes = Vec::new();
         for parameters in self.parameters.values().filter(|parameters| !parameters.retired) {
-            let built = self.affected(parameters);
+            let built = self.build_affected(parameters);
             routes.extend(built.map_err(|reason| SnapshotError::Routes { reason })?);
         }
         self.check_routes(&routes).map_err(|reason| SnapshotError::Routes { reason })?;
         for route in routes {
             let workspace = Name::clone(&route.workspace);
             let count = self.services.get(&workspace).map_or(0, |service| service.slots.len());
-            ensure!(count == slots(&route), ServiceSnafu { workspace: workspace.to_string() });
+            ensure!(count == slot_count(&route), ServiceSnafu { workspace: workspace.to_string() });
             self.routes.insert(workspace, Arc::new(route));
         }
         Ok(())
@@ -207,8 +207,8 @@
     for hot in &wire.hot {
         let key = KeyHash(hot.key);
         let assignment = assignment(hot.assignment.as_ref()?);
-        let right = service.unit_of(key) == UnitId::slot(hot.slot);
-        if !right {
+        let matches = service.unit_of(key) == UnitId::slot(hot.slot);
+        if !matches {
             return None;
         }
         service.hot.insert(key, HotKey { slot: hot.slot, assignment });
--- a/acaciaring_core/src/state/standby.rs
+++ b/acaciaring_core/src/state/standby.rs
@@ -7,13 +7,13 @@
 use crate::id::{MemberId, Name};
 
 /// Rank of the owner itself, which never stands by.
-const BARRED: u64 = 1 << 63;
+const OWNER_RANK: u64 = 1 << 63;
 
 /// Part of the rank for the owner's own data centre.
-const NEAR: u64 = 1 << 62;
+const SAME_CENTRE_RANK: u64 = 1 << 62;
 
 /// Part of the rank for each unit of the owner; below it is room for all roles of a member.
-const UNIT: u64 = 1 << 31;
+const UNIT_RANK: u64 = 1 << 31;
 
 /// Picks standbys within one record and keeps the counts in step.
 ///
@@ -29,7 +29,7 @@
     /// For how many units each candidate stands by in total.
     roles: Vec<u64>,
     /// Rank of each candidate as seen from an owner, without its roles in total.
-    rows: BTreeMap<MemberId, Vec<u64>>,
+    owner_ranks: BTreeMap<MemberId, Vec<u64>>,
     /// Standbys picked within this record, by owner and block of slots.
     blocks: BTreeMap<(MemberId, u32), MemberId>,
 }
@@ -40,11 +40,12 @@
         members: &'a BTreeMap<MemberId, Member>,
         workspace: &str,
     ) -> Self {
-        let attached = counts.attached(workspace);
+        let attached = counts.candidates(workspace);
         let candidates: Vec<_> = attached.filter_map(|id| members.get(&id)).collect();
-        let roles = candidates.iter().map(|member| number(counts.standby(member.id))).collect();
-        let (rows, blocks) = (BTreeMap::new(), BTreeMap::new());
-        Self { counts, members, candidates, roles, rows, blocks }
+        let roles =
+            candidates.iter().map(|member| to_rank(counts.standby_count(member.id))).collect();
+        let (owner_ranks, blocks) = (BTreeMap::new(), BTreeMap::new());
+        Self { counts, members, candidates, roles, owner_ranks, blocks }
     }
 
     /// Returns how many members may have roles in the workspace.
@@ -53,14 +54,18 @@
     }
 
     /// Returns the member that is to stand by for one more unit of `owner`, the same for a block of slots.
-    pub(super) fn pick_in(&mut self, owner: MemberId, block: Option<u32>) -> Option<MemberId> {
+    pub(super) fn pick_for_block(
+        &mut self,
+        owner: MemberId,
+        block: Option<u32>,
+    ) -> Option<MemberId> {
         let Some(block) = block else { return self.pick(owner) };
-        let place = (owner, block);
-        if let Some(standby) = self.blocks.get(&place) {
+        let entry = (owner, block);
+        if let Some(standby) = self.blocks.get(&entry) {
             return Some(*standby);
         }
         let standby = self.pick(owner)?;
-        self.blocks.insert(place, standby);
+        self.blocks.insert(entry, standby);
         Some(standby)
     }
 
@@ -69,25 +74,25 @@
     /// Another data centre goes first, then the fewest units of this owner, the
     /// fewest roles in total, and the lowest id.
     pub(super) fn pick(&mut self, owner: MemberId) -> Option<MemberId> {
-        if !self.rows.contains_key(&owner) {
-            let row = self.row(owner);
-            self.rows.insert(owner, row);
+        if !self.owner_ranks.contains_key(&owner) {
+            let base = self.base_ranks(owner);
+            self.owner_ranks.insert(owner, base);
         }
-        let row = self.rows.get(&owner)?;
-        let ranks = row.iter().zip(&self.roles).map(|(rank, roles)| rank + roles);
-        let lowest = ranks.clone().min().filter(|lowest| *lowest < BARRED)?;
+        let base = self.owner_ranks.get(&owner)?;
+        let ranks = base.iter().zip(&self.roles).map(|(rank, roles)| rank + roles);
+        let lowest = ranks.clone().min().filter(|lowest| *lowest < OWNER_RANK)?;
         let index = ranks.into_iter().position(|rank| rank == lowest)?;
         self.candidates.get(index).map(|member| member.id)
     }
 
     /// Stops to count the roles of an assignment, which is to be replaced.
-    pub(super) fn take(&mut self, assignment: &Assignment) {
+    pub(super) fn remove(&mut self, assignment: &Assignment) {
         self.counts.remove(assignment);
         self.adjust(assignment, |count, step| *count -= step);
     }
 
     /// Counts the roles of a new assignment.
-    pub(super) fn give(&mut self, assignment: &Assignment) {
+    pub(super) fn add(&mut self, assignment: &Assignment) {
         self.counts.add(assignment);
         self.adjust(assignment, |count, step| *count += step);
     }
@@ -98,33 +103,33 @@
         let Ok(index) = index else { return };
         change(&mut self.roles[index], 1);
         let Some(owner) = assignment.owner else { return };
-        if let Some(row) = self.rows.get_mut(&owner) {
-            change(&mut row[index], UNIT);
+        if let Some(base) = self.owner_ranks.get_mut(&owner) {
+            change(&mut base[index], UNIT_RANK);
         }
     }
 
     /// Reads the ranks of all candidates as seen from one owner.
-    fn row(&self, owner: MemberId) -> Vec<u64> {
+    fn base_ranks(&self, owner: MemberId) -> Vec<u64> {
         let centre = self.members.get(&owner).map(|member| &member.data_centre);
         let mut standbys = self.counts.standbys(owner).peekable();
         let rank = |candidate: &&Member| {
             // Both sequences are in order of joining.
             while standbys.next_if(|(standby, _)| *standby < candidate.id).is_some() {}
             let units = standbys.next_if(|(standby, _)| *standby == candidate.id);
-            let near = centre.is_some_and(|centre| same(centre, &candidate.data_centre));
-            let barred = if candidate.id == owner { BARRED } else { 0 };
-            let near = if near { NEAR } else { 0 };
-            barred + near + units.map_or(0, |(_, units)| number(units)) * UNIT
+            let near = centre.is_some_and(|centre| same_name(centre, &candidate.data_centre));
+            let excluded = if candidate.id == owner { OWNER_RANK } else { 0 };
+            let near = if near { SAME_CENTRE_RANK } else { 0 };
+            excluded + near + units.map_or(0, |(_, units)| to_rank(units)) * UNIT_RANK
         };
         self.candidates.iter().map(rank).collect()
     }
 }
 
-fn same(one: &Name, other: &Name) -> bool {
+fn same_name(one: &Name, other: &Name) -> bool {
     Name::ptr_eq(one, other) || one == other
 }
 
 /// Converts a count of units, which is far below [`UNIT`].
-fn number(count: usize) -> u64 {
+fn to_rank(count: usize) -> u64 {
     u64::try_from(count).unwrap_or(u64::MAX)
 }
--- a/acaciaring_core/src/state/units.rs
+++ b/acaciaring_core/src/state/units.rs
@@ -14,14 +14,15 @@
 
 impl State {
     pub(super) fn assign(&mut self, offset: Offset, assign: &log::Assign) -> Result<(), Rejection> {
-        self.found(&assign.workspace, assign.slots)?;
-        let service = self.in_force(&assign.workspace)?;
+        self.create_numeric_service(&assign.workspace, assign.slots)?;
+        let service = self.active_service(&assign.workspace)?;
         if service.units().all(|(_, a)| a.owner.is_some()) {
             return Err(Rejection::Assigned);
         }
         let may_own = |member: &&Member| !member.lessors.is_empty();
         let owners = self.members_of(&assign.workspace).filter(may_own);
-        let mut owners: BTreeSet<_> = owners.map(|m| (self.counts.owned(m.id), m.id)).collect();
+        let mut owners: BTreeSet<_> =
+            owners.map(|m| (self.counts.owned_count(m.id), m.id)).collect();
         if owners.is_empty() {
             return Err(Rejection::NoCandidate);
         }
@@ -29,13 +30,15 @@
         let mut picker = Picker::new(&mut self.counts, &self.members, &assign.workspace);
         let blocks = blocks(service, owners.len());
         let mut chosen: BTreeMap<u32, MemberId> = BTreeMap::new();
-        for (place, block) in assignments(service).zip(blocks) {
-            if place.owner.is_some() {
+        for (existing, block) in assignments(service).zip(blocks) {
+            if existing.owner.is_some() {
                 continue;
             }
-            let known = block.and_then(|block| chosen.get(&block).copied());
-            let taken = |(_, id): &&(usize, MemberId)| Some(*id) == known;
-            let Some(least) = owners.iter().find(taken).or_else(|| owners.first()).copied() else {
+            let block_owner = block.and_then(|block| chosen.get(&block).copied());
+            let is_block_owner = |(_, id): &&(usize, MemberId)| Some(*id) == block_owner;
+            let Some(least) =
+                owners.iter().find(is_block_owner).or_else(|| owners.first()).copied()
+            else {
                 break;
             };
             let (count, owner) = least;
@@ -44,15 +47,17 @@
             chosen.extend(block.map(|block| (block, owner)));
             let next = Assignment {
                 owner: Some(owner),
-                standby: picker.pick_in(owner, block),
-                prior: place.prior.filter(|prior| *prior != owner),
-                prior_standby: place.prior_standby.filter(|prior_standby| *prior_standby != owner),
+                standby: picker.pick_for_block(owner, block),
+                prior: existing.prior.filter(|prior| *prior != owner),
+                prior_standby: existing
+                    .prior_standby
+                    .filter(|prior_standby| *prior_standby != owner),
                 version: offset,
                 token: offset,
             };
-            picker.take(place);
-            picker.give(&next);
-            *place = next;
+            picker.remove(existing);
+            picker.add(&next);
+            *existing = next;
         }
         Ok(())
     }
@@ -60,7 +65,7 @@
     /// Makes a service whose keys are numbers, if the record divides it and none is there.
     ///
     /// Nothing is made for a record that is rejected: a service without a candidate stays unknown.
-    fn found(&mut self, workspace: &str, slots: u32) -> Result<(), Rejection> {
+    fn create_numeric_service(&mut self, workspace: &str, slots: u32) -> Result<(), Rejection> {
         if slots == 0 || self.services.contains_key(workspace) {
             return Ok(());
         }
@@ -84,17 +89,18 @@
         offset: Offset,
         record: &log::Switchover,
     ) -> Result<(), Rejection> {
-        let owner = self.present(record.member)?;
-        let service = self.in_force(&record.workspace)?;
+        let owner = self.require_present(record.member)?;
+        let service = self.active_service(&record.workspace)?;
         let units = current_units(service, &record.units)?;
         for (unit, assignment) in &units {
-            owned_by(*unit, assignment, owner)?;
-            let standby = assignment.standby.filter(|standby| self.alive(standby.0).is_ok());
+            check_owner(*unit, assignment, owner)?;
+            let standby =
+                assignment.standby.filter(|standby| self.require_alive(standby.0).is_ok());
             standby.ok_or(Rejection::NotStandby { slot: unit.slot })?;
         }
         let units: Vec<_> = units.into_iter().map(|(unit, _)| unit).collect();
-        let stays = self.alive(owner.0).is_ok();
-        self.change(&record.workspace, &units, |a| Assignment {
+        let remains = self.require_alive(owner.0).is_ok();
+        self.update_assignments(&record.workspace, &units, |a| Assignment {
             owner: a.standby,
             standby: Some(owner),
             prior: Some(owner),
@@ -104,7 +110,7 @@
             token: offset,
         });
         // A member that leaves gets no new role.
-        if !stays {
+        if !remains {
             self.pick_standbys(&record.workspace, &units);
         }
         Ok(())
@@ -115,8 +121,8 @@
         offset: Offset,
         record: &log::Handoff,
     ) -> Result<(), Rejection> {
-        let standby = self.present(record.member)?;
-        let service = self.in_force(&record.workspace)?;
+        let standby = self.require_present(record.member)?;
+        let service = self.active_service(&record.workspace)?;
         let target = MemberId(record.target);
         let fits = self.members_of(&record.workspace).any(|member| member.id == target);
         let units = current_units(service, &record.units)?;
@@ -131,18 +137,18 @@
         }
         let units: Vec<_> = units.into_iter().map(|(unit, _)| unit).collect();
         let change = |a: Assignment| Assignment { standby: Some(target), version: offset, ..a };
-        self.change(&record.workspace, &units, change);
+        self.update_assignments(&record.workspace, &units, change);
         Ok(())
     }
 
     pub(super) fn split(&mut self, offset: Offset, record: &log::Split) -> Result<(), Rejection> {
-        let owner = self.present(record.member)?;
-        let service = self.in_force(&record.workspace)?;
+        let owner = self.require_present(record.member)?;
+        let service = self.active_service(&record.workspace)?;
         let slots: Vec<_> = record.units.iter().map(|u| log::Unit { key: None, ..*u }).collect();
         let mut keys = BTreeSet::new();
         for (unit, slot) in record.units.iter().zip(&slots) {
             let slot = current_unit(service, slot)?;
-            owned_by(slot.0, &slot.1, owner)?;
+            check_owner(slot.0, &slot.1, owner)?;
             let key = unit.key.map(KeyHash).filter(|key| service.unit_of(*key) == slot.0);
             if !key.is_some_and(|key| keys.insert(key)) {
                 return Err(Rejection::UnknownUnit { slot: unit.slot });
@@ -157,7 +163,7 @@
         // The slot gets a new version too: under the old one a standby that lags
         // behind the log could take the slot, released to it, with the hot key in it.
         let units: Vec<_> = slots.iter().map(|unit| UnitId::slot(unit.slot)).collect();
-        self.change(&record.workspace, &units, |a| Assignment { version: offset, ..a });
+        self.update_assignments(&record.workspace, &units, |a| Assignment { version: offset, ..a });
         let Some(service) = self.services.get_mut(&*record.workspace) else { return Ok(()) };
         for (key, unit) in record.units.iter().filter_map(|unit| Some((KeyHash(unit.key?), unit))) {
             let Some(assignment) = service.assignment(UnitId::slot(unit.slot)).copied() else {
@@ -170,14 +176,14 @@
     }
 
     pub(super) fn merge(&mut self, offset: Offset, record: &log::Merge) -> Result<(), Rejection> {
-        let owner = self.present(record.member)?;
-        let service = self.in_force(&record.workspace)?;
+        let owner = self.require_present(record.member)?;
+        let service = self.active_service(&record.workspace)?;
         let mut merged = Vec::new();
         for (unit, hot) in current_units(service, &record.units)? {
-            owned_by(unit, &hot, owner)?;
+            check_owner(unit, &hot, owner)?;
             let key = unit.key.ok_or(Rejection::UnknownUnit { slot: unit.slot })?;
             let slot = service.assignment(UnitId::slot(unit.slot));
-            let same = slot.is_some_and(|slot| alike(slot, &hot));
+            let same = slot.is_some_and(|slot| mergeable(slot, &hot));
             if !same {
                 return Err(Rejection::Differs { slot: unit.slot });
             }
@@ -190,7 +196,7 @@
                 version: offset,
                 ..a
             };
-            self.change(&record.workspace, &[UnitId::slot(slot)], joined);
+            self.update_assignments(&record.workspace, &[UnitId::slot(slot)], joined);
             self.counts.remove(&hot);
             if let Some(service) = self.services.get_mut(&*record.workspace) {
                 service.hot.remove(&key);
@@ -204,33 +210,33 @@
         let Some(service) = self.services.get_mut(workspace) else { return };
         let mut picker = Picker::new(&mut self.counts, &self.members, workspace);
         for unit in units {
-            let Some(place) = service.assignment_mut(*unit) else { continue };
-            picker.take(place);
-            place.standby = place.owner.and_then(|owner| picker.pick(owner));
-            picker.give(place);
+            let Some(existing) = service.assignment_mut(*unit) else { continue };
+            picker.remove(existing);
+            existing.standby = existing.owner.and_then(|owner| picker.pick(owner));
+            picker.add(existing);
         }
     }
 
     /// Returns the service of a workspace whose route is in force.
-    fn in_force(&self, workspace: &str) -> Result<&Service, Rejection> {
+    fn active_service(&self, workspace: &str) -> Result<&Service, Rejection> {
         self.service(workspace)
             .ok_or_else(|| Rejection::UnknownService { workspace: Name::from(workspace) })
     }
 
     /// Replaces assignments and keeps the counts in step.
-    fn change(
+    fn update_assignments(
         &mut self,
         workspace: &str,
         units: &[UnitId],
-        change: impl Fn(Assignment) -> Assignment,
+        update: impl Fn(Assignment) -> Assignment,
     ) {
         let Some(service) = self.services.get_mut(workspace) else { return };
         for unit in units {
-            let Some(place) = service.assignment_mut(*unit) else { continue };
-            let next = change(*place);
-            self.counts.remove(place);
+            let Some(existing) = service.assignment_mut(*unit) else { continue };
+            let next = update(*existing);
+            self.counts.remove(existing);
             self.counts.add(&next);
-            *place = next;
+            *existing = next;
         }
     }
 }
@@ -267,7 +273,7 @@
     Ok((id, assignment))
 }
 
-fn owned_by(unit: UnitId, assignment: &Assignment, owner: MemberId) -> Result<(), Rejection> {
+fn check_owner(unit: UnitId, assignment: &Assignment, owner: MemberId) -> Result<(), Rejection> {
     if assignment.owner == Some(owner) {
         return Ok(());
     }
@@ -275,7 +281,7 @@
 }
 
 /// Returns true when a slot can take back a hot key without a change of rights.
-fn alike(slot: &Assignment, hot: &Assignment) -> bool {
+fn mergeable(slot: &Assignment, hot: &Assignment) -> bool {
     let fits = |one: Option<MemberId>, other: Option<MemberId>| {
         one.is_none() || other.is_none() || one == other
     };
