--- a/acaciaring_core/src/state/assignment.rs
+++ b/acaciaring_core/src/state/assignment.rs
@@ -1,23 +1,23 @@
-//! Assignments of slots and hot keys.
+//! Assignments of slots and hot keys to owners and standbys.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
 use crate::id::{KeyHash, MemberId, Name, Offset, Slot, UnitId};
 
-/// Who owns a unit and who stands by.
+/// Owner and standby of a unit, and former owners that may still serve it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Assignment {
     /// Member that owns the unit.
     pub owner: Option<MemberId>,
-    /// Member that takes over when the owner is lost.
+    /// Member that takes over when the owner fails.
     pub standby: Option<MemberId>,
-    /// Former owner whose release is not known from the log.
+    /// Former owner that may not have released the unit yet.
     pub prior: Option<MemberId>,
-    /// Standby of the former process in whose place the owner is.
+    /// Standby of the predecessor that the owner replaced.
     ///
-    /// It may have taken over before it read that the owner is there again, so the owner waits for
-    /// its release as for that of `prior`.
+    /// It may have taken over before it read the replacement in the log, so the owner waits for its
+    /// release as for that of `prior`.
     pub prior_standby: Option<MemberId>,
     /// Offset of the record that last changed this assignment.
     pub version: Offset,
@@ -25,40 +25,42 @@
     pub token: Offset,
 }
 
-/// Hot key that is a unit of its own.
+/// Hot key, split from its slot into a unit of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct HotKey {
-    /// Slot to which the key hashes.
+    /// Slot that contains the key.
     pub slot: Slot,
-    /// Who owns the key.
+    /// Assignment of the key.
     pub assignment: Assignment,
 }
 
-/// Assignments of a workspace's service that is divided by key.
+/// Assignments of a workspace's service that is partitioned by key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Service {
     /// Name of the workspace.
     pub workspace: Name,
     /// Assignment of each slot.
     pub slots: Vec<Assignment>,
-    /// Hot keys, each with its own assignment.
+    /// Hot keys with their assignments.
     pub hot: BTreeMap<KeyHash, HotKey>,
-    /// True when an assignment made the service: its keys are numbers, and each slot has a range of them.
+    /// True if keys are numbers and each slot is a range of them; false if keys are hashed.
+    ///
+    /// An `Assign` record creates such a service; any other comes from a route.
     pub numeric: bool,
 }
 
-/// Blocks of slots for each member of a numeric service, up to twice as many.
+/// Least number of slot blocks per member of a numeric service; there are up to twice as many.
 const BLOCKS_PER_MEMBER: u32 = 32;
 
-/// Count of the numbers that are keys of a numeric service.
+/// Number of keys of a numeric service, which are `0..NUMERIC_KEYS`.
 pub const NUMERIC_KEYS: u32 = 1 << 16;
 
 impl Service {
-    /// Returns the unit that covers a key: the hot key itself or its slot.
+    /// Returns the unit that contains a key: the hot key itself or its slot.
     ///
     /// # Panics
     ///
-    /// Panics when the service has no or more than `u32::MAX` slots; the fold makes no such service.
+    /// Panics if the service has no slots or more than `u32::MAX`, which the fold rules out.
     #[must_use]
     pub fn unit_of(&self, key: KeyHash) -> UnitId {
         let count = u32::try_from(self.slots.len()).expect("slots are counted by a u32");
@@ -67,7 +69,9 @@
         UnitId { slot, key: hot.then_some(key) }
     }
 
-    /// Returns the keys of a unit of a numeric service, without the hot keys in its slot; in order.
+    /// Returns the key ranges of a unit of a numeric service in order.
+    ///
+    /// Those of a slot exclude its hot keys.
     #[must_use]
     pub fn key_ranges(&self, unit: UnitId) -> Vec<RangeInclusive<u32>> {
         if let Some(key) = unit.key {
@@ -94,11 +98,11 @@
         ranges
     }
 
-    /// Returns the block of neighbouring slots to which a slot belongs, where it has `members`.
+    /// Returns the block of adjacent slots that contains a slot, given the number of members.
     ///
-    /// Slots of a numeric service are small, so that a few busy neighbours can be parted. What is
-    /// assigned, taken over or filled goes by blocks, or an upstream would hold so many
-    /// separate ranges that its grants fit no message.
+    /// Slots of a numeric service are small, so that busy adjacent keys can be separated.
+    /// Assignment and failover work on whole blocks: otherwise an upstream would own so many
+    /// disjoint ranges that its grants exceed the size limit of a message.
     #[must_use]
     pub fn block(&self, slot: Slot, members: usize) -> u32 {
         let slots = u32::try_from(self.slots.len()).unwrap_or(u32::MAX);
@@ -107,7 +111,7 @@
         slot / prior_power_of_two(size)
     }
 
-    /// Returns the assignment of a unit.
+    /// Returns the assignment of a unit, or `None` when the service has no such unit.
     #[must_use]
     pub fn assignment(&self, unit: UnitId) -> Option<&Assignment> {
         match unit.key {
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Returns every unit with its assignment, slots first.
+    /// Returns all units with their assignments, slots first.
     pub fn units(&self) -> impl Iterator<Item = (UnitId, &Assignment)> {
         let slots = (0..).zip(&self.slots).map(|(slot, a)| (UnitId::slot(slot), a));
         let hot = self
@@ -134,14 +138,14 @@
     }
 }
 
-/// Returns the slot of a key that is a number: slots have ranges of the same length.
+/// Returns the slot of a numeric key; all slots have ranges of about the same length.
 fn slot_of_number(key: KeyHash, slots: u32) -> Slot {
     let number = key.0.min(u64::from(NUMERIC_KEYS) - 1);
     let slot = number * u64::from(slots) / u64::from(NUMERIC_KEYS);
     Slot::try_from(slot).unwrap_or(0)
 }
 
-/// Returns the highest power of two up to a number, 1 for 0.
+/// Returns the highest power of two not above a number, 1 for 0.
 const fn prior_power_of_two(number: u32) -> u32 {
     match number.checked_ilog2() {
         Some(power) => 1 << power,
--- a/acaciaring_core/src/state/counts.rs
+++ b/acaciaring_core/src/state/counts.rs
@@ -1,11 +1,11 @@
-//! Counts derived from members and assignments, so that no record needs a scan per unit.
+//! Role counts derived from members and assignments, so that folding needs no scan per unit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Assignment, Member};
 use crate::id::{MemberId, Name};
 
-/// Roles of members, kept in step with every change of an assignment or a lessor set.
+/// Role counts and candidates, updated with every change of an assignment or a member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct Counts {
     owned: BTreeMap<MemberId, usize>,
@@ -16,33 +16,33 @@
 }
 
 impl Counts {
-    /// Returns how many units a member owns.
+    /// Returns the number of units that a member owns.
     pub(super) fn owned_count(&self, member: MemberId) -> usize {
         self.owned.get(&member).copied().unwrap_or(0)
     }
 
-    /// Returns for how many units a member stands by.
+    /// Returns the number of units whose standby is this member.
     pub(super) fn standby_count(&self, member: MemberId) -> usize {
         self.standby.get(&member).copied().unwrap_or(0)
     }
 
-    /// Returns how many members that are not dead have this one as lessor.
+    /// Returns the number of alive or leaving members that have this one as a lessor.
     pub(super) fn holder_count(&self, lessor: MemberId) -> usize {
         self.holders.get(&lessor).copied().unwrap_or(0)
     }
 
-    /// Returns the standbys of an owner, each with the count of units.
+    /// Returns the standbys of an owner with the number of its units that each is standby of.
     pub(super) fn standbys(&self, owner: MemberId) -> impl Iterator<Item = (MemberId, usize)> {
         let range = (owner, MemberId(0))..=(owner, MemberId(u64::MAX));
         self.pairs.range(range).map(|((_, standby), count)| (*standby, *count))
     }
 
-    /// Returns the members that are alive and attached to a workspace, in order of joining.
+    /// Returns the alive members attached to a workspace, in join order.
     pub(super) fn candidates(&self, workspace: &str) -> impl Iterator<Item = MemberId> {
         self.attached.get(workspace).into_iter().flatten().copied()
     }
 
-    /// Counts the roles of an assignment.
+    /// Adds the roles of an assignment.
     pub(super) fn add(&mut self, assignment: &Assignment) {
         let Assignment { owner, standby, .. } = *assignment;
         increase(&mut self.owned, owner);
@@ -58,7 +58,7 @@
         decrease(&mut self.pairs, owner.zip(standby));
     }
 
-    /// Counts a member as holder of its lessors.
+    /// Adds a lease holder to each of its lessors.
     pub(super) fn add_lessors(&mut self, lessors: &[MemberId]) {
         increase(&mut self.holders, lessors.iter().copied());
     }
@@ -68,7 +68,7 @@
         decrease(&mut self.holders, lessors.iter().copied());
     }
 
-    /// Makes a member a candidate for roles in its workspace, if it may have any.
+    /// Makes a member a candidate for roles in its workspace if it is alive and attached.
     pub(super) fn add_candidate(&mut self, member: &Member) {
         if let Some(attachment) = member.attachment.as_ref().filter(|_| member.alive()) {
             let workspace = Name::clone(&attachment.workspace);
@@ -93,7 +93,7 @@
     }
 }
 
-/// Lowers counts; zero is kept out of the map so that equal states compare as equal.
+/// Decrements counts and removes those that reach zero, so that equal states compare equal.
 fn decrease<K: Ord>(counts: &mut BTreeMap<K, usize>, keys: impl IntoIterator<Item = K>) {
     for key in keys {
         let Some(count) = counts.get_mut(&key) else { continue };
--- a/acaciaring_core/src/state/documents.rs
+++ b/acaciaring_core/src/state/documents.rs
@@ -1,4 +1,4 @@
-//! Published documents and the routes built from them.
+//! Publication of documents, and the routes built from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,19 +9,19 @@
 use crate::id::{Name, Offset};
 use crate::route::{self, Division, Document, DocumentField, DocumentKind, Fault, Route};
 
-/// Document with the version that is in force.
+/// Document with its current version.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Published {
-    /// Document, without fields when it is retired.
+    /// Content, without fields when the document is retired.
     pub document: Document,
-    /// Offset of the record in force.
+    /// Offset of the record that last changed the document.
     pub version: Offset,
-    /// True when the document is no longer in force; its version stays known.
+    /// True if the document is retired and only its version is retained.
     pub retired: bool,
 }
 
 impl Published {
-    /// Returns the template that parameters in force name.
+    /// Returns the template that these parameters use, or `None` if they are retired.
     fn template(&self) -> Option<&Name> {
         let is_template_name =
             |field: &&DocumentField| &*field.section == "workspace" && &*field.key == "template";
@@ -71,9 +71,8 @@
             return Err(Rejection::InUse { workspace: Name::clone(&user.document.name) });
         }
         if kind == DocumentKind::Parameters {
-            // The service stays, out of reach: a member that lags behind the log may
-            // serve its units still, so whoever publishes the workspace anew must not
-            // find them without owner.
+            // The service stays, without a route: a member that lags behind the log may still
+            // serve its units, so they must keep their owners if the workspace is published again.
             self.routes.remove(&name);
         }
         let document = Document { name, kind, fields: Vec::new() };
@@ -81,12 +80,12 @@
         Ok(())
     }
 
-    /// Returns the parameters in force that use a template.
+    /// Returns the active parameters that use a template.
     fn users_of(&self, template: &str) -> impl Iterator<Item = &Published> {
         self.parameters.values().filter(move |p| p.template().is_some_and(|t| &**t == template))
     }
 
-    /// Builds the routes that a document changes.
+    /// Builds the routes that depend on a document.
     pub(super) fn build_affected(&self, published: &Published) -> Result<Vec<Route>, Rejection> {
         let document = &published.document;
         let pairs: Vec<(&Document, &Document)> = match document.kind {
@@ -106,7 +105,7 @@
         if faults.is_empty() { Ok(routes) } else { Err(Rejection::Invalid { faults }) }
     }
 
-    /// Returns the template in force that parameters name.
+    /// Returns the active template that parameters use.
     fn template_of(&self, parameters: &Published) -> Result<&Document, Rejection> {
         let template = parameters.template().and_then(|name| self.templates.get(name));
         let template = template.filter(|template| !template.retired);
@@ -116,7 +115,7 @@
         })
     }
 
-    /// Checks changed routes against each other, the other routes and the services.
+    /// Checks changed routes for conflicts with each other, with other routes and with services.
     pub(super) fn check_routes(&self, changed: &[Route]) -> Result<(), Rejection> {
         let names: BTreeSet<_> = changed.iter().map(|route| &route.workspace).collect();
         let others = self.routes.values().filter(|route| !names.contains(&route.workspace));
@@ -137,10 +136,11 @@
         if faults.is_empty() { Ok(()) } else { Err(Rejection::Invalid { faults }) }
     }
 
-    /// Returns true when no key can get a second owner by the route's division.
+    /// Returns true if the route's partitioning cannot give a key a second owner.
     ///
-    /// Members that lag behind the log place keys by the old division. A service
-    /// whose route was retired may change once none of its units has an owner.
+    /// Members that lag behind the log map keys to units by the old partitioning, so it must not
+    /// change while the route is active. After the route is retired it may change once no unit
+    /// has an owner or former owner.
     fn division_allowed(&self, route: &Route) -> bool {
         if let Some(present) = self.routes.get(&route.workspace) {
             return present.division == route.division;
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Puts routes in force, each with its service when it is divided by key.
+    /// Installs routes and creates the services of those that are partitioned by key.
     fn install_routes(&mut self, routes: Vec<Route>) {
         for route in routes {
             let workspace = Name::clone(&route.workspace);
@@ -182,7 +182,7 @@
     }
 }
 
-/// Returns the count of slots of a route's service, 0 when it is not divided by key.
+/// Returns the number of slots of a route's service, 0 if it is not partitioned by key.
 pub(super) fn slot_count(route: &Route) -> usize {
     match route.division {
         Division::Keyed { slots, .. } => usize::try_from(slots).unwrap_or(usize::MAX),
--- a/acaciaring_core/src/state/fold.rs
+++ b/acaciaring_core/src/state/fold.rs
@@ -1,4 +1,4 @@
-//! Fold of one record into the state.
+//! Folding of one log record into the state.
 
 use acaciaring_schema::log::Record;
 use acaciaring_schema::log::record::Body;
@@ -10,14 +10,14 @@
 /// Record with a well-formed id and a known body.
 #[derive(Debug)]
 pub(super) struct Decoded {
-    /// Id.
     pub(super) id: RecordId,
-    /// What the record says.
     pub(super) body: Body,
 }
 
 impl Decoded {
-    /// Decodes any bytes; every member comes to the same result.
+    /// Decodes a record, or returns `None` for bytes that are not a known record.
+    ///
+    /// The result depends on the bytes alone, so all members agree on it.
     pub(super) fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let record = Record::decode(bytes).ok()?;
         Some(Self { id: record.id.try_into().ok()?, body: record.body? })
@@ -25,14 +25,14 @@
 }
 
 impl State {
-    /// Folds the record at `offset`, whatever its bytes are.
+    /// Folds the record at `offset`; any bytes are accepted.
     ///
-    /// A gap changes nothing; any other outcome moves the state past `offset`.
+    /// [`Outcome::Gap`] leaves the state unchanged; any other outcome advances it past `offset`.
     pub fn fold(&mut self, offset: Offset, record: &[u8]) -> Outcome {
         self.fold_decoded(offset, Decoded::from_bytes(record).as_ref())
     }
 
-    /// Folds a record that was decoded before, `None` when it does not decode.
+    /// Folds a decoded record, `None` when it does not decode.
     pub(super) fn fold_decoded(&mut self, offset: Offset, record: Option<&Decoded>) -> Outcome {
         let expected = self.next.max(1);
         if offset != expected {
@@ -47,12 +47,12 @@
     }
 
     fn apply_once(&mut self, offset: Offset, record: &Decoded) -> Outcome {
-        // Parts of snapshots change nothing, so a duplicate of one is harmless.
+        // Snapshot records do not change the state, so duplicates are harmless.
         if matches!(record.body, Body::Chunk(_) | Body::Commit(_)) {
             return Outcome::Applied;
         }
-        // A rejected record is remembered too: its proposer was told that it has
-        // no effect, so a second copy of it must not have one either.
+        // The id of a rejected record is kept too: its proposer was told that it has no
+        // effect, so a duplicate must not take effect later.
         if !self.recent.insert(record.id) {
             return Outcome::Duplicate;
         }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Applies a record as a whole, or rejects it and changes nothing.
+    /// Applies a record atomically, or rejects it and changes nothing.
     fn apply(&mut self, offset: Offset, body: &Body) -> Result<(), Rejection> {
         match body {
             Body::Publish(publish) => self.publish(offset, publish),
--- a/acaciaring_core/src/state/lessors.rs
+++ b/acaciaring_core/src/state/lessors.rs
@@ -1,4 +1,4 @@
-//! Choice of lessors: other data centres first, evenly spread.
+//! Selection of lessors: spread over data centres and balanced over members.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use super::{Member, Rejection, State};
 use crate::id::{MemberId, Offset};
 
-/// Most lessors of a member.
+/// Maximum number of lessors of a member.
 pub const LESSORS_MAX: usize = 3;
 
 impl State {
@@ -37,30 +37,30 @@
         Ok(())
     }
 
-    /// Returns up to three lessors for a member, sorted.
+    /// Returns up to [`LESSORS_MAX`] lessors for a member, sorted.
     ///
-    /// They are in three different data centres of the member's region; other
-    /// regions fill up when it has fewer, and a second lessor in one data centre
-    /// is the last resort. Fewest holders go first, then the lowest id.
+    /// They are in different data centres, preferably of the member's region. Two lessors in one
+    /// data centre are the last resort. Ties go to the member that is lessor of the fewest others,
+    /// then to the lowest id.
     #[must_use]
     pub fn choose_lessors(&self, member: &Member) -> Vec<MemberId> {
         self.complete(member, Vec::new(), &[])
     }
 
-    /// Returns a better set of lessors, or `None` when the present one will do.
+    /// Returns a better set of lessors, or `None` if the current set needs no change.
     ///
-    /// A lessor is replaced when it is dead or leaving, shares its data centre
-    /// with another lessor while there is a choice, or is in another region while
-    /// a further data centre of the own one has a candidate; as few as possible are.
+    /// Replaces as few lessors as possible: those that are dead or leaving, that share a data
+    /// centre with another lessor while there is an alternative, or that are in another region
+    /// while an unused data centre of the member's region has a candidate.
     ///
-    /// Guards against a region that stops when it is cut off: its first members
-    /// had only foreign lessors to choose from, and would keep them.
+    /// Guards against a region that stops serving in a network partition because its first
+    /// members keep the lessors of other regions that they had to choose at the start.
     #[must_use]
     pub fn better_lessors(&self, member: &Member) -> Option<Vec<MemberId>> {
         self.better_lessors_excluding(member, &[])
     }
 
-    /// Does the same as [`State::better_lessors`], without lessors of which the member hears nothing.
+    /// Same as [`State::better_lessors`], without the lessors in `unresponsive`.
     #[must_use]
     pub fn better_lessors_excluding(
         &self,
@@ -82,7 +82,7 @@
             kept.push(candidate);
         }
         split_by_data_centre(foreign, &mut kept, &mut duplicates);
-        // A second lessor of a data centre stays unless one from another data centre takes its place.
+        // A candidate from an unused data centre replaces a duplicate; without one it stays.
         while kept.len() < LESSORS_MAX
             && let Some(candidate) = self.best_in_new_data_centre(member, &kept, unresponsive)
         {
@@ -94,7 +94,7 @@
         (set != member.lessors && !set.is_empty()).then_some(set)
     }
 
-    /// Fills up a set of lessors and returns it sorted.
+    /// Completes a set of lessors and returns it sorted.
     fn complete<'a>(
         &'a self,
         member: &Member,
@@ -103,7 +103,6 @@
     ) -> Vec<MemberId> {
         while chosen.len() < LESSORS_MAX {
             let any_data_centre = || self.best_candidate(member, &chosen, unresponsive, |_| true);
-            // For want of another data centre, the best candidate anywhere.
             let next = self
                 .best_in_new_data_centre(member, &chosen, unresponsive)
                 .or_else(any_data_centre);
@@ -146,7 +145,7 @@
     }
 }
 
-/// Keeps one lessor of each data centre and sets the others aside.
+/// Moves the first lessor of each data centre to `kept` and the others to `duplicates`.
 fn split_by_data_centre<'a>(
     lessors: Vec<&'a Member>,
     kept: &mut Vec<&'a Member>,
--- a/acaciaring_core/src/state/member.rs
+++ b/acaciaring_core/src/state/member.rs
@@ -1,17 +1,17 @@
-//! Members as recorded in the log.
+//! Cluster members as recorded in the log.
 
 use acaciaring_schema::log;
 
 use crate::id::{MemberId, Name, Offset};
 
-/// Phase of a member's life; it only moves forward.
+/// Lifecycle phase of a member; it only advances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// Takes part in everything.
+    /// Eligible for all roles.
     Alive,
-    /// Gets no new work and gives away what it has.
+    /// Gets no new roles and hands over those it has.
     Leaving,
-    /// Evicted, or gone by its own word.
+    /// Evicted, replaced by a later process, or exited.
     Dead,
 }
 
@@ -20,22 +20,22 @@
 pub struct Attachment {
     /// Name of the workspace.
     pub workspace: Name,
-    /// Address of the upstream, for the eyes of operators.
+    /// Address of the upstream.
     pub upstream: Name,
-    /// True when the upstream checks fences.
+    /// True if the upstream checks fencing tokens.
     pub fenced: bool,
-    /// Identity of this start of the upstream, empty where it names none.
+    /// Instance id of the upstream process, empty when it reports none.
     pub instance: Name,
 }
 
-/// One process, from its start to its end.
+/// Cluster member: one run of a router process.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// Identity, the offset of the `Join` record.
+    /// Id: the offset of the `Join` record.
     pub id: MemberId,
     /// Name of the VM.
     pub vm: Name,
-    /// Random number of the process start.
+    /// Random number drawn at the start of the process.
     pub nonce: u64,
     /// Data centre.
     pub data_centre: Name,
@@ -47,20 +47,20 @@
     pub peer: Name,
     /// Address for callers.
     pub http: Name,
-    /// SHA-256 of the certificate that the process made for itself, empty with an authority.
+    /// SHA-256 of the self-signed certificate, empty when a certificate authority is used.
     pub fingerprint: Vec<u8>,
-    /// What the member's upstream serves.
+    /// Workspace and upstream that the member is attached to.
     pub attachment: Option<Attachment>,
-    /// Offset of the record that set the lessors.
+    /// Version of the lessor set: the offset of the record that set it.
     pub version: Offset,
     /// Lessors, sorted.
     pub lessors: Vec<MemberId>,
-    /// Phase.
+    /// Lifecycle phase.
     pub phase: Phase,
 }
 
 impl Attachment {
-    /// Reads an attachment as recorded.
+    /// Converts an `Attach` record.
     pub(super) fn read(attach: &log::Attach) -> Self {
         Self {
             workspace: attach.workspace.as_str().into(),
@@ -72,7 +72,7 @@
 }
 
 impl Member {
-    /// Returns a member as it is when its start is recorded, without lessors.
+    /// Returns the member that a `Join` record at `offset` creates, without lessors.
     pub(super) fn started(offset: Offset, join: &log::Join) -> Self {
         Self {
             id: MemberId(offset),
@@ -91,14 +91,14 @@
         }
     }
 
-    /// Returns true when the member may get new work.
+    /// Returns true if the member may get new roles.
     #[must_use]
     pub fn alive(&self) -> bool {
         self.phase == Phase::Alive
     }
 }
 
-/// Returns how many of `count` lessors make a majority.
+/// Returns the size of a majority of `count` lessors.
 #[must_use]
 pub const fn majority(count: usize) -> usize {
     count / 2 + 1
--- a/acaciaring_core/src/state/members.rs
+++ b/acaciaring_core/src/state/members.rs
@@ -1,4 +1,4 @@
-//! Records about members: join, attach, detach, leave, exit and evict.
+//! Membership records: join, attach, detach, leave, exit and evict.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use super::{Assignment, Attachment, Member, Phase, Rejection, Service, State, majority};
 use crate::id::{MemberId, Name, Offset};
 
-/// Most dead members that are remembered, the latest to die.
+/// Maximum number of dead members retained, apart from lessors of other members.
 pub const DEAD_MAX: usize = 1024;
 
 impl State {
@@ -36,13 +36,12 @@
         Ok(())
     }
 
-    /// Puts a member in the place of the former one beside the same upstream.
+    /// Transfers the roles of a crashed router process to the restarted one at the same upstream.
     ///
-    /// Guards against a process that is killed beside an upstream that lives on: each restart
-    /// would wait until the former identity is proved expired, and then move all its keys, cold,
-    /// to other upstreams. The upstream reaches one process only, so the former one has ended;
-    /// what it was to release, the later one releases. The same holds for another start of the
-    /// upstream at the same address: the former start has ended too and holds nothing.
+    /// Guards against a restart that waits for the lease of its predecessor to expire and then
+    /// moves all its keys to other, cold upstreams. An upstream talks to one process only, so the
+    /// predecessor has ended, and the new process makes its outstanding releases. The same holds
+    /// after a restart of the upstream at the same address: the former instance holds no keys.
     fn replace_predecessor(&mut self, offset: Offset, id: MemberId) {
         let Some(predecessor) = self.predecessor(id) else { return };
         let Some(member) = self.members.get_mut(&predecessor) else { return };
@@ -55,7 +54,7 @@
         self.prune_dead();
     }
 
-    /// Returns the latest earlier member that is not dead on the same VM and address, with the same upstream.
+    /// Returns the latest earlier, not dead member with the same VM, address and upstream.
     fn predecessor(&self, id: MemberId) -> Option<MemberId> {
         let member = self.members.get(&id)?;
         let attachment = member.attachment.as_ref().filter(|own| !own.instance.is_empty())?;
@@ -87,13 +86,13 @@
         Ok(())
     }
 
-    /// Lets a member leave that has read of all that it owns.
+    /// Marks a member as leaving if it has folded all records that made it an owner.
     ///
-    /// Guards against two members that leave together, one of which stands by for the other: the
-    /// first record makes the second member the owner, which has to wait for the first one's
-    /// release. Its own record, proposed before it read that, would make it the former owner of
-    /// units that it never served, nobody would wait for the first member any more, and two
-    /// upstreams would hold one key. The record is rejected, and the member leaves once it serves.
+    /// Guards against two owners of a key when an owner and its standby leave concurrently. The
+    /// first `Leave` makes the standby the owner, which must wait for the release by the first
+    /// member. If a `Leave` that the standby proposed before it read that were accepted, the next
+    /// owner would wait for the standby, which never served the unit, and not for the first
+    /// member. The rejected standby proposes again once it serves its units.
     pub(super) fn leave(&mut self, offset: Offset, leave: log::Leave) -> Result<(), Rejection> {
         let id = self.require_alive(leave.member)?;
         let unread = |a: &Assignment| a.owner == Some(id) && a.token >= leave.applied;
@@ -127,22 +126,21 @@
         Ok(())
     }
 
-    /// Returns true when a later member has taken the VM's name and the address of this one.
+    /// Returns true if `successor` is a later member with the same VM name and peer address.
     ///
-    /// Guards against a place that starts again as a whole: the lessors of all
-    /// members are gone, nobody can vote, and every key would keep an owner that
-    /// no longer runs. The address reaches one process only. So the former one
-    /// gets no grant since then, and grants it may still send answer renewals
-    /// whose time has run out at their holders.
+    /// Guards against members that can never be evicted after a restart of the whole cluster: all
+    /// their lessors are gone, so there are no votes. An address reaches one process only, so the
+    /// former process can renew no lease since the later one joined, and any grants that it
+    /// still sends belong to renewals that have already expired at their holders.
     fn was_replaced(&self, member: &Member, successor: Offset) -> bool {
         let later = self.members.get(&MemberId(successor)).filter(|later| later.id > member.id);
         later.is_some_and(|later| later.vm == member.vm && later.peer == member.peer)
     }
 
-    /// Returns true when votes and lapsed lessors are a majority of the member's lessors.
+    /// Returns true if the votes and the dead lessors form a majority of the member's lessors.
     ///
-    /// A vote for another version must not count: the member may have dropped
-    /// the set in which the lessor voted, so that the majorities would not meet.
+    /// A vote for another version of the lessor set is invalid: majorities of different sets need
+    /// not intersect, so the member could still hold a lease from the current set.
     fn has_eviction_proof(&self, member: &Member, evict: &log::Evict) -> bool {
         let mut proofs = BTreeSet::new();
         let votes = evict.votes.iter().all(|vote| {
@@ -153,13 +151,13 @@
             counts_as_vote(self.members.get(&MemberId(*lessor))) && proofs.insert(MemberId(*lessor))
         });
         let lessors = proofs.iter().all(|lessor| member.lessors.contains(lessor));
-        // A member without lessors never had a lease, so there is nothing to prove.
+        // A member without lessors never had a lease, so no votes are needed.
         let never_leased = member.lessors.is_empty() && proofs.is_empty();
         let enough = never_leased || proofs.len() >= majority(member.lessors.len());
         votes && lapsed && lessors && enough
     }
 
-    /// Records a member as dead and passes on all its roles.
+    /// Marks a member as dead and reassigns its roles.
     fn mark_dead(&mut self, offset: Offset, id: MemberId) {
         let Some(member) = self.members.get_mut(&id) else { return };
         member.phase = Phase::Dead;
@@ -171,9 +169,9 @@
         self.prune_dead();
     }
 
-    /// Forgets the members that died first, but for lessors of a member that is not dead.
+    /// Removes the members that died first, except lessors of members that are not dead.
     ///
-    /// Such a lessor's recorded death may be needed to prove the end of a lease.
+    /// The recorded death of such a lessor may be needed as proof that a lease has expired.
     fn prune_dead(&mut self) {
         while self.dead.len() > DEAD_MAX {
             let Some(index) = self.dead.iter().position(|id| self.counts.holder_count(*id) == 0)
@@ -186,7 +184,7 @@
         }
     }
 
-    /// Returns the id of a member that is not dead.
+    /// Returns the member's id, or a rejection if it is unknown or dead.
     pub(super) fn require_present(&self, member: Offset) -> Result<MemberId, Rejection> {
         let id = MemberId(member);
         match self.members.get(&id).map(|member| member.phase) {
@@ -196,7 +194,7 @@
         }
     }
 
-    /// Returns the id of a member that is alive.
+    /// Returns the member's id, or a rejection if it is unknown, leaving or dead.
     pub(super) fn require_alive(&self, member: Offset) -> Result<MemberId, Rejection> {
         let id = self.require_present(member)?;
         if self.members.get(&id).is_some_and(Member::alive) {
@@ -210,10 +208,10 @@
     Rejection::UnknownMember { member: id.0 }
 }
 
-/// Returns true for a dead member whose death can stand in for its vote.
+/// Returns true for a dead member whose death counts as its vote.
 ///
-/// A member without lessors gives up its identity only when it reads its own
-/// eviction, so one that is cut off could grant on without end.
+/// The death of a member without lessors does not count: it has no lease that expires and stops
+/// only when it reads its own eviction, so in a partition it could keep granting leases.
 fn counts_as_vote(member: Option<&Member>) -> bool {
     member.is_some_and(|member| member.phase == Phase::Dead && !member.lessors.is_empty())
 }
--- a/acaciaring_core/src/state/mod.rs
+++ b/acaciaring_core/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! State folded from the control log.
+//! Replicated state machine: cluster state derived by folding the control log.
 
 mod assignment;
 mod counts;
@@ -32,14 +32,14 @@
 use crate::id::{MemberId, Name, Offset};
 use crate::route::{DocumentKind, Route};
 
-/// State that every member derives from the same records.
+/// Cluster state; members that folded the same records have equal states.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct State {
     next: Offset,
     members: BTreeMap<MemberId, Member>,
-    /// Dead members that are still remembered, in order of death.
+    /// Dead members still retained, in order of death.
     dead: VecDeque<MemberId>,
-    /// Services by workspace, also those whose route is retired.
+    /// Services by workspace, including those whose route is retired.
     services: BTreeMap<Name, Service>,
     templates: BTreeMap<Name, Published>,
     parameters: BTreeMap<Name, Published>,
@@ -50,35 +50,35 @@
 }
 
 impl State {
-    /// Returns the offset of the first record that is not folded.
+    /// Returns the offset of the next record to fold.
     #[must_use]
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Returns a member, also a dead one that is still remembered.
+    /// Returns a member, including a dead one that is still retained.
     #[must_use]
     pub fn member(&self, id: MemberId) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// Returns true for a member that is known and not dead.
+    /// Returns true for a known member that is alive or leaving.
     #[must_use]
     pub fn is_present(&self, id: MemberId) -> bool {
         self.member(id).is_some_and(|member| member.phase != Phase::Dead)
     }
 
-    /// Returns all members in order of joining.
+    /// Returns all members, dead ones included, in join order.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Returns the members that are alive and attached to a workspace, in order of joining.
+    /// Returns the alive members attached to a workspace, in join order.
     pub fn members_of(&self, workspace: &str) -> impl Iterator<Item = &Member> {
         self.counts.candidates(workspace).filter_map(|id| self.members.get(&id))
     }
 
-    /// Returns the assignments of a workspace whose service is divided by key.
+    /// Returns the assignments of a workspace whose service is partitioned by key.
     #[must_use]
     pub fn service(&self, workspace: &str) -> Option<&Service> {
         self.services.get(workspace).filter(|service| self.is_visible(service))
@@ -89,61 +89,61 @@
         self.services.values().filter(|service| self.is_visible(service))
     }
 
-    /// Returns true for a service that has a route in force, or needs none in the log.
+    /// Returns true for a service that has an active route, or is numeric and needs none.
     fn is_visible(&self, service: &Service) -> bool {
         service.numeric || self.routes.contains_key(&service.workspace)
     }
 
-    /// Returns a document, also a retired one.
+    /// Returns a document, including a retired one.
     #[must_use]
     pub fn document(&self, kind: DocumentKind, name: &str) -> Option<&Published> {
         self.published(kind).get(name)
     }
 
-    /// Returns all documents, also retired ones, templates first.
+    /// Returns all documents, including retired ones, templates first.
     pub fn documents(&self) -> impl Iterator<Item = &Published> {
         self.templates.values().chain(self.parameters.values())
     }
 
-    /// Returns the routes in force by workspace.
+    /// Returns the active routes by workspace.
     #[must_use]
     pub fn routes(&self) -> &BTreeMap<Name, Arc<Route>> {
         &self.routes
     }
 
-    /// Returns how many units a member owns.
+    /// Returns the number of units that a member owns.
     #[must_use]
     pub fn owned_count(&self, member: MemberId) -> usize {
         self.counts.owned_count(member)
     }
 
-    /// Returns for how many units a member stands by.
+    /// Returns the number of units whose standby is this member.
     #[must_use]
     pub fn standby_count(&self, member: MemberId) -> usize {
         self.counts.standby_count(member)
     }
 
-    /// Returns how many members that are not dead have this one as lessor.
+    /// Returns the number of alive or leaving members that have this one as a lessor.
     #[must_use]
     pub fn holder_count(&self, lessor: MemberId) -> usize {
         self.counts.holder_count(lessor)
     }
 
-    /// Returns true when a record with this id was folded lately, whatever came of it.
+    /// Returns true if the id is among the last [`RECENT_MAX`] folded, applied or rejected.
     #[must_use]
     pub fn is_recent(&self, id: &RecordId) -> bool {
         self.recent.contains(id)
     }
 
-    /// Returns how many records were skipped: undecodable, duplicate or rejected.
+    /// Returns the number of records without effect: undecodable, duplicate or rejected.
     #[must_use]
     pub fn skipped(&self) -> u64 {
         self.skipped
     }
 
-    /// Returns a member's place among those alive, 0 for the lowest id.
+    /// Returns a member's index among the alive members by id, or `None` when it is not alive.
     ///
-    /// The member at 0 writes the next snapshot; the others stand in for it in order.
+    /// The member at index 0 writes the next snapshot; the others are its fallbacks in order.
     #[must_use]
     pub fn snapshot_rank(&self, me: MemberId) -> Option<usize> {
         let mut alive = self.members.values().filter(|member| member.alive());
--- a/acaciaring_core/src/state/outcome.rs
+++ b/acaciaring_core/src/state/outcome.rs
@@ -1,49 +1,49 @@
-//! What the fold makes of one record.
+//! Outcomes of folding one record.
 
 use snafu::Snafu;
 
 use crate::id::{MemberId, Name, Offset, Slot};
 use crate::route::Fault;
 
-/// Effect of one record on the state, the same for every member that folds it.
+/// Effect of one record on the state, the same at every member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The record took effect.
     Applied,
     /// A record with this id was folded before.
     Duplicate,
-    /// The bytes are no known record.
+    /// The bytes are not a known record.
     Undecodable,
-    /// The record breaks a rule and has no effect.
+    /// The record fails validation against the state and has no effect.
     Rejected(Rejection),
-    /// The offset is not the next one; nothing changed, and the record at `expected` is due.
+    /// The offset is not the next one; the state is unchanged.
     Gap {
-        /// Offset of the record that must be folded next.
+        /// Offset of the next record to fold.
         expected: Offset,
     },
 }
 
 impl Outcome {
-    /// Returns true when the record took effect.
+    /// Returns true if the record took effect.
     #[must_use]
     pub const fn applied(&self) -> bool {
         matches!(self, Self::Applied)
     }
 }
 
-/// Why a record has no effect.
+/// Reason why a valid record has no effect.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Rejection {
-    /// An earlier record changed what this one builds on.
+    /// The record's base version is outdated.
     #[snafu(display("conflict: version {current} is in force"))]
     Conflict {
-        /// Version in force, 0 when there is none.
+        /// Current version, 0 when there is none.
         current: Offset,
     },
-    /// The documents do not build.
+    /// The documents do not yield valid routes.
     #[snafu(display("invalid: {}", list(faults)))]
     Invalid {
-        /// What is wrong, at least one.
+        /// Validation errors, at least one.
         faults: Vec<Fault>,
     },
     /// The template is used by a workspace.
@@ -52,39 +52,39 @@
         /// First workspace that uses it.
         workspace: Name,
     },
-    /// There is no such document to retire.
+    /// The document to retire does not exist or is already retired.
     #[snafu(display("there is no such document in force"))]
     UnknownDocument,
-    /// The member never joined or is forgotten.
+    /// The member never joined, or died and is no longer retained.
     #[snafu(display("member {member} is not known"))]
     UnknownMember {
         /// Member that the record names.
         member: Offset,
     },
-    /// The member is dead, or leaving where it must not be.
+    /// The member is dead, or leaving where it must be alive.
     #[snafu(display("member {member} is dead or leaving"))]
     Gone {
         /// Member that the record names.
         member: MemberId,
     },
-    /// No service divided by key is in force for the workspace.
+    /// The workspace has no active service that is partitioned by key.
     #[snafu(display("workspace {workspace} has no service that is divided by key"))]
     UnknownService {
         /// Workspace that the record names.
         workspace: Name,
     },
-    /// The record names no unit, one unit twice, or a unit that does not exist.
+    /// The record names no unit, a unit twice, or a unit that does not exist.
     #[snafu(display("a unit of slot {slot} is missing, unknown or named twice"))]
     UnknownUnit {
         /// Slot of the unit, 0 when the record names none.
         slot: Slot,
     },
-    /// The assignment changed since the proposer read it.
+    /// The assignment has changed since the proposer read it.
     #[snafu(display("a unit of slot {slot} is at version {current}"))]
     Stale {
         /// Slot of the unit.
         slot: Slot,
-        /// Version of the assignment in force.
+        /// Current version of the assignment.
         current: Offset,
     },
     /// The proposer does not own the unit.
@@ -93,13 +93,13 @@
         /// Slot of the unit.
         slot: Slot,
     },
-    /// The proposer, or the owner's counterpart, does not stand by for the unit.
+    /// The proposer of a handoff is not the unit's standby, or a switchover finds no alive standby.
     #[snafu(display("a unit of slot {slot} lacks the standby that the record needs"))]
     NotStandby {
         /// Slot of the unit.
         slot: Slot,
     },
-    /// The target may not stand by for the unit.
+    /// The target of a handoff is not eligible as the unit's standby.
     #[snafu(display("member {target} cannot stand by for a unit of slot {slot}"))]
     Target {
         /// Slot of the unit.
@@ -107,37 +107,37 @@
         /// Member that the record names.
         target: Offset,
     },
-    /// The service has as many hot keys as it may have.
+    /// The split would exceed the maximum number of hot keys.
     #[snafu(display("the service may have {limit} hot keys"))]
     HotKeys {
-        /// Most hot keys of one service.
+        /// Maximum number of hot keys of one service.
         limit: usize,
     },
-    /// The hot key and its slot do not have the same owner, standby and prior owner.
+    /// The hot key's assignment is incompatible with that of its slot, so they cannot be merged.
     #[snafu(display("a hot key of slot {slot} differs from its slot"))]
     Differs {
         /// Slot of the hot key.
         slot: Slot,
     },
-    /// The member is attached to another workspace, or to none.
+    /// The member is attached to another workspace or to none, or the record names none.
     #[snafu(display("the member is not attached as the record says"))]
     Attachment,
     /// The member still owns units.
     #[snafu(display("the member owns {count} units"))]
     Owns {
-        /// Count of units.
+        /// Number of units.
         count: usize,
     },
-    /// The lessor set is empty, too large, or has a member that may not be a lessor.
+    /// The lessor set is empty, too large, or names an ineligible member.
     #[snafu(display("the lessors are not one to three other members that are alive"))]
     Lessors,
-    /// The votes are no majority of the lessor set, or one of them does not count.
+    /// The votes are not a majority of the lessor set, or one of them is invalid.
     #[snafu(display("the votes are not a majority of the lessors"))]
     Votes,
-    /// There is no unit without owner.
+    /// All units already have an owner.
     #[snafu(display("every unit has an owner"))]
     Assigned,
-    /// No member may own units of the workspace.
+    /// No member is eligible to own units of the workspace.
     #[snafu(display("no member may own units of the workspace"))]
     NoCandidate,
 }
--- a/acaciaring_core/src/state/reassignment.rs
+++ b/acaciaring_core/src/state/reassignment.rs
@@ -1,22 +1,22 @@
-//! What becomes of a member's roles when it attaches, leaves or dies.
+//! Reassignment of roles when a member attaches, detaches, leaves, dies or is replaced.
 
 use super::standby::Picker;
 use super::{Assignment, Service, State};
 use crate::id::{MemberId, Offset};
 
-/// How a member gives up its roles.
+/// How a member stops being a candidate for roles.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Departure {
-    /// It only stops to stand by; it owns nothing.
+    /// Stops being a standby; it owns no units.
     Detaches,
-    /// It serves its units until it releases them to their new owners.
+    /// Serves its units until it releases them to their new owners.
     Leaves,
-    /// It serves nothing any more.
+    /// Serves nothing any more.
     Dies,
 }
 
 impl State {
-    /// Passes on the roles of a member that is no longer a candidate for them.
+    /// Reassigns the roles of a member that is no longer a candidate for them.
     pub(super) fn reassign_roles(
         &mut self,
         offset: Offset,
@@ -37,7 +37,7 @@
                 if next.owner != current.owner {
                     next.token = offset;
                 }
-                // The old roles must not count while the new standby is picked.
+                // Excludes the old roles from the counts by which the new standby is picked.
                 picker.remove(current);
                 next.standby = next.standby.or_else(|| picker.pick_for_block(next.owner?, block));
                 picker.add(&next);
@@ -46,10 +46,10 @@
         }
     }
 
-    /// Gives all roles of a former member to the later one in its place.
+    /// Transfers all roles of a former member to the later one that replaces it.
     ///
-    /// The tokens of what it owned rise: its standby may have taken over under a higher one than
-    /// the former member had, before it reads this. The owner waits for the standby's release.
+    /// Units that it owned get a new token: the standby may have taken over under a higher token
+    /// than the former member's before it reads this record. The new owner waits for its release.
     pub(super) fn transfer_roles(&mut self, offset: Offset, former: MemberId, later: MemberId) {
         for service in self.services.values_mut() {
             for current in assignments(service) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Makes a newcomer the standby of each unit that has an owner but no standby.
+    /// Makes a newly attached member the standby of each unit that has an owner but no standby.
     pub(super) fn fill_standbys(&mut self, offset: Offset, newcomer: MemberId, workspace: &str) {
         let Some(service) = self.services.get_mut(workspace) else { return };
         for current in assignments(service) {
@@ -93,13 +93,15 @@
     }
 }
 
-/// Returns every assignment of a service, slots first.
+/// Returns all assignments of a service, slots first.
 pub(super) fn assignments(service: &mut Service) -> impl Iterator<Item = &mut Assignment> {
     let hot = service.hot.values_mut().map(|hot| &mut hot.assignment);
     service.slots.iter_mut().chain(hot)
 }
 
-/// Returns the block of each assignment in the order of [`assignments`], none where each stands alone.
+/// Returns the block of each assignment in the order of [`assignments`].
+///
+/// It is `None` for hot keys and for slots that are assigned individually.
 pub(super) fn blocks(service: &Service, members: usize) -> Vec<Option<u32>> {
     let slots = (0..).zip(&service.slots);
     let block = |slot| service.numeric.then(|| service.block(slot, members));
@@ -107,9 +109,9 @@
     slots.chain(service.hot.iter().map(|_| None)).collect()
 }
 
-/// Returns the assignment without the lost member, or `None` when it has no part in it.
+/// Returns the assignment without the departed member, or `None` if nothing changes.
 ///
-/// A missing standby is to be picked; version and token are to be set.
+/// The caller picks a missing standby and sets version and token.
 fn without_member(
     current: &Assignment,
     departed: MemberId,
@@ -121,7 +123,7 @@
     let prior = if dies && prior == departed { None } else { prior };
     let prior_standby = if dies && prior_standby == departed { None } else { prior_standby };
     if owner == departed && (dies || standby.is_some()) {
-        // A former owner that becomes the owner again has nobody to wait for.
+        // A former owner that becomes the owner again need not wait for itself.
         let prior = if dies { prior.filter(|prior| Some(*prior) != standby) } else { departed };
         let prior_standby = prior_standby.filter(|prior_standby| Some(*prior_standby) != standby);
         return Some(Assignment {
--- a/acaciaring_core/src/state/recent.rs
+++ b/acaciaring_core/src/state/recent.rs
@@ -1,18 +1,17 @@
-//! Ids of the records folded last, against duplicate appends.
+//! Ids of the most recently folded records, for detection of duplicate appends.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// Id of a record: random bytes chosen once for all tries of one append.
+/// Record id: random bytes, the same for all retries of one append.
 pub type RecordId = [u8; 16];
 
-/// Most ids that are remembered.
+/// Maximum number of retained ids.
 ///
-/// At the log's several hundred appends a second a duplicate is recognised for
-/// about ten seconds under full load, for hours under the usual load. A
-/// proposer must not repeat an append later than that.
+/// A duplicate is detected only while its id is retained, so a proposer must not retry an append
+/// after this many further records.
 pub const RECENT_MAX: usize = 4096;
 
-/// Bounded window of record ids, oldest first.
+/// Bounded FIFO set of record ids.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct RecentIds {
     order: VecDeque<RecordId>,
@@ -20,7 +19,7 @@
 }
 
 impl RecentIds {
-    /// Adds an id and returns true, or returns false when it is known.
+    /// Adds an id and evicts the oldest when full; returns false if the id is already present.
     pub(super) fn insert(&mut self, id: RecordId) -> bool {
         if !self.ids.insert(id) {
             return false;
@@ -38,7 +37,7 @@
         self.ids.contains(id)
     }
 
-    /// Returns the ids, oldest first.
+    /// Returns the ids from oldest to newest.
     pub(super) fn iter(&self) -> impl Iterator<Item = &RecordId> {
         self.order.iter()
     }
--- a/acaciaring_core/src/state/replica.rs
+++ b/acaciaring_core/src/state/replica.rs
@@ -1,4 +1,4 @@
-//! Replica of the state, fed with batches of the log in any pieces.
+//! Replica of the state that follows the log and recovers from a snapshot after log truncation.
 
 use acaciaring_schema::log::Batch;
 use acaciaring_schema::log::record::Body;
@@ -9,49 +9,49 @@
 use super::{Outcome, RecordId, State};
 use crate::id::Offset;
 
-/// What became of one record of the log.
+/// Record folded by a replica, with its outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Folded {
     /// Offset of the record.
     pub offset: Offset,
-    /// Id by which its proposer knows it, `None` when it does not decode.
+    /// Id of the record, `None` when it does not decode.
     pub id: Option<RecordId>,
-    /// Effect.
+    /// Effect on the state.
     pub outcome: Outcome,
 }
 
-/// Why a batch brought the replica no further.
+/// Reason why a batch did not bring the replica up to date.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ReplicaError {
-    /// The batch begins after the record that is wanted, which the log still keeps.
-    #[snafu(display("the batch begins at {start}, wanted is {position}"))]
+    /// The batch starts after the replica's position, although the log still has that record.
+    #[snafu(display("batch starts at offset {start}, expected offset {position}"))]
     BatchGap {
         /// Offset that must come next.
         position: Offset,
         /// Offset at which the batch begins.
         start: Offset,
     },
-    /// The log ends before records that were read from it.
-    #[snafu(display("the log ends before {next}, wanted is {position}"))]
+    /// The log ends before the replica's position: it lost records that were read from it.
+    #[snafu(display("log ends before offset {next}, expected offset {position}"))]
     Regressed {
         /// Offset that must come next.
         position: Offset,
         /// End of the log.
         next: Offset,
     },
-    /// The log dropped records that are needed and has no whole snapshot up to its end.
+    /// The log dropped required records and contains no complete, valid snapshot that covers them.
     ///
-    /// Later batches may still bring one.
-    #[snafu(display("the log begins at {oldest} and has no whole snapshot"))]
+    /// Later batches may still contain one.
+    #[snafu(display("log starts at offset {oldest} and contains no usable snapshot"))]
     HistoryLost {
-        /// Offset of the oldest record kept.
+        /// Offset of the oldest record in the log.
         oldest: Offset,
-        /// What was wrong with the last whole snapshot, if there was one.
+        /// Error of the last complete snapshot, if there was one.
         problem: Option<SnapshotError>,
     },
 }
 
-/// State with what it takes to keep up with a log of limited retention.
+/// State that follows a log with limited retention.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
     state: State,
@@ -62,19 +62,19 @@
 
 #[derive(Debug, Clone, Default)]
 enum Phase {
-    /// Each record is folded as it comes.
+    /// Folding each record as it arrives.
     #[default]
     Folding,
-    /// Records are missing; a snapshot that covers them is looked for.
+    /// Records are missing; scanning the log for a snapshot that covers them.
     Scanning(Scan),
 }
 
-/// Search for a snapshot.
+/// Scan of the log for a snapshot.
 #[derive(Debug, Clone)]
 struct Scan {
-    /// Offset of the first record in `kept`.
+    /// Offset of the first record in `buffered`.
     start: Offset,
-    /// Records read so far, which a snapshot to come may not cover.
+    /// Records read during the scan; those after the snapshot are folded once it is loaded.
     buffered: Vec<Vec<u8>>,
     problem: Option<SnapshotError>,
 }
@@ -97,7 +97,7 @@
         &self.state
     }
 
-    /// Returns true unless records are missing and a snapshot is looked for.
+    /// Returns true unless the replica is scanning for a snapshot because records are missing.
     #[must_use]
     pub fn folding(&self) -> bool {
         matches!(self.phase, Phase::Folding)
@@ -112,29 +112,30 @@
         }
     }
 
-    /// Returns where the newest whole snapshot seen in the log ends, 0 when none was seen.
+    /// Returns the offset up to which the newest complete snapshot seen covers the log, 0 if none.
     #[must_use]
     pub fn snapshot_next(&self) -> Offset {
         self.snapshot_next
     }
 
-    /// Takes a batch and returns the outcomes of the records folded by it, in order.
+    /// Applies a batch of the log and returns the outcomes of the records that it folded, in order.
     ///
-    /// Records that were folded before are passed over. When retention has taken
-    /// records that are wanted, the replica looks for a snapshot that is newer
-    /// than its state and begins within what the log keeps; until it is found the
-    /// state stays as it is. Records that a snapshot covers have no outcome here.
+    /// Records before the replica's position are skipped. If the log has dropped records that the
+    /// replica still needs, it scans for a snapshot newer than its state whose records are all in
+    /// the log, and leaves the state unchanged until it finds one. Records that the snapshot
+    /// covers yield no outcome.
     ///
     /// # Errors
     ///
-    /// Fails when the batch does not fit or no snapshot was found; the replica is
-    /// still good, and the next batch is to begin at [`Self::position`].
+    /// Fails if the batch does not continue at the position or the scan has found no snapshot by
+    /// the end of the log. The replica stays usable; the next batch must start at
+    /// [`Self::position`].
     pub fn apply_batch(&mut self, batch: &Batch) -> Result<Vec<Folded>, ReplicaError> {
         let position = self.position();
         ensure!(batch.next >= position, RegressedSnafu { position, next: batch.next });
         if batch.oldest > position {
-            // Retention overtook this reader, for example after a long pause. Folding
-            // on would skip records, so only a snapshot that covers them may follow.
+            // Retention dropped records that were not read yet, for example during a long pause.
+            // Folding on would skip them, so the state must come from a snapshot that covers them.
             self.phase = Phase::Scanning(Scan::new(batch.oldest));
         }
         let position = self.position();
@@ -173,10 +174,12 @@
         Some(snapshot)
     }
 
-    /// Goes on from a snapshot if no record is missing after it.
+    /// Loads a snapshot and folds the buffered records after it.
+    ///
+    /// Ignores a snapshot that ends before the scan starts, as records between are missing.
     fn load_snapshot(&mut self, snapshot: &CompleteSnapshot, folded: &mut Vec<Folded>) {
         let Phase::Scanning(scan) = &mut self.phase else { return };
-        // What the search began with is later than the state, so such a snapshot is newer.
+        // The scan starts after the state's position, so this snapshot is newer than the state.
         let Some(covered) = snapshot.next.checked_sub(scan.start) else { return };
         match snapshot.state() {
             Ok(state) => self.state = state,
--- a/acaciaring_core/src/state/snapshot/assembler.rs
+++ b/acaciaring_core/src/state/snapshot/assembler.rs
@@ -1,4 +1,4 @@
-//! Records of the log to snapshot.
+//! Reassembly of snapshots from log records.
 
 use std::collections::BTreeMap;
 
@@ -12,22 +12,22 @@
 use crate::id::Offset;
 use crate::state::{RecordId, State};
 
-/// Most snapshots that are put together at once.
+/// Maximum number of partial snapshots held.
 const PARTIAL_MAX: usize = 8;
 
-/// Most bytes of chunks that are held.
+/// Maximum size in bytes of all chunks held.
 const BYTES_MAX: usize = 64 << 20;
 
-/// Collects the chunks of snapshots while the log is read.
+/// Reassembles snapshots from their chunks while the log is read.
 ///
-/// Any bytes are accepted; a snapshot with a missing or corrupt chunk is never
-/// yielded. Memory is bounded: the snapshot that got no chunk for longest goes.
+/// Accepts any chunks and never yields a snapshot with a missing or corrupt one. Memory is bounded:
+/// when a limit is exceeded, the partial snapshot without a chunk for the longest time is evicted.
 #[derive(Debug, Clone, Default)]
 pub struct Assembler {
     partial: BTreeMap<RecordId, Partial>,
 }
 
-/// Snapshot with chunks still to come.
+/// Snapshot that is not committed yet.
 #[derive(Debug, Clone, Default)]
 struct Partial {
     chunks: BTreeMap<u32, Vec<u8>>,
@@ -35,10 +35,10 @@
     last_offset: Offset,
 }
 
-/// Snapshot with all chunks and the right digest.
+/// Committed snapshot with all chunks and a matching digest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompleteSnapshot {
-    /// Offset of the first record that the snapshot does not cover.
+    /// Offset of the first record not covered by the snapshot.
     pub next: Offset,
     /// Offset of the commit record.
     pub committed: Offset,
@@ -46,11 +46,11 @@
 }
 
 impl CompleteSnapshot {
-    /// Restores the state.
+    /// Decodes and restores the state.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no valid snapshot that ends where its commit says.
+    /// Fails if the snapshot is invalid or its offset differs from that of the commit record.
     pub fn state(&self) -> Result<State, SnapshotError> {
         let snapshot = Snapshot::decode(&*self.bytes).map_err(|_| SnapshotError::Undecodable)?;
         if snapshot.next != self.next {
@@ -61,7 +61,7 @@
 }
 
 impl Assembler {
-    /// Takes the record at `offset` and returns the snapshot that it completes.
+    /// Processes the record at `offset` and returns the snapshot that it completes, if any.
     pub fn feed(&mut self, offset: Offset, body: &Body) -> Option<CompleteSnapshot> {
         match body {
             Body::Chunk(chunk) => {
@@ -77,7 +77,7 @@
         let Ok(id) = chunk.snapshot.as_slice().try_into() else { return };
         let partial = self.partial.entry(id).or_default();
         partial.last_offset = offset;
-        // A chunk that was appended twice is the same twice; the digest finds one that is not.
+        // A retried append repeats the same chunk; the digest detects one that differs.
         if let Some(old) = partial.chunks.insert(chunk.index, chunk.data.clone()) {
             partial.bytes -= old.len();
         }
--- a/acaciaring_core/src/state/snapshot/chunk.rs
+++ b/acaciaring_core/src/state/snapshot/chunk.rs
@@ -1,4 +1,4 @@
-//! Snapshot to records of the log.
+//! Encoding of a snapshot as log records.
 
 use acaciaring_schema::log::record::Body;
 use acaciaring_schema::log::{Chunk, Commit, Record};
@@ -7,18 +7,17 @@
 
 use crate::state::{RecordId, State};
 
-/// Usual bytes of a chunk; with its frame it stays below the log's 256 KiB for one record.
+/// Default chunk size in bytes; the record with its framing stays below the log's limit of 256 KiB.
 pub const CHUNK_SIZE: usize = 192 * 1024;
 
-/// Returns the records of a snapshot: its chunks, then the commit.
+/// Returns the records of a snapshot: its chunks of `chunk_size` bytes, then the commit.
 ///
-/// `id` must be random. The same state, id and size give the same records, so
-/// an append whose answer was lost can be repeated. Only after all chunks are
-/// appended may the commit be.
+/// `id` must be random. The records are a function of the arguments, so an append whose
+/// acknowledgement was lost can be retried. The commit must be appended after all chunks.
 ///
 /// # Panics
 ///
-/// Panics when the state needs more than `u32::MAX` chunks.
+/// Panics if the snapshot needs more than `u32::MAX` chunks.
 #[must_use]
 pub fn chunk(state: &State, id: RecordId, chunk_size: usize) -> Vec<Record> {
     let bytes = state.to_snapshot().encode_to_vec();
@@ -38,12 +37,12 @@
     (0..).zip(bodies).map(record).collect()
 }
 
-/// Returns the digest of the joined chunks.
+/// Returns the XXH3 digest of the concatenated chunks.
 pub(super) fn digest(bytes: &[u8]) -> [u8; 16] {
     xxh3::xxh3_128(bytes).to_le_bytes()
 }
 
-/// Derives the id of a snapshot's record.
+/// Derives a record id from the snapshot's id and the record's index.
 fn record_id(id: RecordId, index: u32) -> RecordId {
     let mut hasher = xxh3::Xxh3::new();
     hasher.update(&id);
--- a/acaciaring_core/src/state/snapshot/decode.rs
+++ b/acaciaring_core/src/state/snapshot/decode.rs
@@ -1,4 +1,4 @@
-//! Snapshot message to state, checked like the records that made it.
+//! Decoding of a snapshot message into a state, with validation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,58 +14,60 @@
     Rejection, Service, State,
 };
 
-/// Offsets from here on are taken for garbage; a token is twice an offset.
+/// Exclusive upper bound of valid offsets; leaves room for tokens, which are twice an offset.
 const OFFSET_END: Offset = 1 << 62;
 
-/// Why a message is no snapshot of a state.
+/// Reason why a snapshot is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum SnapshotError {
-    /// The bytes are no snapshot message.
-    #[snafu(display("the snapshot does not decode"))]
+    /// The bytes are not a snapshot message.
+    #[snafu(display("snapshot message cannot be decoded"))]
     Undecodable,
-    /// The offset is out of range, or differs from the commit record's.
-    #[snafu(display("the snapshot cannot end before offset {next}"))]
+    /// The offset is out of range or differs from that of the commit record.
+    #[snafu(display("snapshot has invalid end offset {next}"))]
     Next {
         /// Offset in the snapshot.
         next: Offset,
     },
-    /// A document is malformed or stands twice.
-    #[snafu(display("document {name:?} is malformed"))]
+    /// A document is malformed or duplicated.
+    #[snafu(display("document {name:?} in snapshot is malformed or duplicated"))]
     Document {
         /// Name of the document.
         name: String,
     },
-    /// The documents give no valid set of routes.
-    #[snafu(display("the routes do not build: {reason}"))]
+    /// The documents do not yield valid routes.
+    #[snafu(display("routes in snapshot cannot be built: {reason}"))]
     Routes {
-        /// What is wrong.
+        /// Rejection of the documents.
         reason: Rejection,
     },
-    /// A member is malformed or stands twice.
-    #[snafu(display("member {member} is malformed"))]
+    /// A member is malformed, duplicated, or has an unknown lessor.
+    #[snafu(display("member {member} in snapshot is malformed or inconsistent"))]
     Member {
         /// Id of the member.
         member: Offset,
     },
-    /// A service is malformed, or names members that may not have the role.
-    #[snafu(display("the service of workspace {workspace:?} is malformed"))]
+    /// A service is malformed or duplicated, does not match its route, or has ineligible members.
+    #[snafu(display(
+        "service of workspace {workspace:?} in snapshot is malformed or inconsistent"
+    ))]
     Service {
         /// Name of the workspace.
         workspace: String,
     },
-    /// The ids of recent records are malformed, too many, or not unique.
-    #[snafu(display("the ids of recent records are malformed"))]
+    /// The ids of recent records are malformed, too many or not unique.
+    #[snafu(display("ids of recent records in snapshot are malformed, too many or not unique"))]
     Recent,
 }
 
 impl State {
-    /// Restores a state; the result equals the state that gave the snapshot.
+    /// Restores the state from which the snapshot was taken.
     ///
     /// # Errors
     ///
-    /// Fails when no sequence of records could have given the snapshot as far as
-    /// that is cheap to see; nothing is repaired.
+    /// Fails if the snapshot violates an invariant of the fold. Only invariants that are cheap to
+    /// check are checked, and nothing is repaired.
     pub fn from_snapshot(snapshot: &wire::Snapshot) -> Result<Self, SnapshotError> {
         let next = snapshot.next;
         ensure!(next < OFFSET_END, NextSnafu { next });
@@ -105,7 +107,7 @@
         Ok(())
     }
 
-    /// Checks that no lessor of a member that is not dead is forgotten.
+    /// Checks that the lessors of all members that are not dead are in the snapshot.
     fn check_lessors(&self) -> Result<(), SnapshotError> {
         for member in self.members.values().filter(|member| member.phase != Phase::Dead) {
             let known = member.lessors.iter().all(|lessor| self.members.contains_key(lessor));
@@ -126,7 +128,7 @@
         Ok(())
     }
 
-    /// Returns true when the members of an assignment may have their roles.
+    /// Returns true if the members of an assignment are eligible for their roles.
     fn has_valid_roles(&self, assignment: &Assignment) -> bool {
         let Assignment { owner, standby, prior, prior_standby, version, token } = *assignment;
         let present = |id: MemberId| self.require_present(id.0).is_ok();
@@ -152,7 +154,7 @@
         Ok(())
     }
 
-    /// Builds the routes anew from the documents; each keyed one must have its service.
+    /// Rebuilds the routes from the documents and checks that each service matches its route.
     fn restore_routes(&mut self) -> Result<(), SnapshotError> {
         let mut routes = Vec::new();
         for parameters in self.parameters.values().filter(|parameters| !parameters.retired) {
--- a/acaciaring_core/src/state/snapshot/encode.rs
+++ b/acaciaring_core/src/state/snapshot/encode.rs
@@ -1,4 +1,4 @@
-//! State to snapshot message.
+//! Encoding of a state as a snapshot message.
 
 use acaciaring_schema::{log, state as wire};
 
@@ -7,10 +7,9 @@
 use crate::state::{Assignment, Member, Phase, Published, Service, State};
 
 impl State {
-    /// Returns the whole state as a message; equal states give equal messages.
+    /// Returns the state as a message; equal states give equal messages.
     ///
-    /// Members that are not dead come first in order of joining, then the dead
-    /// ones in order of death.
+    /// Members that are not dead come first in join order, then dead ones in order of death.
     #[must_use]
     pub fn to_snapshot(&self) -> wire::Snapshot {
         let present = self.members.values().filter(|member| member.phase != Phase::Dead);
--- a/acaciaring_core/src/state/standby.rs
+++ b/acaciaring_core/src/state/standby.rs
@@ -1,4 +1,4 @@
-//! Choice of standbys, spread over all members of a workspace.
+//! Selection of standbys, balanced over all members of a workspace.
 
 use std::collections::BTreeMap;
 
@@ -6,31 +6,31 @@
 use super::{Assignment, Member};
 use crate::id::{MemberId, Name};
 
-/// Rank of the owner itself, which never stands by.
+/// Rank of the owner itself, which is never picked.
 const OWNER_RANK: u64 = 1 << 63;
 
-/// Part of the rank for the owner's own data centre.
+/// Rank penalty for a candidate in the owner's data centre.
 const SAME_CENTRE_RANK: u64 = 1 << 62;
 
-/// Part of the rank for each unit of the owner; below it is room for all roles of a member.
+/// Rank penalty per unit of the owner whose standby is the candidate.
+///
+/// It exceeds the number of roles that a member can have, which is added to the rank.
 const UNIT_RANK: u64 = 1 << 31;
 
-/// Picks standbys within one record and keeps the counts in step.
+/// Picks standbys while one record is folded, and updates the counts.
 ///
-/// The counts are read from the maps once per owner and record. A pick then
-/// takes the lowest rank of all candidates, which is one number for each: a
-/// record that assigns 64 Ki slots to 470 members must not hold up a control
-/// thread that has leases to renew.
+/// Ranks are computed from the counts once per owner and record; a pick then only takes the lowest
+/// rank. A record that assigns many slots must not delay lease renewal on the control thread.
 pub(super) struct Picker<'a> {
     counts: &'a mut Counts,
     members: &'a BTreeMap<MemberId, Member>,
-    /// Members that may stand by, in order of joining.
+    /// Members eligible as standbys, in join order.
     candidates: Vec<&'a Member>,
-    /// For how many units each candidate stands by in total.
+    /// Number of units whose standby is the candidate, per candidate.
     roles: Vec<u64>,
-    /// Rank of each candidate as seen from an owner, without its roles in total.
+    /// Rank of each candidate by owner, without the number in `roles`.
     owner_ranks: BTreeMap<MemberId, Vec<u64>>,
-    /// Standbys picked within this record, by owner and block of slots.
+    /// Standbys picked for this record, by owner and block of slots.
     blocks: BTreeMap<(MemberId, u32), MemberId>,
 }
 
@@ -48,12 +48,12 @@
         Self { counts, members, candidates, roles, owner_ranks, blocks }
     }
 
-    /// Returns how many members may have roles in the workspace.
+    /// Returns the number of candidates in the workspace.
     pub(super) fn members(&self) -> usize {
         self.candidates.len()
     }
 
-    /// Returns the member that is to stand by for one more unit of `owner`, the same for a block of slots.
+    /// Picks a standby for a unit of `owner`, the same one for all slots of a block.
     pub(super) fn pick_for_block(
         &mut self,
         owner: MemberId,
@@ -69,10 +69,10 @@
         Some(standby)
     }
 
-    /// Returns the member that is to stand by for one more unit of `owner`.
+    /// Picks a standby for a unit of `owner`.
     ///
-    /// Another data centre goes first, then the fewest units of this owner, the
-    /// fewest roles in total, and the lowest id.
+    /// Prefers another data centre, then the standby of the fewest units of this owner, then of
+    /// the fewest units in total, then the lowest id.
     pub(super) fn pick(&mut self, owner: MemberId) -> Option<MemberId> {
         if !self.owner_ranks.contains_key(&owner) {
             let base = self.base_ranks(owner);
@@ -85,13 +85,13 @@
         self.candidates.get(index).map(|member| member.id)
     }
 
-    /// Stops to count the roles of an assignment, which is to be replaced.
+    /// Removes the roles of an assignment from the counts.
     pub(super) fn remove(&mut self, assignment: &Assignment) {
         self.counts.remove(assignment);
         self.adjust(assignment, |count, step| *count -= step);
     }
 
-    /// Counts the roles of a new assignment.
+    /// Adds the roles of an assignment to the counts.
     pub(super) fn add(&mut self, assignment: &Assignment) {
         self.counts.add(assignment);
         self.adjust(assignment, |count, step| *count += step);
@@ -108,12 +108,12 @@
         }
     }
 
-    /// Reads the ranks of all candidates as seen from one owner.
+    /// Computes the ranks of all candidates for one owner.
     fn base_ranks(&self, owner: MemberId) -> Vec<u64> {
         let centre = self.members.get(&owner).map(|member| &member.data_centre);
         let mut standbys = self.counts.standbys(owner).peekable();
         let rank = |candidate: &&Member| {
-            // Both sequences are in order of joining.
+            // Both sequences are in join order.
             while standbys.next_if(|(standby, _)| *standby < candidate.id).is_some() {}
             let units = standbys.next_if(|(standby, _)| *standby == candidate.id);
             let near = centre.is_some_and(|centre| same_name(centre, &candidate.data_centre));
@@ -129,7 +129,7 @@
     Name::ptr_eq(one, other) || one == other
 }
 
-/// Converts a count of units, which is far below [`UNIT`].
+/// Converts a number of units, which is far below [`UNIT_RANK`].
 fn to_rank(count: usize) -> u64 {
     u64::try_from(count).unwrap_or(u64::MAX)
 }
--- a/acaciaring_core/src/state/units.rs
+++ b/acaciaring_core/src/state/units.rs
@@ -1,4 +1,4 @@
-//! Records about units: assign, switchover, handoff, split and merge.
+//! Records that change assignments: assign, switchover, handoff, split and merge.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use super::{Assignment, HotKey, Member, NUMERIC_KEYS, Rejection, Service, State};
 use crate::id::{KeyHash, MemberId, Name, Offset, UnitId};
 
-/// Most hot keys of one service.
+/// Maximum number of hot keys of one service.
 pub const HOT_MAX: usize = 64;
 
 impl State {
@@ -62,9 +62,9 @@
         Ok(())
     }
 
-    /// Makes a service whose keys are numbers, if the record divides it and none is there.
+    /// Creates the numeric service of a workspace if the record gives it slots and there is none.
     ///
-    /// Nothing is made for a record that is rejected: a service without a candidate stays unknown.
+    /// Checks for a candidate owner first, so that a rejected record creates no service.
     fn create_numeric_service(&mut self, workspace: &str, slots: u32) -> Result<(), Rejection> {
         if slots == 0 || self.services.contains_key(workspace) {
             return Ok(());
@@ -104,12 +104,13 @@
             owner: a.standby,
             standby: Some(owner),
             prior: Some(owner),
-            // Only what is served may be passed on, so it had released.
+            // An owner proposes a switchover only for units that it serves, so the prior standby
+            // has released them.
             prior_standby: None,
             version: offset,
             token: offset,
         });
-        // A member that leaves gets no new role.
+        // A leaving member gets no new role.
         if !remains {
             self.pick_standbys(&record.workspace, &units);
         }
@@ -160,8 +161,8 @@
         if service.hot.len() + keys.len() > HOT_MAX {
             return Err(Rejection::HotKeys { limit: HOT_MAX });
         }
-        // The slot gets a new version too: under the old one a standby that lags
-        // behind the log could take the slot, released to it, with the hot key in it.
+        // The slot gets a new version too: under the old one, a standby that lags behind the log
+        // could take over the slot, released to it, with the hot key still in it.
         let units: Vec<_> = slots.iter().map(|unit| UnitId::slot(unit.slot)).collect();
         self.update_assignments(&record.workspace, &units, |a| Assignment { version: offset, ..a });
         let Some(service) = self.services.get_mut(&*record.workspace) else { return Ok(()) };
@@ -205,7 +206,7 @@
         Ok(())
     }
 
-    /// Picks standbys for units that have none, as part of a record that changed them.
+    /// Picks new standbys for units.
     fn pick_standbys(&mut self, workspace: &str, units: &[UnitId]) {
         let Some(service) = self.services.get_mut(workspace) else { return };
         let mut picker = Picker::new(&mut self.counts, &self.members, workspace);
@@ -217,13 +218,13 @@
         }
     }
 
-    /// Returns the service of a workspace whose route is in force.
+    /// Returns the service of a workspace, or a rejection if there is no active one.
     fn active_service(&self, workspace: &str) -> Result<&Service, Rejection> {
         self.service(workspace)
             .ok_or_else(|| Rejection::UnknownService { workspace: Name::from(workspace) })
     }
 
-    /// Replaces assignments and keeps the counts in step.
+    /// Replaces assignments and updates the counts.
     fn update_assignments(
         &mut self,
         workspace: &str,
@@ -241,7 +242,7 @@
     }
 }
 
-/// Returns the units of a record, each once and at the version that the record names.
+/// Returns the units of a record; rejects unknown, duplicate and outdated ones.
 fn current_units(
     service: &Service,
     units: &[log::Unit],
@@ -280,7 +281,7 @@
     Err(Rejection::NotOwner { slot: unit.slot })
 }
 
-/// Returns true when a slot can take back a hot key without a change of rights.
+/// Returns true if a hot key can be merged into its slot without a change of ownership.
 fn mergeable(slot: &Assignment, hot: &Assignment) -> bool {
     let fits = |one: Option<MemberId>, other: Option<MemberId>| {
         one.is_none() || other.is_none() || one == other
