--- a/acaciaring_core/src/state/member.rs
+++ b/acaciaring_core/src/state/member.rs
@@ -61,7 +61,7 @@
 
 impl Attachment {
     /// Converts an `Attach` record.
-    pub(super) fn read(attach: &log::Attach) -> Self {
+    pub(super) fn from_record(attach: &log::Attach) -> Self {
         Self {
             workspace: attach.workspace.as_str().into(),
             upstream: attach.upstream.as_str().into(),
@@ -73,7 +73,7 @@
 
 impl Member {
     /// Returns the member that a `Join` record at `offset` creates, without lessors.
-    pub(super) fn started(offset: Offset, join: &log::Join) -> Self {
+    pub(super) fn from_join(offset: Offset, join: &log::Join) -> Self {
         Self {
             id: MemberId(offset),
             vm: join.vm.as_str().into(),
--- a/acaciaring_core/src/state/members.rs
+++ b/acaciaring_core/src/state/members.rs
@@ -13,7 +13,7 @@
 
 impl State {
     pub(super) fn join(&mut self, offset: Offset, join: &log::Join) {
-        let mut member = Member::started(offset, join);
+        let mut member = Member::from_join(offset, join);
         member.lessors = self.choose_lessors(&member);
         self.counts.add_lessors(&member.lessors);
         self.members.insert(member.id, member);
@@ -21,7 +21,7 @@
 
     pub(super) fn attach(&mut self, offset: Offset, attach: &log::Attach) -> Result<(), Rejection> {
         let id = self.require_alive(attach.member)?;
-        let attachment = Attachment::read(attach);
+        let attachment = Attachment::from_record(attach);
         let Some(member) = self.members.get_mut(&id) else { return Err(unknown_member(id)) };
         let other_workspace =
             member.attachment.as_ref().is_some_and(|a| a.workspace != attachment.workspace);
--- a/acaciaring_core/src/state/snapshot/decode.rs
+++ b/acaciaring_core/src/state/snapshot/decode.rs
@@ -186,12 +186,12 @@
     if !sorted || lessors.len() > LESSORS_MAX || lessors.contains(&id) {
         return None;
     }
-    let attachment = wire.attach.as_ref().map(Attachment::read);
+    let attachment = wire.attach.as_ref().map(Attachment::from_record);
     let valid = |attachment: &Attachment| !attachment.workspace.is_empty() && phase != Phase::Dead;
     if !attachment.as_ref().is_none_or(valid) {
         return None;
     }
-    let started = Member::started(wire.id, join);
+    let started = Member::from_join(wire.id, join);
     Some(Member { attachment, version: wire.version, lessors, phase, ..started })
 }
 
