--- a/acaciaring_core/src/route/build.rs
+++ b/acaciaring_core/src/route/build.rs
@@ -67,7 +67,7 @@
     let prefix = reader.required("route", "prefix", value::prefix);
     let division = read_division(reader);
     let weights = read_weights(reader);
-    let body = reader.optional("limits", "body", value::body).unwrap_or(BODY_DEFAULT);
+    let max_body = reader.optional("limits", "body", value::body).unwrap_or(BODY_DEFAULT);
     let classes = read_classes(reader, document);
     check_classes(reader, &classes);
     let division = division?;
@@ -80,7 +80,7 @@
         division,
         classes,
         weights,
-        body,
+        max_body,
         weighted_routes: Vec::new(),
     })
 }
@@ -153,8 +153,8 @@
         rank: rank?,
         repeat: repeat?,
         deadline: deadline?,
-        target: None,
-        tries: 0,
+        latency_target: None,
+        max_tries: 0,
         single_use: false,
     })
 }
--- a/acaciaring_core/src/route/mod.rs
+++ b/acaciaring_core/src/route/mod.rs
@@ -86,9 +86,9 @@
     /// Time for the whole answer when the caller names none.
     pub deadline: Duration,
     /// Time within which an answer is in time; a later one is of less use. The deadline when absent.
-    pub target: Option<Duration>,
+    pub latency_target: Option<Duration>,
     /// Upstreams to which one request may be sent at most; 0 leaves it to the settings.
-    pub tries: u32,
+    pub max_tries: u32,
     /// True when a request's identity is never used again, so that nobody need remember it.
     pub single_use: bool,
 }
@@ -120,7 +120,7 @@
     /// Weights for balance.
     pub weights: Weights,
     /// Largest body in bytes.
-    pub body: u64,
+    pub max_body: u64,
     /// Where the route is shared out: each part's weight, and the route by which it is served.
     pub weighted_routes: Vec<(u32, Arc<Route>)>,
 }
--- a/acaciaring_core/tests/route.rs
+++ b/acaciaring_core/tests/route.rs
@@ -79,7 +79,7 @@
     assert_eq!(&*route.prefix, "/free-state/contracts");
     assert_eq!(route.division, Division::Keyed { slots: 64, key: KeySource::Segment(1) });
     assert_eq!((route.weights.churn, route.weights.downtime), (1_000, 250));
-    assert_eq!(route.body, 65_536);
+    assert_eq!(route.max_body, 65_536);
     assert_eq!(route.classes.len(), 2);
     assert_eq!(route.classes[0].rank, Rank::Interactive);
     assert_eq!(route.classes[1].deadline, Duration::from_millis(250));
--- a/acaciaringd/src/router/keyed.rs
+++ b/acaciaringd/src/router/keyed.rs
@@ -251,7 +251,7 @@
             redirects: 0,
             arrived: true,
             elsewhere: false,
-            most: plan.class.tries,
+            most: plan.class.max_tries,
         };
         let RetryDecision::Retry { after } = self.allowed(now, plan, &failure) else { return None };
         search.repeats += 1;
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -205,7 +205,7 @@
         let route = view.routes.find(request.host.as_deref(), &request.path);
         let route = Arc::clone(route.ok_or_else(|| self.unrouted())?);
         let route = self.shares.pick(route);
-        if request.body.len() as u64 > route.body {
+        if request.body.len() as u64 > route.max_body {
             let refusal = Refusal::not_run(Reason::BadRequest);
             return Err(EntryAnswer::refusal_with(refusal, TOO_LARGE));
         }
@@ -241,7 +241,7 @@
     ///
     /// What is critical is never put off for its caller's having waited.
     fn aim(&self, route: &Route, class: &Class, request: &EntryRequest) -> Option<Time> {
-        let target = class.target?;
+        let target = class.latency_target?;
         let waited = request
             .deadline
             .filter(|_| class.rank != Rank::Critical)
@@ -372,7 +372,7 @@
 /// Refuses a request that has waited for so long before it was read that it would hardly be in time.
 fn in_time(class: &Class, lag: Duration) -> Result<(), Refusal> {
     let hopeless = |target: Duration| lag > target / 2;
-    if class.rank == Rank::Critical || !class.target.is_some_and(hopeless) {
+    if class.rank == Rank::Critical || !class.latency_target.is_some_and(hopeless) {
         return Ok(());
     }
     // Refused together, they would return together.
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -141,7 +141,7 @@
             redirects: progress.unseen,
             arrived: arrived(refusal),
             elsewhere,
-            most: progress.most(plan.class.tries),
+            most: progress.most(plan.class.max_tries),
         };
         let RetryDecision::Retry { after } = self.allowed(now, plan, &failure) else { return None };
         if !elsewhere {
--- a/acaciaringd/src/router/shares/tests.rs
+++ b/acaciaringd/src/router/shares/tests.rs
@@ -15,7 +15,7 @@
         division: Division::Pooled,
         classes: Vec::new(),
         weights: Weights { churn: 1, downtime: 1 },
-        body: 1,
+        max_body: 1,
         weighted_routes,
     })
 }
