--- a/acaciaring_core/src/route/build.rs
+++ b/acaciaring_core/src/route/build.rs
@@ -2,7 +2,7 @@
 
 use super::document::{Document, DocumentKind, Fault};
 use super::layout::{CLASS_PREFIX, check};
-use super::reader::Reader;
+use super::reader::FieldReader;
 use super::value::{self, DivisionKind};
 use super::{Class, Division, Repeat, Route, Weights};
 use crate::id::Name;
@@ -25,11 +25,11 @@
     let mut faults = check(template);
     faults.extend(check(parameters));
 
-    let mut reader = Reader::new(parameters, None);
+    let mut reader = FieldReader::new(parameters, None);
     let tenant = read_workspace(&mut reader, parameters, template);
     faults.extend(reader.into_faults());
 
-    let mut reader = Reader::new(template, Some(parameters));
+    let mut reader = FieldReader::new(template, Some(parameters));
     let route = read_template(&mut reader, template, parameters);
     faults.extend(reader.into_faults());
 
@@ -41,28 +41,28 @@
 
 /// Checks the workspace section and returns the tenant.
 fn read_workspace(
-    reader: &mut Reader<'_>,
+    reader: &mut FieldReader<'_>,
     document: &Document,
     template: &Document,
 ) -> Option<Name> {
     if document.kind != DocumentKind::Parameters {
         reader.fault("workspace", "", "the document does not hold parameters");
     }
-    expect(reader, "workspace", "name", &document.name);
-    expect(reader, "workspace", "template", &template.name);
+    expect_value(reader, "workspace", "name", &document.name);
+    expect_value(reader, "workspace", "template", &template.name);
     reader.required("workspace", "tenant", value::name)
 }
 
 /// Reads the whole template; the tenant is not known to it.
 fn read_template(
-    reader: &mut Reader<'_>,
+    reader: &mut FieldReader<'_>,
     document: &Document,
     parameters: &Document,
 ) -> Option<Route> {
     if document.kind != DocumentKind::Template {
         reader.fault("template", "", "the document is no template");
     }
-    expect(reader, "template", "name", &document.name);
+    expect_value(reader, "template", "name", &document.name);
     let host = reader.optional("route", "host", value::host);
     let prefix = reader.required("route", "prefix", value::prefix);
     let division = read_division(reader);
@@ -86,13 +86,13 @@
 }
 
 /// Adds a fault unless the key is there and has the value `expected`.
-fn expect(reader: &mut Reader<'_>, section: &str, key: &str, expected: &str) {
+fn expect_value(reader: &mut FieldReader<'_>, section: &str, key: &str, expected: &str) {
     reader.required(section, key, |text| {
         if text == expected { Ok(()) } else { Err(format!("'{text}' differs from '{expected}'")) }
     });
 }
 
-fn read_division(reader: &mut Reader<'_>) -> Option<Division> {
+fn read_division(reader: &mut FieldReader<'_>) -> Option<Division> {
     match reader.required("division", "kind", value::division)? {
         DivisionKind::Keyed => {
             let slots = reader.required("division", "slots", value::slots);
@@ -110,7 +110,7 @@
     }
 }
 
-fn read_weights(reader: &mut Reader<'_>) -> Weights {
+fn read_weights(reader: &mut FieldReader<'_>) -> Weights {
     let mut weight = |key| {
         let weight = reader.optional("weights", key, value::weight);
         weight.unwrap_or(WEIGHT_DEFAULT)
@@ -122,7 +122,7 @@
     weights
 }
 
-fn read_classes(reader: &mut Reader<'_>, document: &Document) -> Vec<Class> {
+fn read_classes(reader: &mut FieldReader<'_>, document: &Document) -> Vec<Class> {
     let mut sections: Vec<&str> = Vec::new();
     for field in &document.fields {
         let section = &*field.section;
@@ -140,7 +140,7 @@
     sections.into_iter().filter_map(|section| read_class(reader, section)).collect()
 }
 
-fn read_class(reader: &mut Reader<'_>, section: &str) -> Option<Class> {
+fn read_class(reader: &mut FieldReader<'_>, section: &str) -> Option<Class> {
     let method = reader.optional(section, "method", value::method);
     let path = reader.optional(section, "path", value::prefix);
     let rank = reader.required(section, "rank", value::rank);
@@ -160,7 +160,7 @@
 }
 
 /// Checks that the last class, and no other, matches what is left.
-fn check_classes(reader: &mut Reader<'_>, classes: &[Class]) {
+fn check_classes(reader: &mut FieldReader<'_>, classes: &[Class]) {
     let Some((last, others)) = classes.split_last() else { return };
     if !last.matches_all() {
         let message = "the last class must match all requests: it has no method and no path";
@@ -175,7 +175,7 @@
 ///
 /// Without an owner nobody remembers which requests ran, so a caller's retry
 /// would run twice at two upstreams.
-fn check_repeats(reader: &mut Reader<'_>, classes: &[Class], division: &Division) {
+fn check_repeats(reader: &mut FieldReader<'_>, classes: &[Class], division: &Division) {
     if *division != Division::Pooled {
         return;
     }
--- a/acaciaring_core/src/route/fields.rs
+++ b/acaciaring_core/src/route/fields.rs
@@ -49,7 +49,7 @@
 
 fn collect(file: &Ini, text: &str) -> IniFields {
     let mut found = IniFields::default();
-    let mut lines = Lines::new(text);
+    let mut lines = LineFinder::new(text);
     let mut sections: Vec<&str> = Vec::new();
     for (section, values) in file {
         let name = section.unwrap_or_default();
@@ -114,12 +114,12 @@
 }
 
 /// Finds the lines of sections and keys, which the library does not keep.
-struct Lines<'a> {
+struct LineFinder<'a> {
     lines: Vec<&'a str>,
     next: usize,
 }
 
-impl<'a> Lines<'a> {
+impl<'a> LineFinder<'a> {
     fn new(text: &'a str) -> Self {
         Self { lines: text.lines().map(str::trim).collect(), next: 0 }
     }
@@ -127,13 +127,13 @@
     fn section(&mut self, name: &str) -> u32 {
         let name = first_line(name).trim();
         self.find(|line| {
-            line.strip_prefix('[').is_some_and(|rest| starts(rest, name, &[']', '\0']))
+            line.strip_prefix('[').is_some_and(|rest| starts_with_word(rest, name, &[']', '\0']))
         })
     }
 
     fn key(&mut self, key: &str) -> u32 {
         let key = first_line(key).trim();
-        self.find(|line| starts(line, key, &['=', ':', '\0']))
+        self.find(|line| starts_with_word(line, key, &['=', ':', '\0']))
     }
 
     /// Returns the number of the next line that matches, 0 when there is none.
@@ -146,7 +146,7 @@
 }
 
 /// Returns true when `word` and one of `ends` begin the line; `\0` stands for the line's end.
-fn starts(line: &str, word: &str, ends: &[char]) -> bool {
+fn starts_with_word(line: &str, word: &str, ends: &[char]) -> bool {
     let Some(rest) = line.trim_start().strip_prefix(word) else { return false };
     let end = rest.trim_start().chars().next().unwrap_or('\0');
     ends.contains(&end)
--- a/acaciaring_core/src/route/layout.rs
+++ b/acaciaring_core/src/route/layout.rs
@@ -41,14 +41,14 @@
     let mut faults = Vec::new();
     check_name(document, &mut faults);
     if document.fields.len() > FIELDS_MAX {
-        faults.push(whole(document, format!("has more than {FIELDS_MAX} values")));
+        faults.push(document_fault(document, format!("has more than {FIELDS_MAX} values")));
     }
     let mut seen = BTreeSet::new();
     for field in document.fields.iter().take(FIELDS_MAX) {
-        let fresh = seen.insert((&field.section, &field.key));
-        let problem =
-            if fresh { problem(document.kind, field) } else { Some(DUPLICATE.to_owned()) };
-        faults.extend(problem.map(|message| at(document, field, message)));
+        let unique = seen.insert((&field.section, &field.key));
+        let message =
+            if unique { field_problem(document.kind, field) } else { Some(DUPLICATE.to_owned()) };
+        faults.extend(message.map(|message| field_fault(document, field, message)));
     }
     faults
 }
@@ -57,7 +57,7 @@
 pub(super) const DUPLICATE: &str = "is set twice";
 
 /// Returns the fault `message` of a field.
-pub(super) fn at(document: &Document, field: &DocumentField, message: String) -> Fault {
+pub(super) fn field_fault(document: &Document, field: &DocumentField, message: String) -> Fault {
     Fault {
         document: Name::clone(&document.name),
         line: field.line,
@@ -70,8 +70,8 @@
 /// Returns true for a name of lower-case letters, digits, `-`, `_` and `.` that starts with a letter or digit.
 pub(super) fn is_name(text: &str) -> bool {
     let starts = text.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
-    let known = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
-    starts && text.len() <= NAME_MAX && text.chars().all(known)
+    let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
+    starts && text.len() <= NAME_MAX && text.chars().all(allowed)
 }
 
 fn check_name(document: &Document, faults: &mut Vec<Fault>) {
@@ -79,11 +79,11 @@
         let message = format!(
             "the name must have 1 to {NAME_MAX} lower-case letters, digits, '-', '_' or '.'"
         );
-        faults.push(whole(document, message));
+        faults.push(document_fault(document, message));
     }
 }
 
-fn whole(document: &Document, message: String) -> Fault {
+fn document_fault(document: &Document, message: String) -> Fault {
     Fault {
         document: Name::clone(&document.name),
         line: 0,
@@ -93,7 +93,7 @@
     }
 }
 
-fn problem(kind: DocumentKind, field: &DocumentField) -> Option<String> {
+fn field_problem(kind: DocumentKind, field: &DocumentField) -> Option<String> {
     let (section, key) = (&*field.section, &*field.key);
     if section.len() > NAME_MAX || key.len() > NAME_MAX {
         return Some(format!("section and key must have at most {NAME_MAX} bytes"));
@@ -105,8 +105,8 @@
         Keys::UnknownSection => Some("unknown section".to_owned()),
         Keys::Known(keys) if keys.contains(&key) => None,
         Keys::Known(keys) => Some(format!("unknown key, expected one of {}", keys.join(", "))),
-        Keys::Free if is_name(key) => None,
-        Keys::Free => Some("a parameter's name must be lower-case".to_owned()),
+        Keys::Any if is_name(key) => None,
+        Keys::Any => Some("a parameter's name must be lower-case".to_owned()),
     }
 }
 
@@ -114,14 +114,14 @@
 enum Keys {
     UnknownSection,
     Known(&'static [&'static str]),
-    Free,
+    Any,
 }
 
 fn keys(kind: DocumentKind, section: &str) -> Keys {
     match kind {
         DocumentKind::Template => template_keys(section).map_or(Keys::UnknownSection, Keys::Known),
         DocumentKind::Parameters if section == "workspace" => Keys::Known(WORKSPACE_KEYS),
-        DocumentKind::Parameters if section == PARAMETERS => Keys::Free,
+        DocumentKind::Parameters if section == PARAMETERS => Keys::Any,
         DocumentKind::Parameters => Keys::UnknownSection,
     }
 }
--- a/acaciaring_core/src/route/lookup.rs
+++ b/acaciaring_core/src/route/lookup.rs
@@ -15,8 +15,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct Routes {
     hosts: HashMap<Name, Prefixes>,
-    any: Prefixes,
-    longest: usize,
+    any_host: Prefixes,
+    max_prefix: usize,
 }
 
 impl FromIterator<Arc<Route>> for Routes {
@@ -42,16 +42,18 @@
             return None;
         }
         let host = host.map(|host| without_port(host).to_ascii_lowercase());
-        let own = host.and_then(|host| self.hosts.get(&*host));
-        own.and_then(|own| self.longest(own, path)).or_else(|| self.longest(&self.any, path))
+        let by_host = host.and_then(|host| self.hosts.get(&*host));
+        by_host
+            .and_then(|prefixes| self.longest_match(prefixes, path))
+            .or_else(|| self.longest_match(&self.any_host, path))
     }
 
     /// Adds a route; of two with the same host and prefix the first workspace in order of names wins.
     fn insert(&mut self, route: Arc<Route>) {
-        self.longest = self.longest.max(route.prefix.len());
+        self.max_prefix = self.max_prefix.max(route.prefix.len());
         let prefixes = match &route.host {
             Some(host) => self.hosts.entry(Name::clone(host)).or_default(),
-            None => &mut self.any,
+            None => &mut self.any_host,
         };
         let earlier = prefixes.get(&route.prefix);
         if earlier.is_none_or(|earlier| route.workspace < earlier.workspace) {
@@ -59,11 +61,11 @@
         }
     }
 
-    fn longest<'a>(&self, prefixes: &'a Prefixes, path: &str) -> Option<&'a Arc<Route>> {
+    fn longest_match<'a>(&self, prefixes: &'a Prefixes, path: &str) -> Option<&'a Arc<Route>> {
         // A prefix that ends with a slash matches what is below it only.
-        let borders = path.rmatch_indices('/').flat_map(|(index, _)| [index + 1, index]);
-        let mut ends = std::iter::once(path.len()).chain(borders);
-        ends.find_map(|end| if end <= self.longest { prefixes.get(&path[..end]) } else { None })
+        let boundaries = path.rmatch_indices('/').flat_map(|(index, _)| [index + 1, index]);
+        let mut ends = std::iter::once(path.len()).chain(boundaries);
+        ends.find_map(|end| if end <= self.max_prefix { prefixes.get(&path[..end]) } else { None })
     }
 }
 
@@ -81,7 +83,8 @@
         let path = path_of(path);
         let rest = strip_prefix(path, &self.prefix).unwrap_or(path);
         let matches = |class: &&Class| {
-            class.method.as_ref().is_none_or(|own| &**own == method) && below(rest, &class.path)
+            class.method.as_ref().is_none_or(|expected| &**expected == method)
+                && has_segment_prefix(rest, &class.path)
         };
         let last = self.classes.last().expect("a route has a class");
         self.classes.iter().find(matches).unwrap_or(last)
@@ -125,10 +128,10 @@
     }
 }
 
-fn below(path: &str, prefix: &str) -> bool {
-    let mut own = segments(path).map(decode);
+fn has_segment_prefix(path: &str, prefix: &str) -> bool {
+    let mut remaining = segments(path).map(decode);
     segments(prefix).all(|segment| {
-        let next = own.next().flatten();
+        let next = remaining.next().flatten();
         next.is_some_and(|next| *next == *segment.as_bytes())
     })
 }
@@ -137,8 +140,8 @@
     headers: impl IntoIterator<Item = (&'a str, &'a [u8])>,
     name: &str,
 ) -> Option<Vec<u8>> {
-    let own = headers.into_iter().filter(|(other, _)| other.eq_ignore_ascii_case(name));
-    only(own.map(|(_, value)| value.trim_ascii().to_vec()))
+    let matching = headers.into_iter().filter(|(other, _)| other.eq_ignore_ascii_case(name));
+    common_value(matching.map(|(_, value)| value.trim_ascii().to_vec()))
 }
 
 /// Returns the key whose number a header states.
@@ -153,12 +156,12 @@
 
 fn query_key(target: &str, name: &str) -> Option<Vec<u8>> {
     let pairs = query_of(target).split('&');
-    let own = pairs.filter_map(|pair| {
+    let matching = pairs.filter_map(|pair| {
         let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
         let key = decode_form(key)?;
         (*key == *name.as_bytes()).then(|| decode_form(value))
     });
-    only(own.map(Option::unwrap_or_default))
+    common_value(matching.map(Option::unwrap_or_default))
 }
 
 /// Decodes a part of a query, in which '+' stands for a blank.
@@ -171,7 +174,7 @@
 ///
 /// The upstream may take the first or the last of two values; the router
 /// cannot know which, so a key that stands twice with different values is none.
-fn only(mut values: impl Iterator<Item = Vec<u8>>) -> Option<Vec<u8>> {
+fn common_value(mut values: impl Iterator<Item = Vec<u8>>) -> Option<Vec<u8>> {
     let first = values.next()?;
     values.all(|value| value == first).then_some(first)
 }
--- a/acaciaring_core/src/route/reader.rs
+++ b/acaciaring_core/src/route/reader.rs
@@ -3,21 +3,21 @@
 use std::collections::BTreeMap;
 
 use super::document::{Document, DocumentField, Fault};
-use super::layout::{PARAMETERS, VALUE_MAX, at};
+use super::layout::{PARAMETERS, VALUE_MAX, field_fault};
 use crate::id::Name;
 
 /// Start and end of the mark that a parameter replaces.
-const MARK: (&str, char) = ("${", '}');
+const PLACEHOLDER: (&str, char) = ("${", '}');
 
 /// Reads values of one document and collects faults.
-pub(super) struct Reader<'a> {
+pub(super) struct FieldReader<'a> {
     document: &'a Document,
     fields: BTreeMap<(&'a str, &'a str), &'a DocumentField>,
     parameters: BTreeMap<&'a str, &'a str>,
     faults: Vec<Fault>,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> FieldReader<'a> {
     /// Returns a reader whose values may name the parameters in `source`.
     pub(super) fn new(document: &'a Document, source: Option<&'a Document>) -> Self {
         let entry = |field: &'a DocumentField| ((&*field.section, &*field.key), field);
@@ -67,11 +67,11 @@
         parse: impl FnOnce(&str) -> Result<T, String>,
     ) -> Option<T> {
         let field = *self.fields.get(&(section, key))?;
-        let value = self.fill(&field.value).and_then(|text| parse(&text));
+        let value = self.substitute(&field.value).and_then(|text| parse(&text));
         match value {
             Ok(value) => Some(value),
             Err(message) => {
-                self.faults.push(at(self.document, field, message));
+                self.faults.push(field_fault(self.document, field, message));
                 None
             }
         }
@@ -80,8 +80,8 @@
     /// Adds a fault at a key, whether or not the document has the key.
     pub(super) fn fault(&mut self, section: &str, key: &str, message: &str) {
         let field = self.fields.get(&(section, key));
-        let beside = self.document.fields.iter().find(|field| &*field.section == section);
-        let line = field.copied().or(beside).map_or(0, |field| field.line);
+        let in_section = self.document.fields.iter().find(|field| &*field.section == section);
+        let line = field.copied().or(in_section).map_or(0, |field| field.line);
         self.faults.push(Fault {
             document: Name::clone(&self.document.name),
             line,
@@ -92,12 +92,12 @@
     }
 
     /// Replaces each `${name}` by the parameter's value, which is not searched for marks again.
-    fn fill(&self, value: &str) -> Result<String, String> {
+    fn substitute(&self, value: &str) -> Result<String, String> {
         let mut filled = String::new();
         let mut rest = value;
-        while let Some((before, after)) = rest.split_once(MARK.0) {
+        while let Some((before, after)) = rest.split_once(PLACEHOLDER.0) {
             let (name, tail) =
-                after.split_once(MARK.1).ok_or_else(|| "'${' lacks its '}'".to_owned())?;
+                after.split_once(PLACEHOLDER.1).ok_or_else(|| "'${' lacks its '}'".to_owned())?;
             let parameter = self
                 .parameters
                 .get(name)
--- a/acaciaring_core/src/route/value.rs
+++ b/acaciaring_core/src/route/value.rs
@@ -10,13 +10,13 @@
 use crate::id::Name;
 
 /// Counts of slots that a service may have.
-const SLOTS: RangeInclusive<u32> = 1..=65_536;
+const SLOT_RANGE: RangeInclusive<u32> = 1..=65_536;
 
 /// Deadlines that a class may have.
-const DEADLINES: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_mins(10);
+const DEADLINE_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_mins(10);
 
 /// Limits of a body that a route may have, in bytes.
-const BODIES: RangeInclusive<u64> = 1..=16 << 20;
+const BODY_BYTES: RangeInclusive<u64> = 1..=16 << 20;
 
 /// Largest weight, in thousandths.
 const WEIGHT_MAX: u32 = 1_000_000;
@@ -41,8 +41,8 @@
 }
 
 pub(super) fn host(text: &str) -> Parsed<Name> {
-    let known = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '.';
-    if text.is_empty() || text.len() > HOST_MAX || !text.chars().all(known) {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '.';
+    if text.is_empty() || text.len() > HOST_MAX || !text.chars().all(allowed) {
         return Err(format!("'{text}' is no host name, which has no port"));
     }
     Ok(text.to_ascii_lowercase().into())
@@ -51,9 +51,9 @@
 /// Reads a path prefix; the empty one stands for every path.
 pub(super) fn prefix(text: &str) -> Parsed<Name> {
     let trimmed = text.strip_suffix('/').unwrap_or(text);
-    let known = |c: char| c.is_ascii_alphanumeric() || "-._~".contains(c);
+    let allowed = |c: char| c.is_ascii_alphanumeric() || "-._~".contains(c);
     let plain = |segment: &str| {
-        !segment.is_empty() && segment != "." && segment != ".." && segment.chars().all(known)
+        !segment.is_empty() && segment != "." && segment != ".." && segment.chars().all(allowed)
     };
     let valid = match trimmed.strip_prefix('/') {
         Some(rest) => rest.split('/').all(plain),
@@ -74,8 +74,10 @@
 }
 
 pub(super) fn slots(text: &str) -> Parsed<u32> {
-    let slots = text.parse().ok().filter(|slots| SLOTS.contains(slots));
-    slots.ok_or_else(|| format!("expected a whole number in {} to {}", SLOTS.start(), SLOTS.end()))
+    let slots = text.parse().ok().filter(|slots| SLOT_RANGE.contains(slots));
+    slots.ok_or_else(|| {
+        format!("expected a whole number in {} to {}", SLOT_RANGE.start(), SLOT_RANGE.end())
+    })
 }
 
 pub(super) fn key_source(text: &str) -> Parsed<KeySource> {
@@ -114,15 +116,15 @@
 
 pub(super) fn body(text: &str) -> Parsed<u64> {
     let size = parse_size(text).map_err(|error| error.to_string())?;
-    if BODIES.contains(&size) {
+    if BODY_BYTES.contains(&size) {
         return Ok(size);
     }
-    Err(format!("expected {} to {} bytes", BODIES.start(), BODIES.end()))
+    Err(format!("expected {} to {} bytes", BODY_BYTES.start(), BODY_BYTES.end()))
 }
 
 pub(super) fn deadline(text: &str) -> Parsed<Duration> {
     let deadline = parse_duration(text).map_err(|error| error.to_string())?;
-    if DEADLINES.contains(&deadline) {
+    if DEADLINE_RANGE.contains(&deadline) {
         return Ok(deadline);
     }
     Err("expected a time in 1ms to 10min".to_owned())
