--- a/acaciaring_core/src/route/build.rs
+++ b/acaciaring_core/src/route/build.rs
@@ -1,4 +1,4 @@
-//! Fills a template with the parameters of a workspace.
+//! Building of a route from a template and the parameters of a workspace.
 
 use super::document::{Document, DocumentKind, Fault};
 use super::layout::{CLASS_PREFIX, check};
@@ -7,20 +7,20 @@
 use super::{Class, Division, Repeat, Route, Weights};
 use crate::id::Name;
 
-/// Most classes in a template.
+/// Maximum number of classes in a template.
 const CLASSES_MAX: usize = 32;
 
-/// Weight, in thousandths, that a template has when it names none.
+/// Default weight, in thousandths.
 const WEIGHT_DEFAULT: u32 = 1_000;
 
-/// Largest body, in bytes, of a template that names none.
+/// Default limit of the body size, in bytes.
 const BODY_DEFAULT: u64 = 1 << 20;
 
-/// Builds the route of a workspace, the same from the same documents everywhere.
+/// Builds the route of a workspace; the result depends on the two documents alone.
 ///
 /// # Errors
 ///
-/// Lists every fault of both documents when a route cannot be built.
+/// Returns all validation errors of both documents.
 pub fn build(template: &Document, parameters: &Document) -> Result<Route, Vec<Fault>> {
     let mut faults = check(template);
     faults.extend(check(parameters));
@@ -39,28 +39,28 @@
     }
 }
 
-/// Checks the workspace section and returns the tenant.
+/// Checks the `workspace` section and returns the tenant.
 fn read_workspace(
     reader: &mut FieldReader<'_>,
     document: &Document,
     template: &Document,
 ) -> Option<Name> {
     if document.kind != DocumentKind::Parameters {
-        reader.fault("workspace", "", "the document does not hold parameters");
+        reader.fault("workspace", "", "the document is not a parameters document");
     }
     expect_value(reader, "workspace", "name", &document.name);
     expect_value(reader, "workspace", "template", &template.name);
     reader.required("workspace", "tenant", value::name)
 }
 
-/// Reads the whole template; the tenant is not known to it.
+/// Reads the template into a route with an empty tenant, which the caller sets.
 fn read_template(
     reader: &mut FieldReader<'_>,
     document: &Document,
     parameters: &Document,
 ) -> Option<Route> {
     if document.kind != DocumentKind::Template {
-        reader.fault("template", "", "the document is no template");
+        reader.fault("template", "", "the document is not a template");
     }
     expect_value(reader, "template", "name", &document.name);
     let host = reader.optional("route", "host", value::host);
@@ -85,10 +85,10 @@
     })
 }
 
-/// Adds a fault unless the key is there and has the value `expected`.
+/// Adds an error unless the key has the value `expected`.
 fn expect_value(reader: &mut FieldReader<'_>, section: &str, key: &str, expected: &str) {
     reader.required(section, key, |text| {
-        if text == expected { Ok(()) } else { Err(format!("'{text}' differs from '{expected}'")) }
+        if text == expected { Ok(()) } else { Err(format!("is '{text}', expected '{expected}'")) }
     });
 }
 
@@ -102,7 +102,7 @@
         DivisionKind::Pooled => {
             for key in ["slots", "key"] {
                 if reader.has("division", key) {
-                    reader.fault("division", key, "belongs to a keyed division only");
+                    reader.fault("division", key, "is allowed in a keyed division only");
                 }
             }
             Some(Division::Pooled)
@@ -117,7 +117,7 @@
     };
     let weights = Weights { churn: weight("churn"), downtime: weight("downtime") };
     if weights.churn == 0 && weights.downtime == 0 {
-        reader.fault("weights", "churn", "one of the weights must be above 0");
+        reader.fault("weights", "churn", "at least one weight must be above 0");
     }
     weights
 }
@@ -159,11 +159,11 @@
     })
 }
 
-/// Checks that the last class, and no other, matches what is left.
+/// Checks that the last class, and no other, matches all requests.
 fn check_classes(reader: &mut FieldReader<'_>, classes: &[Class]) {
     let Some((last, others)) = classes.split_last() else { return };
     if !last.matches_all() {
-        let message = "the last class must match all requests: it has no method and no path";
+        let message = "the last class must match all requests: remove its method and path";
         reader.fault(&section(last), "", message);
     }
     for class in others.iter().filter(|class| class.matches_all()) {
@@ -171,16 +171,16 @@
     }
 }
 
-/// Refuses classes that run once in a service without owners.
+/// Rejects at-most-once classes in a service that is not partitioned by key.
 ///
-/// Without an owner nobody remembers which requests ran, so a caller's retry
-/// would run twice at two upstreams.
+/// Such a service has no owner that deduplicates requests, so a caller's retry could run at a
+/// second upstream.
 fn check_repeats(reader: &mut FieldReader<'_>, classes: &[Class], division: &Division) {
     if *division != Division::Pooled {
         return;
     }
     for class in classes.iter().filter(|class| class.repeat == Repeat::Once) {
-        reader.fault(&section(class), "repeat", "once needs a service that is divided by key");
+        reader.fault(&section(class), "repeat", "once is allowed in a keyed division only");
     }
 }
 
--- a/acaciaring_core/src/route/document.rs
+++ b/acaciaring_core/src/route/document.rs
@@ -1,4 +1,4 @@
-//! Documents that operators publish: templates and the parameters of workspaces.
+//! Documents published by operators: templates and the parameters of workspaces.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -11,14 +11,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DocumentKind {
-    /// Template, shared by workspaces.
+    /// Route template, shared by workspaces.
     Template,
     /// Parameters of one workspace.
     Parameters,
 }
 
 impl DocumentKind {
-    /// Returns the kind as operators write it.
+    /// Returns the name of the kind in commands and messages.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Returns the kind that operators write as `text`.
+    /// Parses the name of a kind.
     #[must_use]
     pub fn from_text(text: &str) -> Option<Self> {
         [Self::Template, Self::Parameters].into_iter().find(|kind| kind.as_str() == text)
     }
 
-    /// Converts from a message, in which the kind may be missing or unknown.
+    /// Converts from a protobuf field, or returns `None` if the kind is missing or unknown.
     #[must_use]
     pub fn from_wire(kind: i32) -> Option<Self> {
         match log::DocumentKind::try_from(kind) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Converts to a field of a message.
+    /// Converts to a protobuf field.
     #[must_use]
     pub fn to_wire(self) -> i32 {
         let kind = match self {
@@ -67,9 +67,9 @@
     pub section: Name,
     /// Key in the section.
     pub key: Name,
-    /// Value, without surrounding blanks.
+    /// Value, without surrounding whitespace.
     pub value: Name,
-    /// Line in the file, 0 when unknown.
+    /// Line in the file, 0 if unknown.
     pub line: u32,
 }
 
@@ -95,14 +95,14 @@
     }
 }
 
-/// Template or parameters of a workspace, as published.
+/// Published template or parameters of a workspace.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Document {
     /// Name, unique within the kind.
     pub name: Name,
     /// Kind.
     pub kind: DocumentKind,
-    /// Values in the order of the file.
+    /// Values in file order.
     pub fields: Vec<DocumentField>,
 }
 
@@ -113,7 +113,7 @@
         self.fields.iter().find(|field| &*field.section == section && &*field.key == key)
     }
 
-    /// Returns the template that a parameters document names.
+    /// Returns the name of the template that a parameters document uses.
     #[must_use]
     pub fn template(&self) -> Option<&Name> {
         match self.kind {
@@ -125,18 +125,18 @@
     }
 }
 
-/// What is wrong at one place of a document.
+/// Validation error at one place of a document.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fault {
-    /// Name of the document, or of its file while it is being read.
+    /// Name of the document, or of its file if the error was found by parsing.
     pub document: Name,
-    /// Line in the file, 0 when unknown.
+    /// Line in the file, 0 if unknown.
     pub line: u32,
-    /// Section, empty when the fault concerns the whole document.
+    /// Section, empty if the error concerns the whole document.
     pub section: Name,
-    /// Key, empty when the fault concerns the whole section.
+    /// Key, empty if the error concerns the whole section.
     pub key: Name,
-    /// What is wrong and what is expected.
+    /// Description of the error and the expected value.
     pub message: String,
 }
 
--- a/acaciaring_core/src/route/fields.rs
+++ b/acaciaring_core/src/route/fields.rs
@@ -1,33 +1,33 @@
-//! Values of an INI file with their lines.
+//! Parser of INI files that keeps the line of each value.
 
 use ini::{Ini, ParseOption};
 
 use super::document::DocumentField;
 use crate::id::Name;
 
-/// Values of an INI file in their order.
+/// Values of an INI file in file order.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct IniFields {
-    /// Values; a key that stands twice is here twice.
+    /// Values, including duplicate keys.
     pub fields: Vec<DocumentField>,
-    /// Places that are wrong whatever the file is for.
+    /// Syntax errors.
     pub problems: Vec<IniProblem>,
 }
 
-/// What is wrong at one place of an INI file.
+/// Syntax error at one place of an INI file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IniProblem {
     /// Line in the file.
     pub line: u32,
-    /// Section, empty when unknown.
+    /// Section, empty if unknown.
     pub section: Name,
-    /// Key, empty when unknown.
+    /// Key, empty if unknown.
     pub key: Name,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
-/// Reads the values of an INI file; quotes and backslashes stand for themselves.
+/// Parses an INI file; quotes and backslashes have no special meaning.
 #[must_use]
 pub fn parse_fields(text: &str) -> IniFields {
     let option =
@@ -77,23 +77,23 @@
 
 fn section_problem(section: Option<&str>, empty: bool, before: &[&str]) -> Option<&'static str> {
     match section {
-        // The library opens a section without name for every file.
+        // The INI parser yields an unnamed section for every file.
         None if empty => None,
-        None => Some("values stand before the first section"),
-        Some(name) if name.contains(['\n', '\r']) => Some("the section lacks its ']'"),
-        Some(name) if before.contains(&name) => Some("the section stands twice"),
+        None => Some("values precede the first section"),
+        Some(name) if name.contains(['\n', '\r']) => Some("the section header has no closing ']'"),
+        Some(name) if before.contains(&name) => Some("the section occurs twice"),
         Some(_) if empty => Some("the section is empty"),
         Some(_) => None,
     }
 }
 
-/// Finds keys and values that span lines.
+/// Returns the error of a key or value that spans lines or has control characters.
 ///
-/// The library takes a line without '=' for the beginning of the next line's
-/// key; unnoticed, both settings would be lost.
+/// Guards against lost values: the INI parser takes a line without '=' for the start of the next
+/// line's key.
 fn field_problem(key: &str, value: &str) -> Option<&'static str> {
     if key.contains(['\n', '\r']) {
-        return Some("a line lacks its '='");
+        return Some("a line has no '='");
     }
     value.contains(char::is_control).then_some("the value has control characters")
 }
@@ -113,7 +113,7 @@
     text.lines().next().unwrap_or_default()
 }
 
-/// Finds the lines of sections and keys, which the library does not keep.
+/// Finds the line numbers of sections and keys, which the INI parser does not report.
 struct LineFinder<'a> {
     lines: Vec<&'a str>,
     next: usize,
@@ -136,7 +136,7 @@
         self.find(|line| starts_with_word(line, key, &['=', ':', '\0']))
     }
 
-    /// Returns the number of the next line that matches, 0 when there is none.
+    /// Returns the number of the next line that matches, 0 if there is none.
     fn find(&mut self, matches: impl Fn(&str) -> bool) -> u32 {
         let rest = &self.lines[self.next..];
         let Some(index) = rest.iter().position(|line| matches(line)) else { return 0 };
@@ -145,7 +145,7 @@
     }
 }
 
-/// Returns true when `word` and one of `ends` begin the line; `\0` stands for the line's end.
+/// Returns true if the line starts with `word` and one of `ends`; `\0` is the end of the line.
 fn starts_with_word(line: &str, word: &str, ends: &[char]) -> bool {
     let Some(rest) = line.trim_start().strip_prefix(word) else { return false };
     let end = rest.trim_start().chars().next().unwrap_or('\0');
--- a/acaciaring_core/src/route/layout.rs
+++ b/acaciaring_core/src/route/layout.rs
@@ -1,26 +1,28 @@
-//! Layout of documents: the sections and keys that are known, and bounds on their sizes.
+//! Schema of documents: known sections and keys, and limits of their sizes.
 
 use std::collections::BTreeSet;
 
 use super::document::{Document, DocumentField, DocumentKind, Fault};
 use crate::id::Name;
 
-/// Most fields in a document; with the lengths below a document fits one record of the log.
+/// Maximum number of fields in a document.
+///
+/// With the maximum lengths below, a document fits one log record.
 const FIELDS_MAX: usize = 256;
 
-/// Longest section, key or name in bytes.
+/// Maximum length of a section, key or name in bytes.
 const NAME_MAX: usize = 64;
 
-/// Longest value in bytes, also after substitution.
+/// Maximum length of a value in bytes, before and after substitution.
 pub(super) const VALUE_MAX: usize = 512;
 
-/// Prefix of the sections of a template that each describe one class.
+/// Prefix of the names of template sections that define a class.
 pub(super) const CLASS_PREFIX: &str = "class ";
 
-/// Section whose keys are free: the parameters of a workspace.
+/// Section with the parameters of a workspace, whose keys are user-defined.
 pub(super) const PARAMETERS: &str = "parameters";
 
-/// Known keys of the sections of a template; those of a class stand under the prefix alone.
+/// Known keys of the sections of a template; [`CLASS_PREFIX`] stands for all class sections.
 const TEMPLATE_KEYS: [(&str, &[&str]); 6] = [
     ("template", &["name"]),
     ("route", &["host", "prefix"]),
@@ -30,12 +32,12 @@
     (CLASS_PREFIX, &["method", "path", "rank", "repeat", "deadline"]),
 ];
 
-/// Known keys of the section that every parameters document has.
+/// Known keys of the `workspace` section of a parameters document.
 const WORKSPACE_KEYS: &[&str] = &["name", "tenant", "template"];
 
-/// Lists what is wrong with one document on its own, without filling a template.
+/// Validates one document without substituting parameters, and returns all errors.
 ///
-/// The check covers names, sizes, duplicates, unknown sections and unknown keys.
+/// Checks names, sizes, duplicates, unknown sections and unknown keys; does not parse values.
 #[must_use]
 pub fn check(document: &Document) -> Vec<Fault> {
     let mut faults = Vec::new();
@@ -53,10 +55,10 @@
     faults
 }
 
-/// Message for a key that stands twice in a section.
+/// Message for a key that occurs twice in a section.
 pub(super) const DUPLICATE: &str = "is set twice";
 
-/// Returns the fault `message` of a field.
+/// Returns an error with `message` at a field.
 pub(super) fn field_fault(document: &Document, field: &DocumentField, message: String) -> Fault {
     Fault {
         document: Name::clone(&document.name),
@@ -67,7 +69,9 @@
     }
 }
 
-/// Returns true for a name of lower-case letters, digits, `-`, `_` and `.` that starts with a letter or digit.
+/// Returns true for a name of lower-case ASCII letters, digits, `-`, `_` and `.`.
+///
+/// It starts with a letter or digit and has at most [`NAME_MAX`] bytes.
 pub(super) fn is_name(text: &str) -> bool {
     let starts = text.starts_with(|c: char| c.is_ascii_lowercase() || c.is_ascii_digit());
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || "-_.".contains(c);
@@ -106,11 +110,13 @@
         Keys::Known(keys) if keys.contains(&key) => None,
         Keys::Known(keys) => Some(format!("unknown key, expected one of {}", keys.join(", "))),
         Keys::Any if is_name(key) => None,
-        Keys::Any => Some("a parameter's name must be lower-case".to_owned()),
+        Keys::Any => Some(
+            "a parameter name must have lower-case letters, digits, '-', '_' or '.'".to_owned(),
+        ),
     }
 }
 
-/// Keys that a section may have.
+/// Keys allowed in a section.
 enum Keys {
     UnknownSection,
     Known(&'static [&'static str]),
--- a/acaciaring_core/src/route/lookup.rs
+++ b/acaciaring_core/src/route/lookup.rs
@@ -1,4 +1,4 @@
-//! Finds the route, the class and the key of a request.
+//! Lookup of the route, the class and the key of a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 use crate::id::{KeyHash, Name};
 use crate::state::NUMERIC_KEYS;
 
-/// Routes of one host name by their prefix.
+/// Routes of one host name by path prefix.
 type Prefixes = HashMap<Name, Arc<Route>>;
 
-/// Routes in force, for lookup by host and path.
+/// Routing table for lookup by host and path.
 #[derive(Debug, Clone, Default)]
 pub struct Routes {
     hosts: HashMap<Name, Prefixes>,
@@ -30,11 +30,11 @@
 }
 
 impl Routes {
-    /// Returns the route for a host name, with or without port, and a path, with or without query.
+    /// Returns the route for a host, with or without port, and a path, with or without query.
     ///
-    /// A route for the host goes before one for any host; the longest prefix wins.
-    /// There is none for a path whose segments depend on its reader: one with
-    /// empty or dot segments, `%2F` or a malformed escape.
+    /// A route for the host takes precedence over one for any host, then the longest prefix wins.
+    /// Ambiguous paths have no route: those with empty or dot segments, `%2F` or a malformed
+    /// escape, which other HTTP implementations may split or normalise differently.
     #[must_use]
     pub fn find(&self, host: Option<&str>, path: &str) -> Option<&Arc<Route>> {
         let path = path_of(path);
@@ -48,7 +48,7 @@
             .or_else(|| self.longest_match(&self.any_host, path))
     }
 
-    /// Adds a route; of two with the same host and prefix the first workspace in order of names wins.
+    /// Adds a route; of two with the same host and prefix, the lower workspace name wins.
     fn insert(&mut self, route: Arc<Route>) {
         self.max_prefix = self.max_prefix.max(route.prefix.len());
         let prefixes = match &route.host {
@@ -62,7 +62,7 @@
     }
 
     fn longest_match<'a>(&self, prefixes: &'a Prefixes, path: &str) -> Option<&'a Arc<Route>> {
-        // A prefix that ends with a slash matches what is below it only.
+        // A prefix with a trailing slash matches only paths below it.
         let boundaries = path.rmatch_indices('/').flat_map(|(index, _)| [index + 1, index]);
         let mut ends = std::iter::once(path.len()).chain(boundaries);
         ends.find_map(|end| if end <= self.max_prefix { prefixes.get(&path[..end]) } else { None })
@@ -70,14 +70,13 @@
 }
 
 impl Route {
-    /// Returns the class of a request, by its method and its path with or without query.
+    /// Returns the class of a request by its method and its path, with or without query.
     ///
-    /// Segments are compared in their decoded form, so that an escape cannot
-    /// lead around a class.
+    /// Segments are compared in percent-decoded form, so that escapes cannot bypass a class.
     ///
     /// # Panics
     ///
-    /// Panics when the route has no class; such a route does not build.
+    /// Panics if the route has no class; [`build`](super::build()) yields no such route.
     #[must_use]
     pub fn class(&self, method: &str, path: &str) -> &Class {
         let path = path_of(path);
@@ -90,10 +89,10 @@
         self.classes.iter().find(matches).unwrap_or(last)
     }
 
-    /// Returns the hash of a request's key, by its target (path and query) and its headers.
+    /// Returns the key of a request, by its target (path and query) and its headers.
     ///
-    /// There is none in a service that is not divided by key, and none when the
-    /// key is empty, malformed or stands twice with different values.
+    /// Returns `None` if the service is not partitioned by key, or the key is missing, empty,
+    /// malformed or given twice with different values.
     #[must_use]
     pub fn key<'a>(
         &self,
@@ -110,7 +109,7 @@
         key.filter(|key| !key.is_empty()).map(|key| KeyHash::of(&key))
     }
 
-    /// Returns true when this route and another would answer the same requests.
+    /// Returns true if a route of another workspace has the same host and prefix.
     #[must_use]
     pub fn conflicts_with(&self, other: &Self) -> bool {
         let same = self.host == other.host && self.prefix == other.prefix;
@@ -144,7 +143,7 @@
     common_value(matching.map(|(_, value)| value.trim_ascii().to_vec()))
 }
 
-/// Returns the key whose number a header states.
+/// Returns the numeric key in a header.
 fn number_key<'a>(
     headers: impl IntoIterator<Item = (&'a str, &'a [u8])>,
     name: &str,
@@ -164,16 +163,16 @@
     common_value(matching.map(Option::unwrap_or_default))
 }
 
-/// Decodes a part of a query, in which '+' stands for a blank.
+/// Decodes a query component, in which '+' encodes a space.
 fn decode_form(text: &str) -> Option<Vec<u8>> {
     let plain = text.replace('+', " ");
     decode(&plain).map(std::borrow::Cow::into_owned)
 }
 
-/// Returns the value that all items share, none when they differ.
+/// Returns the value that all items have, or `None` if there is none or they differ.
 ///
-/// The upstream may take the first or the last of two values; the router
-/// cannot know which, so a key that stands twice with different values is none.
+/// Guards against a request that is routed by another key than the upstream uses: of two different
+/// values, it may take either.
 fn common_value(mut values: impl Iterator<Item = Vec<u8>>) -> Option<Vec<u8>> {
     let first = values.next()?;
     values.all(|value| value == first).then_some(first)
--- a/acaciaring_core/src/route/mod.rs
+++ b/acaciaring_core/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Routes: templates filled with the parameters of a workspace.
+//! Routes, built from templates and the parameters of workspaces.
 
 mod build;
 mod document;
@@ -21,112 +21,116 @@
 pub use self::parse::{parse, parse_any};
 use crate::id::Name;
 
-/// Whether a service is divided by key.
+/// Partitioning of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Division {
-    /// Each key has one owner; the service has this many slots.
+    /// Partitioned by key: keys are mapped to slots, each of which has one owner.
     Keyed {
-        /// Count of slots.
+        /// Number of slots.
         slots: u32,
-        /// Where the key stands in a request.
+        /// Location of the key in a request.
         key: KeySource,
     },
-    /// Any member whose upstream serves the workspace may answer.
+    /// Not partitioned: any member whose upstream serves the workspace may handle a request.
     Pooled,
 }
 
-/// Where the key stands in a request.
+/// Location of the key in a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum KeySource {
-    /// Path segment after the prefix, counted from 0.
+    /// Path segment after the route's prefix, counted from 0.
     Segment(usize),
-    /// Header, in lower case.
+    /// Header with this lower-case name.
     Header(Name),
-    /// Query parameter.
+    /// Query parameter with this name.
     Query(Name),
-    /// Header, in lower case, whose value is the key's number below [`NUMERIC_KEYS`](crate::state::NUMERIC_KEYS).
+    /// Header with this lower-case name whose value is a numeric key.
+    ///
+    /// Such a key is below [`NUMERIC_KEYS`](crate::state::NUMERIC_KEYS) and is not hashed.
     Number(Name),
 }
 
-/// Rank of a class of requests, most important first.
+/// Priority of a class of requests, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rank {
-    /// Must answer before other work proceeds, for example an internal limit check.
+    /// Blocks other work until it is answered, for example an internal limit check.
     Critical,
-    /// A person waits.
+    /// A user is waiting for the answer.
     Interactive,
-    /// Arrives in bulk, must not be lost and is never starved.
+    /// Arrives in bulk; must not be dropped or starved.
     Bulk,
-    /// Can wait.
+    /// Can be delayed.
     Background,
 }
 
-/// How often a request of a class may run.
+/// Execution semantics of a class of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Repeat {
-    /// May run again after an unknown verdict.
+    /// May be retried when its outcome is unknown.
     Idempotent,
-    /// Runs at most once.
+    /// Is executed at most once.
     Once,
 }
 
-/// Class of requests with common limits.
+/// Class of requests with the same priority, execution semantics and limits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Class {
-    /// Name in the template.
+    /// Name of the class in the template.
     pub name: Name,
-    /// Method that selects the class, any when absent.
+    /// HTTP method that selects the class, any if absent.
     pub method: Option<Name>,
-    /// Path prefix after the route's prefix that selects the class, any when empty; no slash at its end.
+    /// Path prefix, after the route's prefix, that selects the class, any if empty.
+    ///
+    /// It has no trailing slash.
     pub path: Name,
-    /// Rank in the queue beside the upstream.
+    /// Priority in the queue of the upstream.
     pub rank: Rank,
-    /// How often a request may run.
+    /// Execution semantics.
     pub repeat: Repeat,
-    /// Time for the whole answer when the caller names none.
+    /// Time limit for the complete answer if the caller sets none.
     pub deadline: Duration,
-    /// Time within which an answer is in time; a later one is of less use. The deadline when absent.
+    /// Latency after which an answer is of less use to the caller; the deadline if absent.
     pub latency_target: Option<Duration>,
-    /// Upstreams to which one request may be sent at most; 0 leaves it to the settings.
+    /// Maximum number of upstreams to which a request is sent, 0 for the value of the settings.
     pub max_tries: u32,
-    /// True when a request's identity is never used again, so that nobody need remember it.
+    /// True if request ids are never reused, so that no deduplication entry is needed.
     pub single_use: bool,
 }
 
-/// A tenant's weights for moving units.
+/// Weights of the costs of moving units, for the balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Weights {
-    /// Weight of a unit that changes owner, in thousandths.
+    /// Weight of a change of owner, in thousandths.
     pub churn: u32,
-    /// Weight of time for which a unit cannot be served, in thousandths.
+    /// Weight of the time during which a unit is unavailable, in thousandths.
     pub downtime: u32,
 }
 
-/// Template filled with the parameters of one workspace.
+/// Route of a workspace: its template with the parameters substituted.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Route {
-    /// Name of the workspace, also of the parameters document.
+    /// Name of the workspace and of its parameters document.
     pub workspace: Name,
     /// Tenant.
     pub tenant: Name,
-    /// Host name that selects the route, any when absent.
+    /// Host name that selects the route, any if absent.
     pub host: Option<Name>,
-    /// Path prefix that selects the route, without a slash at its end; the empty one matches all.
+    /// Path prefix that selects the route, without trailing slash; any if empty.
     pub prefix: Name,
-    /// Whether the service is divided by key.
+    /// Partitioning of the service.
     pub division: Division,
-    /// Classes; the first that matches is taken, the last one matches all.
+    /// Classes; the first match applies, and the last one matches all requests.
     pub classes: Vec<Class>,
-    /// Weights for balance.
+    /// Weights for the balancer.
     pub weights: Weights,
-    /// Largest body in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body: u64,
-    /// Where the route is shared out: each part's weight, and the route by which it is served.
+    /// Weights and target routes of a traffic split, empty if the route serves all requests itself.
     pub weighted_routes: Vec<(u32, Arc<Route>)>,
 }
 
 impl Class {
-    /// Returns true when the class matches every request of its route.
+    /// Returns true if the class matches every request of its route.
     #[must_use]
     pub fn matches_all(&self) -> bool {
         self.method.is_none() && self.path.is_empty()
--- a/acaciaring_core/src/route/parse.rs
+++ b/acaciaring_core/src/route/parse.rs
@@ -1,15 +1,15 @@
-//! Reads documents from INI files.
+//! Parsing of documents from INI files.
 
 use super::document::{Document, DocumentKind, Fault};
 use super::fields::{IniFields, IniProblem, parse_fields};
 use super::layout::check;
 use crate::id::Name;
 
-/// Reads a document of a kind; faults name the file.
+/// Parses a document of the given kind; errors name the file instead of the document.
 ///
 /// # Errors
 ///
-/// Lists everything that is wrong with the file on its own.
+/// Returns all syntax and layout errors of the file.
 pub fn parse(kind: DocumentKind, file_name: &str, text: &str) -> Result<Document, Vec<Fault>> {
     let file: Name = file_name.into();
     let IniFields { fields, problems } = parse_fields(text);
@@ -27,11 +27,11 @@
     Err(faults.into_iter().map(|fault| Fault { document: Name::clone(&file), ..fault }).collect())
 }
 
-/// Reads a document whose kind is told by its sections.
+/// Parses a document and detects its kind by its sections.
 ///
 /// # Errors
 ///
-/// Lists everything that is wrong with the file on its own.
+/// Returns all syntax and layout errors of the file.
 pub fn parse_any(file_name: &str, text: &str) -> Result<Document, Vec<Fault>> {
     let fields = parse_fields(text).fields;
     let has = |kind| fields.iter().any(|field| &*field.section == name_section(kind));
@@ -43,7 +43,7 @@
     parse(kind, file_name, text)
 }
 
-/// Returns the section that names a document and tells its kind.
+/// Returns the section that names a document and identifies its kind.
 const fn name_section(kind: DocumentKind) -> &'static str {
     match kind {
         DocumentKind::Template => "template",
--- a/acaciaring_core/src/route/path.rs
+++ b/acaciaring_core/src/route/path.rs
@@ -1,4 +1,4 @@
-//! Paths of requests: regular form, segments and percent decoding.
+//! Request paths: validation, segments and percent decoding.
 
 use std::borrow::Cow;
 
@@ -7,18 +7,17 @@
     target.split(['?', '#']).next().unwrap_or_default()
 }
 
-/// Returns the query of a request target, empty when there is none.
+/// Returns the query of a request target, empty if there is none.
 pub(super) fn query_of(target: &str) -> &str {
     let (_, query) = target.split_once('?').unwrap_or_default();
     query.split('#').next().unwrap_or_default()
 }
 
-/// Returns true when every reader sees the same segments in the path.
+/// Returns true if all HTTP implementations see the same segments in the path.
 ///
-/// An upstream may merge empty segments, resolve `.` and `..` or decode `%2F`
-/// before it splits. It would then see another key, or another class, than the
-/// router: a request that may run once would be taken for one that may be
-/// repeated. Such paths are refused.
+/// Guards against an upstream that sees another key or class than the router because it merges
+/// empty segments, resolves `.` and `..`, or decodes `%2F` before it splits the path. A request
+/// that must run at most once could then be retried.
 pub(super) fn is_regular(path: &str) -> bool {
     let Some(rest) = path.strip_prefix('/') else { return false };
     let body = rest.strip_suffix('/').unwrap_or(rest);
@@ -30,7 +29,7 @@
     !matches!(&*decoded, b"" | b"." | b"..") && !decoded.contains(&b'/')
 }
 
-/// Returns the rest of a path after a prefix that ends on the border of a segment.
+/// Returns the rest of a path after a prefix, or `None` unless it ends at a segment boundary.
 pub(super) fn strip_prefix<'a>(path: &'a str, prefix: &str) -> Option<&'a str> {
     let rest = path.strip_prefix(prefix)?;
     (rest.is_empty() || rest.starts_with('/')).then_some(rest)
@@ -42,7 +41,7 @@
     path.split('/').filter(|segment| !segment.is_empty())
 }
 
-/// Decodes percent escapes; none when one is malformed.
+/// Decodes percent escapes; returns `None` if one is malformed.
 pub(super) fn decode(text: &str) -> Option<Cow<'_, [u8]>> {
     if !text.contains('%') {
         return Some(Cow::Borrowed(text.as_bytes()));
--- a/acaciaring_core/src/route/reader.rs
+++ b/acaciaring_core/src/route/reader.rs
@@ -1,4 +1,4 @@
-//! Reader of a document's values that collects every fault instead of stopping at the first.
+//! Reader of a document's values that collects all validation errors.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use super::layout::{PARAMETERS, VALUE_MAX, field_fault};
 use crate::id::Name;
 
-/// Start and end of the mark that a parameter replaces.
+/// Start and end delimiter of a placeholder for a parameter.
 const PLACEHOLDER: (&str, char) = ("${", '}');
 
-/// Reads values of one document and collects faults.
+/// Reads values of one document and collects validation errors.
 pub(super) struct FieldReader<'a> {
     document: &'a Document,
     fields: BTreeMap<(&'a str, &'a str), &'a DocumentField>,
@@ -18,13 +18,13 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// Returns a reader whose values may name the parameters in `source`.
+    /// Returns a reader that substitutes parameters from `source`.
     pub(super) fn new(document: &'a Document, source: Option<&'a Document>) -> Self {
         let entry = |field: &'a DocumentField| ((&*field.section, &*field.key), field);
         let parameters = source.into_iter().flat_map(|source| &source.fields);
         Self {
             document,
-            // The first of two equal keys is read; the check of the layout reports the second.
+            // Of duplicate keys the first is read; the layout check reports the others.
             fields: document.fields.iter().rev().map(entry).collect(),
             parameters: parameters
                 .rev()
@@ -35,17 +35,17 @@
         }
     }
 
-    /// Returns the faults found so far.
+    /// Returns the errors found so far.
     pub(super) fn into_faults(self) -> Vec<Fault> {
         self.faults
     }
 
-    /// Returns true when the document has this key.
+    /// Returns true if the document has this key.
     pub(super) fn has(&self, section: &str, key: &str) -> bool {
         self.fields.contains_key(&(section, key))
     }
 
-    /// Reads a key that must be there.
+    /// Reads a required key.
     pub(super) fn required<T>(
         &mut self,
         section: &str,
@@ -59,7 +59,7 @@
         self.optional(section, key, parse)
     }
 
-    /// Reads a key that may be absent.
+    /// Reads an optional key.
     pub(super) fn optional<T>(
         &mut self,
         section: &str,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Adds a fault at a key, whether or not the document has the key.
+    /// Adds an error for a key, which may be missing from the document.
     pub(super) fn fault(&mut self, section: &str, key: &str, message: &str) {
         let field = self.fields.get(&(section, key));
         let in_section = self.document.fields.iter().find(|field| &*field.section == section);
@@ -91,13 +91,14 @@
         });
     }
 
-    /// Replaces each `${name}` by the parameter's value, which is not searched for marks again.
+    /// Replaces each `${name}` by the parameter's value; substitution is not recursive.
     fn substitute(&self, value: &str) -> Result<String, String> {
         let mut filled = String::new();
         let mut rest = value;
         while let Some((before, after)) = rest.split_once(PLACEHOLDER.0) {
-            let (name, tail) =
-                after.split_once(PLACEHOLDER.1).ok_or_else(|| "'${' lacks its '}'".to_owned())?;
+            let (name, tail) = after
+                .split_once(PLACEHOLDER.1)
+                .ok_or_else(|| "'${' has no closing '}'".to_owned())?;
             let parameter = self
                 .parameters
                 .get(name)
@@ -111,7 +112,9 @@
         }
         filled.push_str(rest);
         if filled.len() > VALUE_MAX {
-            return Err(format!("the filled value must have at most {VALUE_MAX} bytes"));
+            return Err(format!(
+                "the value must have at most {VALUE_MAX} bytes after substitution"
+            ));
         }
         Ok(filled)
     }
--- a/acaciaring_core/src/route/value.rs
+++ b/acaciaring_core/src/route/value.rs
@@ -1,4 +1,4 @@
-//! Values of a route, each read from text within its bounds.
+//! Parsers of route values, with their bounds.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -9,46 +9,46 @@
 use super::{KeySource, Rank, Repeat};
 use crate::id::Name;
 
-/// Counts of slots that a service may have.
+/// Valid numbers of slots of a service.
 const SLOT_RANGE: RangeInclusive<u32> = 1..=65_536;
 
-/// Deadlines that a class may have.
+/// Valid deadlines of a class.
 const DEADLINE_RANGE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_mins(10);
 
-/// Limits of a body that a route may have, in bytes.
+/// Valid limits of the body size, in bytes.
 const BODY_BYTES: RangeInclusive<u64> = 1..=16 << 20;
 
-/// Largest weight, in thousandths.
+/// Maximum weight, in thousandths.
 const WEIGHT_MAX: u32 = 1_000_000;
 
-/// Last path segment in which a key may stand.
+/// Maximum index of the path segment that holds the key.
 const SEGMENT_MAX: usize = 31;
 
-/// Longest host name, as in DNS.
+/// Maximum length of a host name in bytes, as in DNS (RFC 1035).
 const HOST_MAX: usize = 253;
 
-/// Longest method.
+/// Maximum length of a method in bytes.
 const METHOD_MAX: usize = 16;
 
-/// Value, or a message that says what is expected.
+/// Value, or an error message that says what is expected.
 type Parsed<T> = Result<T, String>;
 
 pub(super) fn name(text: &str) -> Parsed<Name> {
     if is_name(text) {
         return Ok(text.into());
     }
-    Err(format!("'{text}' is no name of lower-case letters, digits, '-', '_' or '.'"))
+    Err(format!("'{text}' is not a name of lower-case letters, digits, '-', '_' or '.'"))
 }
 
 pub(super) fn host(text: &str) -> Parsed<Name> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '.';
     if text.is_empty() || text.len() > HOST_MAX || !text.chars().all(allowed) {
-        return Err(format!("'{text}' is no host name, which has no port"));
+        return Err(format!("'{text}' is not a host name; a port is not allowed"));
     }
     Ok(text.to_ascii_lowercase().into())
 }
 
-/// Reads a path prefix; the empty one stands for every path.
+/// Parses a path prefix and removes a trailing slash; the empty one matches every path.
 pub(super) fn prefix(text: &str) -> Parsed<Name> {
     let trimmed = text.strip_suffix('/').unwrap_or(text);
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-._~".contains(c);
@@ -62,7 +62,9 @@
     if valid {
         return Ok(trimmed.into());
     }
-    Err(format!("'{text}' is no path of plain segments that starts with '/'"))
+    Err(format!(
+        "'{text}' is not a path of '/' and segments of letters, digits, '-', '.', '_' or '~'"
+    ))
 }
 
 pub(super) fn method(text: &str) -> Parsed<Name> {
@@ -70,13 +72,13 @@
     if valid && text.bytes().all(|byte| byte.is_ascii_uppercase()) {
         return Ok(text.into());
     }
-    Err(format!("'{text}' is no method in capital letters"))
+    Err(format!("'{text}' is not a method of at most {METHOD_MAX} capital letters"))
 }
 
 pub(super) fn slots(text: &str) -> Parsed<u32> {
     let slots = text.parse().ok().filter(|slots| SLOT_RANGE.contains(slots));
     slots.ok_or_else(|| {
-        format!("expected a whole number in {} to {}", SLOT_RANGE.start(), SLOT_RANGE.end())
+        format!("expected a whole number from {} to {}", SLOT_RANGE.start(), SLOT_RANGE.end())
     })
 }
 
@@ -102,7 +104,7 @@
     is_name(&text.to_ascii_lowercase())
 }
 
-/// Reads a weight with at most three decimals, in thousandths.
+/// Parses a decimal number with at most three decimals into thousandths.
 pub(super) fn weight(text: &str) -> Parsed<u32> {
     let (whole, decimals) = text.split_once('.').unwrap_or((text, "0"));
     let digits = |part: &str| !part.is_empty() && part.bytes().all(|b| b.is_ascii_digit());
@@ -127,7 +129,7 @@
     if DEADLINE_RANGE.contains(&deadline) {
         return Ok(deadline);
     }
-    Err("expected a time in 1ms to 10min".to_owned())
+    Err("expected a duration from 1ms to 10min".to_owned())
 }
 
 pub(super) fn rank(text: &str) -> Parsed<Rank> {
@@ -151,9 +153,9 @@
 /// Kind of a division.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum DivisionKind {
-    /// Divided by key.
+    /// Partitioned by key.
     Keyed,
-    /// Not divided by key.
+    /// Not partitioned.
     Pooled,
 }
 
--- a/acaciaring_core/src/state/documents.rs
+++ b/acaciaring_core/src/state/documents.rs
@@ -111,7 +111,7 @@
         let template = template.filter(|template| !template.retired);
         template.map(|template| &template.document).ok_or_else(|| {
             let name = &parameters.document.name;
-            invalid(fault(name, "workspace", "template", "names no template in force"))
+            invalid(fault(name, "workspace", "template", "no active template has this name"))
         })
     }
 
--- a/acaciaring_core/tests/route.rs
+++ b/acaciaring_core/tests/route.rs
@@ -160,7 +160,7 @@
     let found: Vec<_> = found.iter().map(Fault::to_string).collect();
     let expected = [
         "a.ini:8: limits.: the section is empty",
-        "a.ini:10: template.: the section stands twice",
+        "a.ini:10: template.: the section occurs twice",
         "a.ini:3: template.name: is set twice",
         "a.ini:6: rout.prefix: unknown section",
         "a.ini:11: template.owner: unknown key, expected one of name",
@@ -174,7 +174,7 @@
     // both settings would silently be lost.
     let text = TEMPLATE.replace("rank = background", "rank background");
     let found = parse(DocumentKind::Template, "a.ini", &text).expect_err("the file has a fault");
-    assert!(found.iter().any(|fault| fault.message == "a line lacks its '='" && fault.line == 27));
+    assert!(found.iter().any(|fault| fault.message == "a line has no '='" && fault.line == 27));
 }
 
 #[test]
