--- a/acaciaring_core/src/route/lookup.rs
+++ b/acaciaring_core/src/route/lookup.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::path::{decode, is_regular, path_of, query_of, segments, strip_prefix};
+use super::path::{decode, is_unambiguous, path_of, query_of, segments, strip_prefix};
 use super::{Class, Division, KeySource, Route};
 use crate::id::{KeyHash, Name};
 use crate::state::NUMERIC_KEYS;
@@ -38,7 +38,7 @@
     #[must_use]
     pub fn find(&self, host: Option<&str>, path: &str) -> Option<&Arc<Route>> {
         let path = path_of(path);
-        if !is_regular(path) {
+        if !is_unambiguous(path) {
             return None;
         }
         let host = host.map(|host| without_port(host).to_ascii_lowercase());
@@ -118,7 +118,7 @@
 
     fn segment_key(&self, target: &str, index: usize) -> Option<Vec<u8>> {
         let path = path_of(target);
-        if !is_regular(path) {
+        if !is_unambiguous(path) {
             return None;
         }
         let rest = strip_prefix(path, &self.prefix)?;
--- a/acaciaring_core/src/route/path.rs
+++ b/acaciaring_core/src/route/path.rs
@@ -18,13 +18,13 @@
 /// Guards against an upstream that sees another key or class than the router because it merges
 /// empty segments, resolves `.` and `..`, or decodes `%2F` before it splits the path. A request
 /// that must run at most once could then be retried.
-pub(super) fn is_regular(path: &str) -> bool {
+pub(super) fn is_unambiguous(path: &str) -> bool {
     let Some(rest) = path.strip_prefix('/') else { return false };
     let body = rest.strip_suffix('/').unwrap_or(rest);
-    body.is_empty() || body.split('/').all(is_regular_segment)
+    body.is_empty() || body.split('/').all(is_unambiguous_segment)
 }
 
-fn is_regular_segment(segment: &str) -> bool {
+fn is_unambiguous_segment(segment: &str) -> bool {
     let Some(decoded) = decode(segment) else { return false };
     !matches!(&*decoded, b"" | b"." | b"..") && !decoded.contains(&b'/')
 }
