--- a/acaciaring_core/src/rights.rs
+++ b/acaciaring_core/src/rights.rs
@@ -253,7 +253,7 @@
     ) -> bool {
         let relinquished = |other| self.has_relinquished(key, me, assignment, other, &expired);
         self.served.contains(key)
-            || (relinquished(assignment.prior) && relinquished(assignment.rival))
+            || (relinquished(assignment.prior) && relinquished(assignment.prior_standby))
     }
 
     fn standby_ready(
@@ -268,10 +268,10 @@
         // After a takeover, a standby continues across versions: the owner is lost or bound by its
         // release while the standby is the same. It must stop once it is `prior`, after a
         // switchover back, or `rival`, after the owner's next process has replaced the owner.
-        let stops = [assignment.prior, assignment.rival].contains(&Some(me));
+        let stops = [assignment.prior, assignment.prior_standby].contains(&Some(me));
         let continues = self.served.contains(key) && !stops;
         let relinquished = |other| self.has_relinquished(key, me, assignment, other, &expired);
-        let former = relinquished(assignment.prior) && relinquished(assignment.rival);
+        let former = relinquished(assignment.prior) && relinquished(assignment.prior_standby);
         let taken = relinquished(assignment.owner) && former;
         !renounced && assignment.owner.is_some() && (continues || taken)
     }
--- a/acaciaring_core/src/route/lookup.rs
+++ b/acaciaring_core/src/route/lookup.rs
@@ -1,22 +1,22 @@
-//! Finds the route, the class and the key of a request.
+//! Lookup of the route, the class and the key of a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::path::{decode, is_regular, path_of, query_of, segments, strip_prefix};
+use super::path::{decode, is_unambiguous, path_of, query_of, segments, strip_prefix};
 use super::{Class, Division, KeySource, Route};
 use crate::id::{KeyHash, Name};
-use crate::state::NUMBERS;
+use crate::state::NUMERIC_KEYS;
 
-/// Routes of one host name by their prefix.
+/// Routes of one host name by path prefix.
 type Prefixes = HashMap<Name, Arc<Route>>;
 
-/// Routes in force, for lookup by host and path.
+/// Routing table for lookup by host and path.
 #[derive(Debug, Clone, Default)]
 pub struct Routes {
     hosts: HashMap<Name, Prefixes>,
-    any: Prefixes,
-    longest: usize,
+    any_host: Prefixes,
+    max_prefix: usize,
 }
 
 impl FromIterator<Arc<Route>> for Routes {
@@ -30,28 +30,30 @@
 }
 
 impl Routes {
-    /// Returns the route for a host name, with or without port, and a path, with or without query.
+    /// Returns the route for a host, with or without port, and a path, with or without query.
     ///
-    /// A route for the host goes before one for any host; the longest prefix wins.
-    /// There is none for a path whose segments depend on its reader: one with
-    /// empty or dot segments, `%2F` or a malformed escape.
+    /// A route for the host takes precedence over one for any host, then the longest prefix wins.
+    /// Ambiguous paths have no route: those with empty or dot segments, `%2F` or a malformed
+    /// escape, which other HTTP implementations may split or normalise differently.
     #[must_use]
     pub fn find(&self, host: Option<&str>, path: &str) -> Option<&Arc<Route>> {
         let path = path_of(path);
-        if !is_regular(path) {
+        if !is_unambiguous(path) {
             return None;
         }
         let host = host.map(|host| without_port(host).to_ascii_lowercase());
-        let own = host.and_then(|host| self.hosts.get(&*host));
-        own.and_then(|own| self.longest(own, path)).or_else(|| self.longest(&self.any, path))
+        let by_host = host.and_then(|host| self.hosts.get(&*host));
+        by_host
+            .and_then(|prefixes| self.longest_match(prefixes, path))
+            .or_else(|| self.longest_match(&self.any_host, path))
     }
 
-    /// Adds a route; of two with the same host and prefix the first workspace in order of names wins.
+    /// Adds a route; of two with the same host and prefix, the lower workspace name wins.
     fn insert(&mut self, route: Arc<Route>) {
-        self.longest = self.longest.max(route.prefix.len());
+        self.max_prefix = self.max_prefix.max(route.prefix.len());
         let prefixes = match &route.host {
             Some(host) => self.hosts.entry(Name::clone(host)).or_default(),
-            None => &mut self.any,
+            None => &mut self.any_host,
         };
         let earlier = prefixes.get(&route.prefix);
         if earlier.is_none_or(|earlier| route.workspace < earlier.workspace) {
@@ -59,38 +61,38 @@
         }
     }
 
-    fn longest<'a>(&self, prefixes: &'a Prefixes, path: &str) -> Option<&'a Arc<Route>> {
-        // A prefix that ends with a slash matches what is below it only.
-        let borders = path.rmatch_indices('/').flat_map(|(index, _)| [index + 1, index]);
-        let mut ends = std::iter::once(path.len()).chain(borders);
-        ends.find_map(|end| if end <= self.longest { prefixes.get(&path[..end]) } else { None })
+    fn longest_match<'a>(&self, prefixes: &'a Prefixes, path: &str) -> Option<&'a Arc<Route>> {
+        // A prefix with a trailing slash matches only paths below it.
+        let boundaries = path.rmatch_indices('/').flat_map(|(index, _)| [index + 1, index]);
+        let mut ends = std::iter::once(path.len()).chain(boundaries);
+        ends.find_map(|end| if end <= self.max_prefix { prefixes.get(&path[..end]) } else { None })
     }
 }
 
 impl Route {
-    /// Returns the class of a request, by its method and its path with or without query.
+    /// Returns the class of a request by its method and its path, with or without query.
     ///
-    /// Segments are compared in their decoded form, so that an escape cannot
-    /// lead around a class.
+    /// Segments are compared in percent-decoded form, so that escapes cannot bypass a class.
     ///
     /// # Panics
     ///
-    /// Panics when the route has no class; such a route does not build.
+    /// Panics if the route has no class; [`build`](super::build()) yields no such route.
     #[must_use]
     pub fn class(&self, method: &str, path: &str) -> &Class {
         let path = path_of(path);
         let rest = strip_prefix(path, &self.prefix).unwrap_or(path);
         let matches = |class: &&Class| {
-            class.method.as_ref().is_none_or(|own| &**own == method) && below(rest, &class.path)
+            class.method.as_ref().is_none_or(|expected| &**expected == method)
+                && has_segment_prefix(rest, &class.path)
         };
         let last = self.classes.last().expect("a route has a class");
         self.classes.iter().find(matches).unwrap_or(last)
     }
 
-    /// Returns the hash of a request's key, by its target (path and query) and its headers.
+    /// Returns the key of a request, by its target (path and query) and its headers.
     ///
-    /// There is none in a service that is not divided by key, and none when the
-    /// key is empty, malformed or stands twice with different values.
+    /// Returns `None` if the service is not partitioned by key, or the key is missing, empty,
+    /// malformed or given twice with different values.
     #[must_use]
     pub fn key<'a>(
         &self,
@@ -107,16 +109,16 @@
         key.filter(|key| !key.is_empty()).map(|key| KeyHash::of(&key))
     }
 
-    /// Returns true when this route and another would answer the same requests.
+    /// Returns true if a route of another workspace has the same host and prefix.
     #[must_use]
-    pub fn clashes(&self, other: &Self) -> bool {
+    pub fn conflicts_with(&self, other: &Self) -> bool {
         let same = self.host == other.host && self.prefix == other.prefix;
         same && self.workspace != other.workspace
     }
 
     fn segment_key(&self, target: &str, index: usize) -> Option<Vec<u8>> {
         let path = path_of(target);
-        if !is_regular(path) {
+        if !is_unambiguous(path) {
             return None;
         }
         let rest = strip_prefix(path, &self.prefix)?;
@@ -125,10 +127,10 @@
     }
 }
 
-fn below(path: &str, prefix: &str) -> bool {
-    let mut own = segments(path).map(decode);
+fn has_segment_prefix(path: &str, prefix: &str) -> bool {
+    let mut remaining = segments(path).map(decode);
     segments(prefix).all(|segment| {
-        let next = own.next().flatten();
+        let next = remaining.next().flatten();
         next.is_some_and(|next| *next == *segment.as_bytes())
     })
 }
@@ -137,41 +139,41 @@
     headers: impl IntoIterator<Item = (&'a str, &'a [u8])>,
     name: &str,
 ) -> Option<Vec<u8>> {
-    let own = headers.into_iter().filter(|(other, _)| other.eq_ignore_ascii_case(name));
-    only(own.map(|(_, value)| value.trim_ascii().to_vec()))
+    let matching = headers.into_iter().filter(|(other, _)| other.eq_ignore_ascii_case(name));
+    common_value(matching.map(|(_, value)| value.trim_ascii().to_vec()))
 }
 
-/// Returns the key whose number a header states.
+/// Returns the numeric key in a header.
 fn number_key<'a>(
     headers: impl IntoIterator<Item = (&'a str, &'a [u8])>,
     name: &str,
 ) -> Option<KeyHash> {
     let text = String::from_utf8(header_key(headers, name)?).ok()?;
     let number: u32 = text.parse().ok()?;
-    (number < NUMBERS).then(|| KeyHash(number.into()))
+    (number < NUMERIC_KEYS).then(|| KeyHash(number.into()))
 }
 
 fn query_key(target: &str, name: &str) -> Option<Vec<u8>> {
     let pairs = query_of(target).split('&');
-    let own = pairs.filter_map(|pair| {
+    let matching = pairs.filter_map(|pair| {
         let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
         let key = decode_form(key)?;
         (*key == *name.as_bytes()).then(|| decode_form(value))
     });
-    only(own.map(Option::unwrap_or_default))
+    common_value(matching.map(Option::unwrap_or_default))
 }
 
-/// Decodes a part of a query, in which '+' stands for a blank.
+/// Decodes a query component, in which '+' encodes a space.
 fn decode_form(text: &str) -> Option<Vec<u8>> {
     let plain = text.replace('+', " ");
     decode(&plain).map(std::borrow::Cow::into_owned)
 }
 
-/// Returns the value that all items share, none when they differ.
+/// Returns the value that all items have, or `None` if there is none or they differ.
 ///
-/// The upstream may take the first or the last of two values; the router
-/// cannot know which, so a key that stands twice with different values is none.
-fn only(mut values: impl Iterator<Item = Vec<u8>>) -> Option<Vec<u8>> {
+/// Guards against a request that is routed by another key than the upstream uses: of two different
+/// values, it may take either.
+fn common_value(mut values: impl Iterator<Item = Vec<u8>>) -> Option<Vec<u8>> {
     let first = values.next()?;
     values.all(|value| value == first).then_some(first)
 }
--- a/acaciaring_core/src/state/lessors.rs
+++ b/acaciaring_core/src/state/lessors.rs
@@ -1,4 +1,4 @@
-//! Choice of lessors: other data centres first, evenly spread.
+//! Selection of lessors: spread over data centres and balanced over members.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use super::{Member, Rejection, State};
 use crate::id::{MemberId, Offset};
 
-/// Most lessors of a member.
+/// Maximum number of lessors of a member.
 pub const LESSORS_MAX: usize = 3;
 
 impl State {
@@ -16,93 +16,96 @@
         offset: Offset,
         record: &log::Lessors,
     ) -> Result<(), Rejection> {
-        let id = self.present(record.member)?;
+        let id = self.require_present(record.member)?;
         let version = self.members.get(&id).map_or(0, |member| member.version);
         if record.base != version {
             return Err(Rejection::Conflict { current: version });
         }
         let lessors: BTreeSet<_> = record.lessors.iter().copied().map(MemberId).collect();
         let distinct = lessors.len() == record.lessors.len();
-        let alive = lessors.iter().all(|lessor| *lessor != id && self.alive(lessor.0).is_ok());
+        let alive =
+            lessors.iter().all(|lessor| *lessor != id && self.require_alive(lessor.0).is_ok());
         if !distinct || !alive || !(1..=LESSORS_MAX).contains(&lessors.len()) {
             return Err(Rejection::Lessors);
         }
         if let Some(member) = self.members.get_mut(&id) {
-            self.counts.release(&member.lessors);
+            self.counts.remove_lessors(&member.lessors);
             member.lessors = lessors.into_iter().collect();
             member.version = offset;
-            self.counts.hold(&member.lessors);
+            self.counts.add_lessors(&member.lessors);
         }
         Ok(())
     }
 
-    /// Returns up to three lessors for a member, sorted.
+    /// Returns up to [`LESSORS_MAX`] lessors for a member, sorted.
     ///
-    /// They are in three different data centres of the member's region; other
-    /// regions fill up when it has fewer, and a second lessor in one data centre
-    /// is the last resort. Fewest holders go first, then the lowest id.
+    /// They are in different data centres, preferably of the member's region. Two lessors in one
+    /// data centre are the last resort. Ties go to the member that is lessor of the fewest others,
+    /// then to the lowest id.
     #[must_use]
     pub fn choose_lessors(&self, member: &Member) -> Vec<MemberId> {
         self.complete(member, Vec::new(), &[])
     }
 
-    /// Returns a better set of lessors, or `None` when the present one will do.
+    /// Returns a better set of lessors, or `None` if the current set needs no change.
     ///
-    /// A lessor is replaced when it is dead or leaving, shares its data centre
-    /// with another lessor while there is a choice, or is in another region while
-    /// a further data centre of the own one has a candidate; as few as possible are.
+    /// Replaces as few lessors as possible: those that are dead or leaving, that share a data
+    /// centre with another lessor while there is an alternative, or that are in another region
+    /// while an unused data centre of the member's region has a candidate.
     ///
-    /// Guards against a region that stops when it is cut off: its first members
-    /// had only foreign lessors to choose from, and would keep them.
+    /// Guards against a region that stops serving in a network partition because its first
+    /// members keep the lessors of other regions that they had to choose at the start.
     #[must_use]
     pub fn better_lessors(&self, member: &Member) -> Option<Vec<MemberId>> {
-        self.better_lessors_but(member, &[])
+        self.better_lessors_excluding(member, &[])
     }
 
-    /// Does the same as [`State::better_lessors`], without lessors of which the member hears nothing.
+    /// Same as [`State::better_lessors`], without the lessors in `unresponsive`.
     #[must_use]
-    pub fn better_lessors_but(
+    pub fn better_lessors_excluding(
         &self,
         member: &Member,
-        silent: &[MemberId],
+        unresponsive: &[MemberId],
     ) -> Option<Vec<MemberId>> {
         let mut kept: Vec<&Member> = Vec::new();
-        let mut doubled: Vec<&Member> = Vec::new();
+        let mut duplicates: Vec<&Member> = Vec::new();
         let present = member.lessors.iter().filter_map(|id| self.members.get(id));
-        let (home, foreign): (Vec<&Member>, Vec<&Member>) = present
-            .filter(|lessor| lessor.alive() && !silent.contains(&lessor.id))
+        let (local, foreign): (Vec<&Member>, Vec<&Member>) = present
+            .filter(|lessor| lessor.alive() && !unresponsive.contains(&lessor.id))
             .partition(|l| l.region == member.region);
-        keep(home, &mut kept, &mut doubled);
+        split_by_data_centre(local, &mut kept, &mut duplicates);
         while kept.len() < LESSORS_MAX
-            && let Some(fresh) =
-                self.fresh(member, &kept, silent).filter(|f| f.region == member.region)
+            && let Some(candidate) = self
+                .best_in_new_data_centre(member, &kept, unresponsive)
+                .filter(|c| c.region == member.region)
         {
-            kept.push(fresh);
+            kept.push(candidate);
         }
-        keep(foreign, &mut kept, &mut doubled);
-        // A second lessor of a data centre stays unless one from another data centre takes its place.
+        split_by_data_centre(foreign, &mut kept, &mut duplicates);
+        // A candidate from an unused data centre replaces a duplicate; without one it stays.
         while kept.len() < LESSORS_MAX
-            && let Some(fresh) = self.fresh(member, &kept, silent)
+            && let Some(candidate) = self.best_in_new_data_centre(member, &kept, unresponsive)
         {
-            kept.push(fresh);
+            kept.push(candidate);
         }
-        kept.extend(doubled);
+        kept.extend(duplicates);
         kept.truncate(LESSORS_MAX);
-        let set = self.complete(member, kept, silent);
+        let set = self.complete(member, kept, unresponsive);
         (set != member.lessors && !set.is_empty()).then_some(set)
     }
 
-    /// Fills up a set of lessors and returns it sorted.
+    /// Completes a set of lessors and returns it sorted.
     fn complete<'a>(
         &'a self,
         member: &Member,
         mut chosen: Vec<&'a Member>,
-        silent: &[MemberId],
+        unresponsive: &[MemberId],
     ) -> Vec<MemberId> {
         while chosen.len() < LESSORS_MAX {
-            let second = || self.best(member, &chosen, silent, |_| true);
-            // For want of another data centre, the best candidate anywhere.
-            let next = self.fresh(member, &chosen, silent).or_else(second);
+            let any_data_centre = || self.best_candidate(member, &chosen, unresponsive, |_| true);
+            let next = self
+                .best_in_new_data_centre(member, &chosen, unresponsive)
+                .or_else(any_data_centre);
             let Some(next) = next else { break };
             chosen.push(next);
         }
@@ -112,36 +115,45 @@
     }
 
     /// Returns the best candidate in a data centre that has no lessor yet.
-    fn fresh(&self, member: &Member, chosen: &[&Member], silent: &[MemberId]) -> Option<&Member> {
+    fn best_in_new_data_centre(
+        &self,
+        member: &Member,
+        chosen: &[&Member],
+        unresponsive: &[MemberId],
+    ) -> Option<&Member> {
         let taken = |other: &Member| chosen.iter().any(|c| c.data_centre == other.data_centre);
-        self.best(member, chosen, silent, |other| !taken(other))
+        self.best_candidate(member, chosen, unresponsive, |other| !taken(other))
     }
 
-    fn best(
+    fn best_candidate(
         &self,
         member: &Member,
         chosen: &[&Member],
-        silent: &[MemberId],
+        unresponsive: &[MemberId],
         fits: impl Fn(&Member) -> bool,
     ) -> Option<&Member> {
-        let free = |other: &&Member| {
+        let eligible = |other: &&Member| {
             let taken = other.id == member.id || chosen.iter().any(|c| c.id == other.id);
-            other.alive() && !taken && !silent.contains(&other.id)
+            other.alive() && !taken && !unresponsive.contains(&other.id)
         };
         let rank = |other: &&Member| {
             let foreign = other.region != member.region;
-            let near = other.data_centre == member.data_centre && other.rack == member.rack;
-            (foreign, near, self.counts.holders(other.id), other.id)
+            let same_rack = other.data_centre == member.data_centre && other.rack == member.rack;
+            (foreign, same_rack, self.counts.holder_count(other.id), other.id)
         };
-        self.members.values().filter(free).filter(|other| fits(other)).min_by_key(rank)
+        self.members.values().filter(eligible).filter(|other| fits(other)).min_by_key(rank)
     }
 }
 
-/// Keeps one lessor of each data centre and sets the others aside.
-fn keep<'a>(lessors: Vec<&'a Member>, kept: &mut Vec<&'a Member>, doubled: &mut Vec<&'a Member>) {
+/// Moves the first lessor of each data centre to `kept` and the others to `duplicates`.
+fn split_by_data_centre<'a>(
+    lessors: Vec<&'a Member>,
+    kept: &mut Vec<&'a Member>,
+    duplicates: &mut Vec<&'a Member>,
+) {
     for lessor in lessors {
         if kept.iter().any(|k| k.data_centre == lessor.data_centre) {
-            doubled.push(lessor);
+            duplicates.push(lessor);
         } else {
             kept.push(lessor);
         }
--- a/acaciaring_core/src/state/replica.rs
+++ b/acaciaring_core/src/state/replica.rs
@@ -1,57 +1,57 @@
-//! Replica of the state, fed with batches of the log in any pieces.
+//! Replica of the state that follows the log and recovers from a snapshot after log truncation.
 
 use acaciaring_schema::log::Batch;
 use acaciaring_schema::log::record::Body;
 use snafu::{Snafu, ensure};
 
 use super::fold::Decoded;
-use super::snapshot::{Assembler, SnapshotError, Whole};
+use super::snapshot::{Assembler, CompleteSnapshot, SnapshotError};
 use super::{Outcome, RecordId, State};
 use crate::id::Offset;
 
-/// What became of one record of the log.
+/// Record folded by a replica, with its outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Folded {
     /// Offset of the record.
     pub offset: Offset,
-    /// Id by which its proposer knows it, `None` when it does not decode.
+    /// Id of the record, `None` when it does not decode.
     pub id: Option<RecordId>,
-    /// Effect.
+    /// Effect on the state.
     pub outcome: Outcome,
 }
 
-/// Why a batch brought the replica no further.
+/// Reason why a batch did not bring the replica up to date.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ReplicaError {
-    /// The batch begins after the record that is wanted, which the log still keeps.
-    #[snafu(display("the batch begins at {start}, wanted is {wanted}"))]
+    /// The batch starts after the replica's position, although the log still has that record.
+    #[snafu(display("batch starts at offset {start}, expected offset {position}"))]
     BatchGap {
         /// Offset that must come next.
-        wanted: Offset,
+        position: Offset,
         /// Offset at which the batch begins.
         start: Offset,
     },
-    /// The log ends before records that were read from it.
-    #[snafu(display("the log ends before {next}, wanted is {wanted}"))]
+    /// The log ends before the replica's position: it lost records that were read from it.
+    #[snafu(display("log ends before offset {next}, expected offset {position}"))]
     Regressed {
         /// Offset that must come next.
-        wanted: Offset,
+        position: Offset,
         /// End of the log.
         next: Offset,
     },
-    /// The log dropped records that are needed and has no whole snapshot up to its end.
+    /// The log dropped required records and contains no complete, valid snapshot that covers them.
     ///
-    /// Later batches may still bring one.
-    #[snafu(display("the log begins at {oldest} and has no whole snapshot"))]
+    /// Later batches may still contain one.
+    #[snafu(display("log starts at offset {oldest} and contains no usable snapshot"))]
     HistoryLost {
-        /// Offset of the oldest record kept.
+        /// Offset of the oldest record in the log.
         oldest: Offset,
-        /// What was wrong with the last whole snapshot, if there was one.
+        /// Error of the last complete snapshot, if there was one.
         problem: Option<SnapshotError>,
     },
 }
 
-/// State with what it takes to keep up with a log of limited retention.
+/// State that follows a log with limited retention.
 #[derive(Debug, Clone, Default)]
 pub struct Replica {
     state: State,
@@ -62,30 +62,30 @@
 
 #[derive(Debug, Clone, Default)]
 enum Phase {
-    /// Each record is folded as it comes.
+    /// Folding each record as it arrives.
     #[default]
     Folding,
-    /// Records are missing; a snapshot that covers them is looked for.
+    /// Records are missing; scanning the log for a snapshot that covers them.
     Scanning(Scan),
 }
 
-/// Search for a snapshot.
+/// Scan of the log for a snapshot.
 #[derive(Debug, Clone)]
 struct Scan {
-    /// Offset of the first record in `kept`.
+    /// Offset of the first record in `buffered`.
     start: Offset,
-    /// Records read so far, which a snapshot to come may not cover.
-    kept: Vec<Vec<u8>>,
+    /// Records read during the scan; those after the snapshot are folded once it is loaded.
+    buffered: Vec<Vec<u8>>,
     problem: Option<SnapshotError>,
 }
 
 impl Scan {
     fn new(start: Offset) -> Self {
-        Self { start, kept: Vec::new(), problem: None }
+        Self { start, buffered: Vec::new(), problem: None }
     }
 
     fn next(&self) -> Offset {
-        let count = u64::try_from(self.kept.len()).unwrap_or(u64::MAX);
+        let count = u64::try_from(self.buffered.len()).unwrap_or(u64::MAX);
         self.start.saturating_add(count)
     }
 }
@@ -97,7 +97,7 @@
         &self.state
     }
 
-    /// Returns true unless records are missing and a snapshot is looked for.
+    /// Returns true unless the replica is scanning for a snapshot because records are missing.
     #[must_use]
     pub fn folding(&self) -> bool {
         matches!(self.phase, Phase::Folding)
@@ -105,45 +105,46 @@
 
     /// Returns the offset of the next record to read.
     #[must_use]
-    pub fn wanted(&self) -> Offset {
+    pub fn position(&self) -> Offset {
         match &self.phase {
             Phase::Folding => self.state.next().max(1),
             Phase::Scanning(scan) => scan.next(),
         }
     }
 
-    /// Returns where the newest whole snapshot seen in the log ends, 0 when none was seen.
+    /// Returns the offset up to which the newest complete snapshot seen covers the log, 0 if none.
     #[must_use]
     pub fn snapshot_next(&self) -> Offset {
         self.snapshot_next
     }
 
-    /// Takes a batch and returns the outcomes of the records folded by it, in order.
+    /// Applies a batch of the log and returns the outcomes of the records that it folded, in order.
     ///
-    /// Records that were folded before are passed over. When retention has taken
-    /// records that are wanted, the replica looks for a snapshot that is newer
-    /// than its state and begins within what the log keeps; until it is found the
-    /// state stays as it is. Records that a snapshot covers have no outcome here.
+    /// Records before the replica's position are skipped. If the log has dropped records that the
+    /// replica still needs, it scans for a snapshot newer than its state whose records are all in
+    /// the log, and leaves the state unchanged until it finds one. Records that the snapshot
+    /// covers yield no outcome.
     ///
     /// # Errors
     ///
-    /// Fails when the batch does not fit or no snapshot was found; the replica is
-    /// still good, and the next batch is to begin at [`Self::wanted`].
-    pub fn offer(&mut self, batch: &Batch) -> Result<Vec<Folded>, ReplicaError> {
-        let wanted = self.wanted();
-        ensure!(batch.next >= wanted, RegressedSnafu { wanted, next: batch.next });
-        if batch.oldest > wanted {
-            // Retention overtook this reader, for example after a long pause. Folding
-            // on would skip records, so only a snapshot that covers them may follow.
+    /// Fails if the batch does not continue at the position or the scan has found no snapshot by
+    /// the end of the log. The replica stays usable; the next batch must start at
+    /// [`Self::position`].
+    pub fn apply_batch(&mut self, batch: &Batch) -> Result<Vec<Folded>, ReplicaError> {
+        let position = self.position();
+        ensure!(batch.next >= position, RegressedSnafu { position, next: batch.next });
+        if batch.oldest > position {
+            // Retention dropped records that were not read yet, for example during a long pause.
+            // Folding on would skip them, so the state must come from a snapshot that covers them.
             self.phase = Phase::Scanning(Scan::new(batch.oldest));
         }
-        let wanted = self.wanted();
-        let fits = batch.entries.is_empty() || batch.start <= wanted;
-        ensure!(fits, BatchGapSnafu { wanted, start: batch.start });
+        let position = self.position();
+        let fits = batch.entries.is_empty() || batch.start <= position;
+        ensure!(fits, BatchGapSnafu { position, start: batch.start });
         let mut folded = Vec::new();
         for (offset, entry) in (batch.start..).zip(&batch.entries) {
-            if offset >= wanted {
-                self.take(offset, entry, &mut folded);
+            if offset >= position {
+                self.process_record(offset, entry, &mut folded);
             }
         }
         if let Phase::Scanning(scan) = &self.phase {
@@ -153,32 +154,34 @@
         Ok(folded)
     }
 
-    fn take(&mut self, offset: Offset, entry: &[u8], folded: &mut Vec<Folded>) {
+    fn process_record(&mut self, offset: Offset, entry: &[u8], folded: &mut Vec<Folded>) {
         let record = Decoded::from_bytes(entry);
-        let whole = record.as_ref().and_then(|record| self.assemble(offset, &record.body));
+        let snapshot = record.as_ref().and_then(|record| self.assemble(offset, &record.body));
         match &mut self.phase {
             Phase::Folding => folded.push(fold(&mut self.state, offset, record.as_ref())),
             Phase::Scanning(scan) => {
-                scan.kept.push(entry.to_vec());
-                if let Some(whole) = whole {
-                    self.load(&whole, folded);
+                scan.buffered.push(entry.to_vec());
+                if let Some(snapshot) = snapshot {
+                    self.load_snapshot(&snapshot, folded);
                 }
             }
         }
     }
 
-    fn assemble(&mut self, offset: Offset, body: &Body) -> Option<Whole> {
-        let whole = self.assembler.feed(offset, body)?;
-        self.snapshot_next = self.snapshot_next.max(whole.next);
-        Some(whole)
+    fn assemble(&mut self, offset: Offset, body: &Body) -> Option<CompleteSnapshot> {
+        let snapshot = self.assembler.feed(offset, body)?;
+        self.snapshot_next = self.snapshot_next.max(snapshot.next);
+        Some(snapshot)
     }
 
-    /// Goes on from a snapshot if no record is missing after it.
-    fn load(&mut self, whole: &Whole, folded: &mut Vec<Folded>) {
+    /// Loads a snapshot and folds the buffered records after it.
+    ///
+    /// Ignores a snapshot that ends before the scan starts, as records between are missing.
+    fn load_snapshot(&mut self, snapshot: &CompleteSnapshot, folded: &mut Vec<Folded>) {
         let Phase::Scanning(scan) = &mut self.phase else { return };
-        // What the search began with is later than the state, so such a snapshot is newer.
-        let Some(covered) = whole.next.checked_sub(scan.start) else { return };
-        match whole.state() {
+        // The scan starts after the state's position, so this snapshot is newer than the state.
+        let Some(covered) = snapshot.next.checked_sub(scan.start) else { return };
+        match snapshot.state() {
             Ok(state) => self.state = state,
             Err(problem) => {
                 scan.problem = Some(problem);
@@ -186,7 +189,7 @@
             }
         }
         let covered = usize::try_from(covered).unwrap_or(usize::MAX);
-        for (offset, entry) in (whole.next..).zip(scan.kept.iter().skip(covered)) {
+        for (offset, entry) in (snapshot.next..).zip(scan.buffered.iter().skip(covered)) {
             folded.push(fold(&mut self.state, offset, Decoded::from_bytes(entry).as_ref()));
         }
         self.phase = Phase::Folding;
--- a/acaciaring_core/src/state/snapshot/assembler.rs
+++ b/acaciaring_core/src/state/snapshot/assembler.rs
@@ -1,4 +1,4 @@
-//! Records of the log to snapshot.
+//! Reassembly of snapshots from log records.
 
 use std::collections::BTreeMap;
 
@@ -12,45 +12,45 @@
 use crate::id::Offset;
 use crate::state::{RecordId, State};
 
-/// Most snapshots that are put together at once.
+/// Maximum number of partial snapshots held.
 const PARTIAL_MAX: usize = 8;
 
-/// Most bytes of chunks that are held.
+/// Maximum size in bytes of all chunks held.
 const BYTES_MAX: usize = 64 << 20;
 
-/// Collects the chunks of snapshots while the log is read.
+/// Reassembles snapshots from their chunks while the log is read.
 ///
-/// Any bytes are accepted; a snapshot with a missing or corrupt chunk is never
-/// yielded. Memory is bounded: the snapshot that got no chunk for longest goes.
+/// Accepts any chunks and never yields a snapshot with a missing or corrupt one. Memory is bounded:
+/// when a limit is exceeded, the partial snapshot without a chunk for the longest time is evicted.
 #[derive(Debug, Clone, Default)]
 pub struct Assembler {
     partial: BTreeMap<RecordId, Partial>,
 }
 
-/// Snapshot with chunks still to come.
+/// Snapshot that is not committed yet.
 #[derive(Debug, Clone, Default)]
 struct Partial {
     chunks: BTreeMap<u32, Vec<u8>>,
     bytes: usize,
-    latest: Offset,
+    last_offset: Offset,
 }
 
-/// Snapshot with all chunks and the right digest.
+/// Committed snapshot with all chunks and a matching digest.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Whole {
-    /// Offset of the first record that the snapshot does not cover.
+pub struct CompleteSnapshot {
+    /// Offset of the first record not covered by the snapshot.
     pub next: Offset,
     /// Offset of the commit record.
     pub committed: Offset,
     bytes: Vec<u8>,
 }
 
-impl Whole {
-    /// Restores the state.
+impl CompleteSnapshot {
+    /// Decodes and restores the state.
     ///
     /// # Errors
     ///
-    /// Fails when the bytes are no valid snapshot that ends where its commit says.
+    /// Fails if the snapshot is invalid or its offset differs from that of the commit record.
     pub fn state(&self) -> Result<State, SnapshotError> {
         let snapshot = Snapshot::decode(&*self.bytes).map_err(|_| SnapshotError::Undecodable)?;
         if snapshot.next != self.next {
@@ -61,8 +61,8 @@
 }
 
 impl Assembler {
-    /// Takes the record at `offset` and returns the snapshot that it completes.
-    pub fn feed(&mut self, offset: Offset, body: &Body) -> Option<Whole> {
+    /// Processes the record at `offset` and returns the snapshot that it completes, if any.
+    pub fn feed(&mut self, offset: Offset, body: &Body) -> Option<CompleteSnapshot> {
         match body {
             Body::Chunk(chunk) => {
                 self.add(offset, chunk);
@@ -76,32 +76,36 @@
     fn add(&mut self, offset: Offset, chunk: &Chunk) {
         let Ok(id) = chunk.snapshot.as_slice().try_into() else { return };
         let partial = self.partial.entry(id).or_default();
-        partial.latest = offset;
-        // A chunk that was appended twice is the same twice; the digest finds one that is not.
+        partial.last_offset = offset;
+        // A retried append repeats the same chunk; the digest detects one that differs.
         if let Some(old) = partial.chunks.insert(chunk.index, chunk.data.clone()) {
             partial.bytes -= old.len();
         }
         partial.bytes += chunk.data.len();
-        self.shrink();
+        self.evict_oldest();
     }
 
-    fn shrink(&mut self) {
+    fn evict_oldest(&mut self) {
         let bytes =
             |partial: &BTreeMap<_, Partial>| partial.values().map(|p| p.bytes).sum::<usize>();
         while self.partial.len() > PARTIAL_MAX || bytes(&self.partial) > BYTES_MAX {
-            let oldest = self.partial.iter().min_by_key(|(_, partial)| partial.latest);
+            let oldest = self.partial.iter().min_by_key(|(_, partial)| partial.last_offset);
             let Some(id) = oldest.map(|(id, _)| *id) else { return };
             self.partial.remove(&id);
         }
     }
 
-    fn complete(&mut self, offset: Offset, commit: &Commit) -> Option<Whole> {
+    fn complete(&mut self, offset: Offset, commit: &Commit) -> Option<CompleteSnapshot> {
         let id: RecordId = commit.snapshot.as_slice().try_into().ok()?;
         let partial = self.partial.remove(&id)?;
         let indices = partial.chunks.keys().copied();
-        let whole = indices.eq(0..commit.chunks) && commit.next <= offset;
+        let complete = indices.eq(0..commit.chunks) && commit.next <= offset;
         let bytes = partial.chunks.into_values().collect::<Vec<_>>().concat();
-        let right = commit.digest == digest(&bytes);
-        (whole && right).then_some(Whole { next: commit.next, committed: offset, bytes })
+        let digest_matches = commit.digest == digest(&bytes);
+        (complete && digest_matches).then_some(CompleteSnapshot {
+            next: commit.next,
+            committed: offset,
+            bytes,
+        })
     }
 }
--- a/acaciaring_core/src/state/snapshot/decode.rs
+++ b/acaciaring_core/src/state/snapshot/decode.rs
@@ -1,4 +1,4 @@
-//! Snapshot message to state, checked like the records that made it.
+//! Decoding of a snapshot message into a state, with validation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,64 +8,66 @@
 
 use crate::id::{KeyHash, MemberId, Name, Offset, UnitId};
 use crate::route::Document;
-use crate::state::documents::{document_field, document_kind, slots};
+use crate::state::documents::{document_field, document_kind, slot_count};
 use crate::state::{
     Assignment, Attachment, HOT_MAX, HotKey, LESSORS_MAX, Member, Phase, Published, RECENT_MAX,
     Rejection, Service, State,
 };
 
-/// Offsets from here on are taken for garbage; a token is twice an offset.
+/// Exclusive upper bound of valid offsets; leaves room for tokens, which are twice an offset.
 const OFFSET_END: Offset = 1 << 62;
 
-/// Why a message is no snapshot of a state.
+/// Reason why a snapshot is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum SnapshotError {
-    /// The bytes are no snapshot message.
-    #[snafu(display("the snapshot does not decode"))]
+    /// The bytes are not a snapshot message.
+    #[snafu(display("snapshot message cannot be decoded"))]
     Undecodable,
-    /// The offset is out of range, or differs from the commit record's.
-    #[snafu(display("the snapshot cannot end before offset {next}"))]
+    /// The offset is out of range or differs from that of the commit record.
+    #[snafu(display("snapshot has invalid end offset {next}"))]
     Next {
         /// Offset in the snapshot.
         next: Offset,
     },
-    /// A document is malformed or stands twice.
-    #[snafu(display("document {name:?} is malformed"))]
+    /// A document is malformed or duplicated.
+    #[snafu(display("document {name:?} in snapshot is malformed or duplicated"))]
     Document {
         /// Name of the document.
         name: String,
     },
-    /// The documents give no valid set of routes.
-    #[snafu(display("the routes do not build: {reason}"))]
+    /// The documents do not yield valid routes.
+    #[snafu(display("routes in snapshot cannot be built: {reason}"))]
     Routes {
-        /// What is wrong.
+        /// Rejection of the documents.
         reason: Rejection,
     },
-    /// A member is malformed or stands twice.
-    #[snafu(display("member {member} is malformed"))]
+    /// A member is malformed, duplicated, or has an unknown lessor.
+    #[snafu(display("member {member} in snapshot is malformed or inconsistent"))]
     Member {
         /// Id of the member.
         member: Offset,
     },
-    /// A service is malformed, or names members that may not have the role.
-    #[snafu(display("the service of workspace {workspace:?} is malformed"))]
+    /// A service is malformed or duplicated, does not match its route, or has ineligible members.
+    #[snafu(display(
+        "service of workspace {workspace:?} in snapshot is malformed or inconsistent"
+    ))]
     Service {
         /// Name of the workspace.
         workspace: String,
     },
-    /// The ids of recent records are malformed, too many, or not unique.
-    #[snafu(display("the ids of recent records are malformed"))]
+    /// The ids of recent records are malformed, too many or not unique.
+    #[snafu(display("ids of recent records in snapshot are malformed, too many or not unique"))]
     Recent,
 }
 
 impl State {
-    /// Restores a state; the result equals the state that gave the snapshot.
+    /// Restores the state from which the snapshot was taken.
     ///
     /// # Errors
     ///
-    /// Fails when no sequence of records could have given the snapshot as far as
-    /// that is cheap to see; nothing is repaired.
+    /// Fails if the snapshot violates an invariant of the fold. Only invariants that are cheap to
+    /// check are checked, and nothing is repaired.
     pub fn from_snapshot(snapshot: &wire::Snapshot) -> Result<Self, SnapshotError> {
         let next = snapshot.next;
         ensure!(next < OFFSET_END, NextSnafu { next });
@@ -98,14 +100,14 @@
         if member.phase == Phase::Dead {
             self.dead.push_back(member.id);
         } else {
-            self.counts.hold(&member.lessors);
-            self.counts.attach(&member);
+            self.counts.add_lessors(&member.lessors);
+            self.counts.add_candidate(&member);
         }
         self.members.insert(member.id, member);
         Ok(())
     }
 
-    /// Checks that no lessor of a member that is not dead is forgotten.
+    /// Checks that the lessors of all members that are not dead are in the snapshot.
     fn check_lessors(&self) -> Result<(), SnapshotError> {
         for member in self.members.values().filter(|member| member.phase != Phase::Dead) {
             let known = member.lessors.iter().all(|lessor| self.members.contains_key(lessor));
@@ -116,9 +118,9 @@
 
     fn restore_service(&mut self, wire: &wire::Service) -> Result<(), SnapshotError> {
         let service = service(wire).context(ServiceSnafu { workspace: &wire.workspace })?;
-        let fits = service.units().all(|(_, assignment)| self.fits(assignment));
-        let fresh = !self.services.contains_key(&service.workspace);
-        ensure!(fits && fresh, ServiceSnafu { workspace: &wire.workspace });
+        let valid = service.units().all(|(_, assignment)| self.has_valid_roles(assignment));
+        let unique = !self.services.contains_key(&service.workspace);
+        ensure!(valid && unique, ServiceSnafu { workspace: &wire.workspace });
         for (_, assignment) in service.units() {
             self.counts.add(assignment);
         }
@@ -126,15 +128,16 @@
         Ok(())
     }
 
-    /// Returns true when the members of an assignment may have their roles.
-    fn fits(&self, assignment: &Assignment) -> bool {
-        let Assignment { owner, standby, prior, rival, version, token } = *assignment;
-        let present = |id: MemberId| self.present(id.0).is_ok();
+    /// Returns true if the members of an assignment are eligible for their roles.
+    fn has_valid_roles(&self, assignment: &Assignment) -> bool {
+        let Assignment { owner, standby, prior, prior_standby, version, token } = *assignment;
+        let present = |id: MemberId| self.require_present(id.0).is_ok();
         let members = owner.is_none_or(present)
             && prior.is_none_or(present)
-            && rival.is_none_or(present)
-            && standby.is_none_or(|standby| self.alive(standby.0).is_ok());
-        let distinct = owner.is_none() || (owner != standby && owner != prior && owner != rival);
+            && prior_standby.is_none_or(present)
+            && standby.is_none_or(|standby| self.require_alive(standby.0).is_ok());
+        let distinct =
+            owner.is_none() || (owner != standby && owner != prior && owner != prior_standby);
         let ordered = token <= version && version < self.next.max(1);
         members && distinct && ordered && (owner.is_some() || standby.is_none())
     }
@@ -142,27 +145,27 @@
     fn restore_document(&mut self, wire: &wire::Document) -> Result<(), SnapshotError> {
         let fault = DocumentSnafu { name: &wire.name };
         let kind = document_kind(wire.kind).context(fault)?;
-        let fresh = self.document(kind, &wire.name).is_none();
+        let unique = self.document(kind, &wire.name).is_none();
         let version = (1..self.next).contains(&wire.version);
-        ensure!(fresh && version && !wire.name.is_empty(), fault);
+        ensure!(unique && version && !wire.name.is_empty(), fault);
         let fields = wire.fields.iter().map(document_field).collect();
         let document = Document { name: wire.name.as_str().into(), kind, fields };
         self.store(Published { document, version: wire.version, retired: wire.retired });
         Ok(())
     }
 
-    /// Builds the routes anew from the documents; each keyed one must have its service.
+    /// Rebuilds the routes from the documents and checks that each service matches its route.
     fn restore_routes(&mut self) -> Result<(), SnapshotError> {
         let mut routes = Vec::new();
         for parameters in self.parameters.values().filter(|parameters| !parameters.retired) {
-            let built = self.affected(parameters);
+            let built = self.build_affected(parameters);
             routes.extend(built.map_err(|reason| SnapshotError::Routes { reason })?);
         }
         self.check_routes(&routes).map_err(|reason| SnapshotError::Routes { reason })?;
         for route in routes {
             let workspace = Name::clone(&route.workspace);
             let count = self.services.get(&workspace).map_or(0, |service| service.slots.len());
-            ensure!(count == slots(&route), ServiceSnafu { workspace: workspace.to_string() });
+            ensure!(count == slot_count(&route), ServiceSnafu { workspace: workspace.to_string() });
             self.routes.insert(workspace, Arc::new(route));
         }
         Ok(())
@@ -183,12 +186,12 @@
     if !sorted || lessors.len() > LESSORS_MAX || lessors.contains(&id) {
         return None;
     }
-    let attachment = wire.attach.as_ref().map(Attachment::read);
+    let attachment = wire.attach.as_ref().map(Attachment::from_record);
     let valid = |attachment: &Attachment| !attachment.workspace.is_empty() && phase != Phase::Dead;
     if !attachment.as_ref().is_none_or(valid) {
         return None;
     }
-    let started = Member::started(wire.id, join);
+    let started = Member::from_join(wire.id, join);
     Some(Member { attachment, version: wire.version, lessors, phase, ..started })
 }
 
@@ -197,7 +200,7 @@
         workspace: wire.workspace.as_str().into(),
         slots: wire.slots.iter().map(assignment).collect(),
         hot: BTreeMap::new(),
-        founded: wire.founded,
+        numeric: wire.founded,
     };
     let sized = !service.slots.is_empty() && u32::try_from(service.slots.len()).is_ok();
     if !sized || wire.hot.len() > HOT_MAX {
@@ -206,8 +209,8 @@
     for hot in &wire.hot {
         let key = KeyHash(hot.key);
         let assignment = assignment(hot.assignment.as_ref()?);
-        let right = service.unit_of(key) == UnitId::slot(hot.slot);
-        if !right {
+        let matches = service.unit_of(key) == UnitId::slot(hot.slot);
+        if !matches {
             return None;
         }
         service.hot.insert(key, HotKey { slot: hot.slot, assignment });
@@ -220,7 +223,7 @@
         owner: MemberId::from_wire(wire.owner),
         standby: MemberId::from_wire(wire.standby),
         prior: MemberId::from_wire(wire.prior),
-        rival: MemberId::from_wire(wire.rival),
+        prior_standby: MemberId::from_wire(wire.rival),
         version: wire.version,
         token: wire.token,
     }
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -250,7 +250,7 @@
                 let _ = done.send(());
             }
             // The log service has already delivered these records.
-            Event::Relayed(batch) if batch.next < self.replica.wanted() => {}
+            Event::Relayed(batch) if batch.next < self.replica.position() => {}
             Event::Relayed(batch) => self.on_batch(now, &batch),
             Event::Datagram(from, datagram) => self.on_datagram(now, from, datagram),
             Event::Vote(vote) => self.on_vote(vote),
--- a/acaciaringd/src/control/orders.rs
+++ b/acaciaringd/src/control/orders.rs
@@ -37,7 +37,7 @@
         let mut wanted = Vec::with_capacity(units.len());
         for (unit, permit) in units {
             let Permit::Serve { token, .. } = *permit else { continue };
-            let keys = service.numbers(*unit);
+            let keys = service.key_ranges(*unit);
             let unit_key = (Arc::clone(workspace), *unit);
             let handover = self.roles.handovers.get(&unit_key);
             let handover = handover.map_or_else(|| Name::from(""), Arc::clone);
@@ -94,7 +94,7 @@
     pub(super) fn on_unit_denied(&mut self, workspace: &Name, unit: UnitId) {
         info!(%workspace, %unit, "the upstream refused a request for a unit granted to it");
         let service = self.state.service(workspace);
-        let keys = service.map(|service| service.numbers(unit)).unwrap_or_default();
+        let keys = service.map(|service| service.key_ranges(unit)).unwrap_or_default();
         self.upstream.mode.deny(unit, &keys);
         self.dirty = true;
     }
--- a/acaciaringd/src/control/publish.rs
+++ b/acaciaringd/src/control/publish.rs
@@ -66,7 +66,7 @@
 
     fn known_reply(&self, id: &RecordId) -> Option<PublishReply> {
         let known = self.publish_replies.find(id).cloned();
-        known.or_else(|| self.state.remembers(id).then_some(PublishReply::Before))
+        known.or_else(|| self.state.is_recent(id).then_some(PublishReply::Before))
     }
 
     /// Sends the outcome of a publish to the operator and remembers it for retries.
--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -80,8 +80,8 @@
     /// lessors. In both cases the lease has expired and nothing is served.
     fn watch_lease(&mut self, now: Time) {
         let Some(identity) = &mut self.identity else { return };
-        let dead = !self.state.lives(identity.me);
-        let alive = |id| self.state.lives(id);
+        let dead = !self.state.is_present(identity.me);
+        let alive = |id| self.state.is_present(id);
         let holder = &identity.holder;
         let lost = holder.refused() || holder.abandoned(now) || holder.quorum_lost(now, alive);
         if identity.retiring.is_none() && (dead || lost) {
@@ -112,7 +112,7 @@
                     // Held since a takeover: the next standby could serve it at the same time.
                     let mode = &self.upstream.mode;
                     if self.upstream.has_reported
-                        && mode.may_hold(now, unit, &service.numbers(unit))
+                        && mode.may_hold(now, unit, &service.key_ranges(unit))
                     {
                         return;
                     }
--- a/acaciaringd/src/control/roles.rs
+++ b/acaciaringd/src/control/roles.rs
@@ -71,8 +71,8 @@
         let mut seen = HashSet::new();
         for service in state.services() {
             for (unit, assignment) in service.units() {
-                let Assignment { owner, standby, prior, rival, .. } = assignment;
-                if ![owner, standby, prior, rival].contains(&&Some(me)) {
+                let Assignment { owner, standby, prior, prior_standby, .. } = assignment;
+                if ![owner, standby, prior, prior_standby].contains(&&Some(me)) {
                     continue;
                 }
                 let unit_key = (Arc::clone(&service.workspace), unit);
@@ -201,7 +201,9 @@
         Some(Permit::Serve { .. }) => Some(UnitRole::Server),
         Some(Permit::Wait) if before == Some(UnitRole::Server) => before,
         _ if assignment.standby == Some(me) => Some(UnitRole::Standby(assignment.version)),
-        _ if [assignment.owner, assignment.prior, assignment.rival].contains(&Some(me)) => before,
+        _ if [assignment.owner, assignment.prior, assignment.prior_standby].contains(&Some(me)) => {
+            before
+        }
         _ => None,
     }
 }
--- a/acaciaringd/src/router/keyed.rs
+++ b/acaciaringd/src/router/keyed.rs
@@ -241,7 +241,7 @@
     fn rerun_delay(&self, plan: &Plan, search: &mut Search, refusal: Refusal) -> Option<Duration> {
         if plan.class.repeat == Repeat::Once && refusal.verdict == Verdict::Unknown {
             // An identity that is used once is not deduplicated, so a retry could run it twice.
-            return (!plan.class.single).then_some(Duration::ZERO);
+            return (!plan.class.single_use).then_some(Duration::ZERO);
         }
         let now = clock::now();
         let failure = Failure {
@@ -252,7 +252,7 @@
             redirects: 0,
             arrived: true,
             elsewhere: false,
-            most: plan.class.tries,
+            most: plan.class.max_tries,
         };
         let RetryDecision::Retry { after } = self.decide_retry(now, plan, &failure) else {
             return None;
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -210,7 +210,7 @@
         let route = view.routes.find(request.host.as_deref(), &request.path);
         let route = Arc::clone(route.ok_or_else(|| self.unrouted())?);
         let route = self.splits.pick(route);
-        if request.body.len() as u64 > route.body {
+        if request.body.len() as u64 > route.max_body {
             let refusal = Refusal::not_run(Reason::BadRequest);
             return Err(EntryAnswer::refusal_with(refusal, PAYLOAD_TOO_LARGE));
         }
@@ -246,7 +246,7 @@
     ///
     /// The time that a client has already waited never counts against a critical request.
     fn aim(&self, route: &Route, class: &Class, request: &EntryRequest) -> Option<Time> {
-        let target = class.target?;
+        let target = class.latency_target?;
         let waited = request.deadline.filter(|_| class.rank != Rank::Critical).map(|asked| {
             self.timeouts.estimate_wait(request.received, &route.workspace, &class.name, asked)
         });
@@ -381,7 +381,7 @@
 /// Refuses a request that waited unread for more than half of its latency target.
 fn check_lag(class: &Class, lag: Duration) -> Result<(), Refusal> {
     let too_late = |target: Duration| lag > target / 2;
-    if class.rank == Rank::Critical || !class.target.is_some_and(too_late) {
+    if class.rank == Rank::Critical || !class.latency_target.is_some_and(too_late) {
         return Ok(());
     }
     // Jitter spreads the retries of requests that are refused at the same time.
@@ -417,7 +417,7 @@
         body: request.body,
         once: class.repeat == acaciaring_core::route::Repeat::Once,
         rank: wire::rank_number(class.rank),
-        single: class.single,
+        single: class.single_use,
         trace: request.trace.to_string(),
         ..Request::default()
     }
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -150,7 +150,7 @@
             redirects: progress.unseen,
             arrived: reached_upstream(refusal),
             elsewhere,
-            most: progress.max_tries(plan.class.tries),
+            most: progress.max_tries(plan.class.max_tries),
         };
         let RetryDecision::Retry { after } = self.decide_retry(now, plan, &failure) else {
             return None;
