--- a/acaciaring_core/examples/policy.rs
+++ b/acaciaring_core/examples/policy.rs
@@ -13,11 +13,11 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use acaciaring_core::admission::{Admission, AdmissionSettings, Ending, Ticket};
+use acaciaring_core::admission::{Admission, AdmissionSettings, Completion, Ticket};
 use acaciaring_core::balance::{BalanceSettings, Candidate, History, Load, View, plan};
-use acaciaring_core::choice::{Choice, ChoiceSettings, Sent};
+use acaciaring_core::choice::{Outcome, Selector, SelectorSettings};
 use acaciaring_core::dedup::{DedupSettings, DedupTable};
-use acaciaring_core::heat::{Heat, HeatSettings};
+use acaciaring_core::heat::{RateSettings, RequestRates};
 use acaciaring_core::retry::RetrySettings;
 use acaciaring_core::route::{Rank, Weights};
 use acaciaring_core::{KeyHash, MemberId, RequestId, Time, UnitId};
@@ -284,14 +284,18 @@
     let start = Instant::now();
     for attempt in 0..u64::from(COUNT) {
         let now = Time::from_millis(attempt / 50);
-        let ticket =
-            Ticket { rank: Rank::Interactive, deadline: now + MINUTE, last: now + MINUTE, attempt };
+        let ticket = Ticket {
+            rank: Rank::Interactive,
+            deadline: now + MINUTE,
+            expiry: now + MINUTE,
+            attempt,
+        };
         if let acaciaring_core::admission::Offer::Start(item) = gate.offer(now, ticket, attempt) {
             started.push_back(item);
         }
         if gate.waiting() > 30 {
             let done = started.pop_front().unwrap();
-            started.extend(gate.finish(now, done, Duration::from_millis(1), Ending::Answered));
+            started.extend(gate.finish(now, done, Duration::from_millis(1), Completion::Answered));
             black_box(gate.expire(now));
         }
     }
@@ -300,7 +304,7 @@
 
 fn cost_choice(rng: &mut StdRng) {
     const COUNT: u32 = 1_000_000;
-    let mut choice = Choice::new(ChoiceSettings::default());
+    let mut choice = Selector::new(SelectorSettings::default());
     let members: Vec<_> = (1..=470).map(MemberId).collect();
     let start = Instant::now();
     for n in 0..COUNT {
@@ -308,14 +312,14 @@
         let id = choice.choose(now, rng, &members, &[]).unwrap();
         choice.sent(now, id);
         choice.report(now, id, 5, 20);
-        choice.done(now, id, Sent::Answered(Duration::from_millis(5)));
+        choice.done(now, id, Outcome::Answered(Duration::from_millis(5)));
     }
     print("choice: choose, sent, report and done among 470", start, COUNT);
 }
 
 fn cost_heat(rng: &mut StdRng) {
     const COUNT: u32 = 5_000_000;
-    let mut heat = Heat::new(Time::ZERO, HeatSettings::default());
+    let mut heat = RequestRates::new(Time::ZERO, RateSettings::default());
     let keys: Vec<_> =
         (0..1 << 16).map(|_| KeyHash(rng.random::<u64>() >> rng.random_range(16..50))).collect();
     let start = Instant::now();
@@ -325,14 +329,14 @@
     }
     print("heat: record", start, COUNT);
     let start = Instant::now();
-    black_box(heat.hot(Time::from_millis(u64::from(COUNT) / 12), 1.0));
+    black_box(heat.hot_keys(Time::from_millis(u64::from(COUNT) / 12), 1.0));
     print("heat: hot", start, 1);
 }
 
 fn cost_dedup() {
     const COUNT: u32 = 200_000;
     let mut owner = DedupTable::new(DedupSettings::default());
-    (0..140).for_each(|slot| owner.found(UnitId::slot(slot)));
+    (0..140).for_each(|slot| owner.become_first_owner(UnitId::slot(slot)));
     let start = Instant::now();
     for n in 0..COUNT {
         let now = Time::from_millis(u64::from(n));
@@ -358,7 +362,7 @@
         })
         .collect();
     for (name, factor) in [("even", 1), ("hot", 2)] {
-        let mut heat = Heat::new(Time::ZERO, HeatSettings::default());
+        let mut heat = RequestRates::new(Time::ZERO, RateSettings::default());
         let own = fleet.service.units().filter(|(_, a)| a.owner == Some(ids[0]));
         let own: Vec<_> = own.map(|(unit, _)| unit).collect();
         let now = Time::from_millis(60_000);
@@ -366,10 +370,10 @@
             heat.record(Time::from_millis(n / (12 * factor)), unit, KeyHash(rng.random()));
         }
         let view = View {
-            me: ids[0],
+            local: ids[0],
             service: &fleet.service,
             members: &members,
-            heat: &heat,
+            rates: &heat,
             weights: Weights { churn: 1_000, downtime: 200 },
             service_time: Duration::from_millis(1),
         };
--- a/acaciaring_core/src/admission/mod.rs
+++ b/acaciaring_core/src/admission/mod.rs
@@ -44,7 +44,7 @@
     /// Time by which the whole answer is wanted.
     pub deadline: Time,
     /// Time up to which a late answer is of use; the deadline where none is.
-    pub last: Time,
+    pub expiry: Time,
     /// One try of the request, unique among those that wait or run here.
     pub attempt: u64,
 }
@@ -65,13 +65,13 @@
 
 /// How a started request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum Completion {
     /// The upstream gave a whole answer.
     Answered,
     /// The upstream refused it without running it.
     Refused,
     /// No whole answer: time ran out, the connection failed or the caller left.
-    Lost,
+    Unanswered,
 }
 
 /// What admission does with new requests.
@@ -110,7 +110,7 @@
     /// Returns a gate for a warm upstream.
     #[must_use]
     pub fn new(settings: AdmissionSettings) -> Self {
-        let times = ServiceTimes::new(settings.service);
+        let times = ServiceTimes::new(settings.service_time);
         Self {
             ramp: (settings.slots, Time::ZERO),
             settings,
@@ -188,7 +188,8 @@
             return Offer::Start(item);
         }
         let wait = self.predicted_wait(now, ticket);
-        if now + wait + self.times.cautious(ticket.rank, self.settings.caution) > ticket.deadline {
+        if now + wait + self.times.cautious(ticket.rank, self.settings.deviations) > ticket.deadline
+        {
             return self.offer_late(now, ticket, item);
         }
         if self.waiting.len() < self.settings.queue {
@@ -205,7 +206,13 @@
     }
 
     /// Notes that a started request has ended after `took`; returns the requests to start now.
-    pub fn finish(&mut self, now: Time, attempt: u64, took: Duration, ending: Ending) -> Vec<T> {
+    pub fn finish(
+        &mut self,
+        now: Time,
+        attempt: u64,
+        took: Duration,
+        ending: Completion,
+    ) -> Vec<T> {
         if let Some(rank) = self.running.remove(&attempt) {
             self.times.sample(rank, took, ending);
         }
@@ -219,7 +226,7 @@
         let slots = f64::from(self.capacity(now));
         for rank in ORDER {
             let service = self.times.mean(rank);
-            let needed = self.times.cautious(rank, self.settings.caution);
+            let needed = self.times.cautious(rank, self.settings.deviations);
             let mut own = 0.0;
             for ticket in self.waiting.tickets(rank) {
                 let wait = self.bounded_wait(rank, ahead, own, slots);
@@ -247,7 +254,7 @@
             let in_time = self.work_before(&self.waiting, rank);
             for ticket in self.late.tickets(rank) {
                 let wait = Duration::from_secs_f64((ahead + in_time) / slots);
-                if now + wait + needed > ticket.last {
+                if now + wait + needed > ticket.expiry {
                     hopeless.push(ticket.attempt);
                 } else {
                     ahead += self.times.mean(rank);
@@ -265,16 +272,16 @@
     fn push_late(&mut self, now: Time, ticket: Ticket, item: T) {
         let passes = self.running.values().any(|rank| self.passes(ticket.rank, *rank));
         let part = if passes { PASSING_PART } else { LATE_PART };
-        let last = now + ticket.last.since(now) / part;
-        self.late.push(Ticket { deadline: last, last, ..ticket }, item);
+        let last = now + ticket.expiry.since(now) / part;
+        self.late.push(Ticket { deadline: last, expiry: last, ..ticket }, item);
     }
 
     /// Queues a request that would miss its deadline but be of use later, or refuses it.
     fn offer_late(&mut self, now: Time, ticket: Ticket, item: T) -> Offer<T> {
         let wait = self.wait_late(now, ticket.rank);
-        let done = now + wait + self.times.cautious(ticket.rank, self.settings.caution);
-        if ticket.last <= ticket.deadline
-            || done > ticket.last
+        let done = now + wait + self.times.cautious(ticket.rank, self.settings.deviations);
+        if ticket.expiry <= ticket.deadline
+            || done > ticket.expiry
             || self.late.len() >= self.settings.queue
         {
             return Offer::Refused(item, self.refusal(now, Reason::Busy, ticket.attempt));
@@ -288,8 +295,8 @@
         let mut refused = Vec::new();
         for attempt in attempts {
             let Some((ticket, item)) = self.waiting.remove(*attempt) else { continue };
-            let of_use = now + self.times.cautious(ticket.rank, 0.0) <= ticket.last;
-            if ticket.last > ticket.deadline && of_use && self.late.len() < self.settings.queue {
+            let of_use = now + self.times.cautious(ticket.rank, 0.0) <= ticket.expiry;
+            if ticket.expiry > ticket.deadline && of_use && self.late.len() < self.settings.queue {
                 self.push_late(now, ticket, item);
             } else {
                 refused.push((item, self.refusal(now, Reason::Expired, *attempt)));
@@ -312,14 +319,14 @@
         if self.mode == Mode::Draining {
             return Vec::new();
         }
-        let until = now + retry.min(self.settings.longest_shed);
+        let until = now + retry.min(self.settings.max_shed);
         let until = match self.mode {
             Mode::Shedding(earlier) => until.max(earlier),
             Mode::Open | Mode::Draining => until,
         };
         let half = u32::try_from(self.running.len() / 2).unwrap_or(u32::MAX);
         self.mode = Mode::Shedding(until);
-        self.ramp = (half.max(self.settings.initial).min(self.settings.slots), until);
+        self.ramp = (half.max(self.settings.initial_slots).min(self.settings.slots), until);
         let all = self.attempts();
         self.refuse(now, &all, Reason::Busy)
     }
@@ -336,7 +343,7 @@
     /// Concurrency of a cold upstream starts small and grows over the settings' ramp.
     pub fn ready(&mut self, now: Time, cold: bool) -> Vec<T> {
         self.mode = Mode::Open;
-        let from = if cold { self.settings.initial } else { self.settings.slots };
+        let from = if cold { self.settings.initial_slots } else { self.settings.slots };
         self.ramp = (from.min(self.settings.slots), now);
         self.start_waiting(now)
     }
@@ -358,7 +365,7 @@
         {
             self.mode = Mode::Open;
         }
-        if ticket.last <= now {
+        if ticket.expiry <= now {
             return Some(Refusal::not_run(Reason::Expired));
         }
         if self.running.contains_key(&ticket.attempt) || self.is_waiting(ticket.attempt) {
@@ -420,7 +427,7 @@
                 self.credit[index] = (self.credit[index] - cost).max(0.0);
             } else {
                 let most = 2.0 * self.times.mean(rank);
-                let earned = cost * self.settings.shares[index];
+                let earned = cost * self.settings.min_shares[index];
                 self.credit[index] = (self.credit[index] + earned).min(most);
             }
         }
--- a/acaciaring_core/src/admission/predict.rs
+++ b/acaciaring_core/src/admission/predict.rs
@@ -52,7 +52,7 @@
     /// Returns the wait behind `ahead` of other ranks and `own` of the same, in seconds of slot time.
     pub(super) fn bounded_wait(&self, rank: Rank, ahead: f64, own: f64, slots: f64) -> Duration {
         let behind_all = (ahead + own) / slots;
-        let share = self.settings.shares[rank as usize];
+        let share = self.settings.min_shares[rank as usize];
         let by_share = (own + self.times.mean(rank)) / (share * slots);
         let wait = if share > 0.0 { behind_all.min(by_share) } else { behind_all };
         Duration::from_secs_f64(wait)
@@ -77,7 +77,7 @@
         };
         let work: f64 = ORDER.into_iter().map(|rank| self.waiting.work(rank, &self.times)).sum();
         let queue = (work + self.residual(now)) / f64::from(self.capacity(now));
-        let queue = Duration::from_secs_f64(queue).max(self.settings.shortest_retry);
+        let queue = Duration::from_secs_f64(queue).max(self.settings.min_retry);
         refusal.after(shed + queue.mul_f64(spread(attempt)))
     }
 }
--- a/acaciaring_core/src/admission/select.rs
+++ b/acaciaring_core/src/admission/select.rs
@@ -48,9 +48,9 @@
         if let Some(attempt) = late {
             return Some((attempt, Reason::Expired));
         }
-        let entitled = self.waiting.count(rank) < self.settings.places[rank as usize];
+        let entitled = self.waiting.count(rank) < self.settings.reserved[rank as usize];
         let from = ORDER.into_iter().rev().find(|other| {
-            let spare = self.waiting.count(*other) > self.settings.places[*other as usize];
+            let spare = self.waiting.count(*other) > self.settings.reserved[*other as usize];
             let lower = *other > rank;
             (lower && (spare || rank == Rank::Critical) && self.waiting.count(*other) > 0)
                 || (entitled && spare && *other != Rank::Critical && *other != rank)
--- a/acaciaring_core/src/admission/service.rs
+++ b/acaciaring_core/src/admission/service.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Ending, RANKS};
+use super::{Completion, RANKS};
 use crate::route::Rank;
 
 /// Weight of a new sample in the mean, as in RFC 6298.
@@ -45,12 +45,12 @@
     ///
     /// A request that ended without answer took at least this long, so it may only raise the mean.
     /// Else an upstream that refuses connections fast would look like a fast one.
-    pub(super) fn sample(&mut self, rank: Rank, took: Duration, ending: Ending) {
+    pub(super) fn sample(&mut self, rank: Rank, took: Duration, ending: Completion) {
         let took = took.as_secs_f64().max(SHORTEST);
         let counts = match ending {
-            Ending::Answered => true,
-            Ending::Refused => false,
-            Ending::Lost => took > self.mean(rank),
+            Completion::Answered => true,
+            Completion::Refused => false,
+            Completion::Unanswered => took > self.mean(rank),
         };
         if counts {
             self.all.sample(took);
--- a/acaciaring_core/src/admission/settings.rs
+++ b/acaciaring_core/src/admission/settings.rs
@@ -12,27 +12,27 @@
     /// Requests that wait at most.
     pub queue: usize,
     /// Requests that run at once when the upstream is cold.
-    pub initial: u32,
+    pub initial_slots: u32,
     /// Time in which a cold upstream comes to all its slots.
     pub ramp: Duration,
     /// Service time that is assumed before the first answer.
-    pub service: Duration,
+    pub service_time: Duration,
     /// Mean deviations that are added to the service time when a deadline is checked.
-    pub caution: f64,
+    pub deviations: f64,
     /// Least share of the slot time per rank while it waits, most important rank first.
     ///
     /// The share of critical requests has no effect, they go first.
-    pub shares: [f64; RANKS],
+    pub min_shares: [f64; RANKS],
     /// Waiting places per rank that no other rank but critical may take, most important rank first.
     ///
     /// A rank that gets a small share of the slots needs enough places to ride out bursts.
-    pub places: [usize; RANKS],
+    pub reserved: [usize; RANKS],
     /// Shortest time after which a refused caller is asked to come back.
-    pub shortest_retry: Duration,
+    pub min_retry: Duration,
     /// Longest time for which an upstream that sheds load is left alone.
     ///
     /// A longer wish is cut. An upstream that asks for hours by mistake would look lost to callers.
-    pub longest_shed: Duration,
+    pub max_shed: Duration,
 }
 
 impl Default for AdmissionSettings {
@@ -40,14 +40,14 @@
         Self {
             slots: 20,
             queue: 40,
-            initial: 2,
+            initial_slots: 2,
             ramp: Duration::from_secs(10),
-            service: Duration::from_millis(10),
-            caution: 1.0,
-            shares: [0.0, 0.0, 0.15, 0.05],
-            places: [0, 0, 8, 8],
-            shortest_retry: Duration::from_millis(50),
-            longest_shed: Duration::from_secs(30),
+            service_time: Duration::from_millis(10),
+            deviations: 1.0,
+            min_shares: [0.0, 0.0, 0.15, 0.05],
+            reserved: [0, 0, 8, 8],
+            min_retry: Duration::from_millis(50),
+            max_shed: Duration::from_secs(30),
         }
     }
 }
--- a/acaciaring_core/src/balance/cost.rs
+++ b/acaciaring_core/src/balance/cost.rs
@@ -28,8 +28,8 @@
             churn: churn / whole,
             downtime: downtime / whole,
             service: view.service_time,
-            transfer: settings.transfer,
-            drain: settings.drain,
+            transfer: settings.transfer_time,
+            drain: settings.reference_drain,
             key: settings.key_cost,
             fair,
         }
--- a/acaciaring_core/src/balance/history.rs
+++ b/acaciaring_core/src/balance/history.rs
@@ -27,7 +27,7 @@
 
 impl History {
     /// Notes that a plan has been proposed.
-    pub fn proposed(&mut self, now: Time, plan: &Plan) {
+    pub fn record_plan(&mut self, now: Time, plan: &Plan) {
         for unit in &plan.switchovers {
             self.moved.insert(*unit, now);
             self.own.push_back(now);
@@ -36,7 +36,7 @@
     }
 
     /// Notes a switchover that was folded, whoever proposed it.
-    pub fn folded(&mut self, now: Time, unit: UnitId, owner: MemberId) {
+    pub fn record_switchover(&mut self, now: Time, unit: UnitId, owner: MemberId) {
         self.moved.insert(unit, now);
         self.received.entry(owner).or_default().push_back(now);
         if unit.key.is_some() {
@@ -86,13 +86,13 @@
     }
 
     pub(super) fn forget_old(&mut self, now: Time, settings: &BalanceSettings) {
-        self.moved.retain(|_, at| now.since(*at) < settings.rest);
+        self.moved.retain(|_, at| now.since(*at) < settings.cooldown);
         drop_old(now, &mut self.own);
         self.received.retain(|_, times| {
             drop_old(now, times);
             !times.is_empty()
         });
-        self.heated.retain(|_, at| now.since(*at) < settings.settle);
+        self.heated.retain(|_, at| now.since(*at) < settings.settle_time);
         self.handed.retain(|_, at| now.since(*at) < MINUTE);
         // A key that was merged is never asked for again.
         let longest = settings.merge_after * 4;
--- a/acaciaring_core/src/balance/keys.rs
+++ b/acaciaring_core/src/balance/keys.rs
@@ -2,7 +2,7 @@
 
 use super::survey::Survey;
 use super::{BalanceSettings, History, View};
-use crate::heat::HotRate;
+use crate::heat::HotKeyRate;
 use crate::id::{KeyHash, MemberId, UnitId};
 use crate::time::Time;
 
@@ -33,16 +33,16 @@
         ..KeyMoves::default()
     };
     moves.handoffs.extend(to_home(view, history));
-    let own = view.service.hot.iter().filter(|(_, hot)| hot.assignment.owner == Some(view.me));
+    let own = view.service.hot.iter().filter(|(_, hot)| hot.assignment.owner == Some(view.local));
     for (key, hot) in own {
         let unit = UnitId { slot: hot.slot, key: Some(*key) };
-        let load = view.heat.rate(now, unit) * survey.per_rate;
-        let cold = load < settings.merge * survey.mean || survey.load < settings.floor;
+        let load = view.rates.rate(now, unit) * survey.per_rate;
+        let cold = load < settings.merge_load * survey.mean || survey.load < settings.min_load;
         if history.cold_for(now, *key, cold) < settings.merge_after {
             continue;
         }
         let slot = view.service.assignment(UnitId::slot(hot.slot));
-        if slot.is_some_and(|slot| slot.owner == Some(view.me)) {
+        if slot.is_some_and(|slot| slot.owner == Some(view.local)) {
             moves.merges.push(unit);
         } else {
             // A standby that does not own the slot does not know that the key is cold. This member, once
@@ -59,12 +59,12 @@
     if !survey.hot(settings) || survey.per_rate <= 0.0 || view.service.founded {
         return Vec::new();
     }
-    let least = settings.split_least * survey.mean / survey.per_rate;
+    let least = settings.split_load * survey.mean / survey.per_rate;
     let room = settings.hot_keys.saturating_sub(view.service.hot.len());
-    let most = |hot: &HotRate| hot.rate >= settings.split * view.heat.rate(now, hot.unit);
-    let hot = view.heat.hot(now, least).into_iter();
+    let most = |hot: &HotKeyRate| hot.rate >= settings.split_share * view.rates.rate(now, hot.unit);
+    let hot = view.rates.hot_keys(now, least).into_iter();
     hot.filter(|hot| hot.unit.key.is_none() && owned(view, hot.unit, hot.key) && most(hot))
-        .take(settings.splits.min(room))
+        .take(settings.max_splits.min(room))
         .map(|hot| UnitId { slot: hot.unit.slot, key: Some(hot.key) })
         .collect()
 }
@@ -80,14 +80,14 @@
     survey: &Survey,
     history: &History,
 ) -> Vec<(UnitId, MemberId)> {
-    let cool = settings.cool * survey.mean;
-    if survey.load <= cool || survey.load < settings.floor {
+    let cool = settings.cool_load * survey.mean;
+    if survey.load <= cool || survey.load < settings.min_load {
         return Vec::new();
     }
     let mut members: Vec<_> = survey.loads.iter().filter(|(_, load)| **load < cool).collect();
     members.sort_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0)));
     let hot = view.service.hot.iter().filter(|(key, hot)| {
-        let backed = hot.assignment.standby == Some(view.me);
+        let backed = hot.assignment.standby == Some(view.local);
         backed && !history.handed(now, **key) && !history.cold(**key)
     });
     hot.filter_map(|(key, hot)| {
@@ -108,10 +108,10 @@
         .service
         .hot
         .iter()
-        .filter(|(key, hot)| hot.assignment.standby == Some(view.me) && history.cold(**key));
+        .filter(|(key, hot)| hot.assignment.standby == Some(view.local) && history.cold(**key));
     cold.filter_map(|(key, hot)| {
         let home = view.service.assignment(UnitId::slot(hot.slot))?.owner?;
-        let away = home != view.me && hot.assignment.owner != Some(home);
+        let away = home != view.local && hot.assignment.owner != Some(home);
         away.then_some((UnitId { slot: hot.slot, key: Some(*key) }, home))
     })
     .collect()
@@ -119,6 +119,6 @@
 
 fn owned(view: &View<'_>, unit: UnitId, key: KeyHash) -> bool {
     let assignment = view.service.assignment(unit);
-    let mine = assignment.is_some_and(|assignment| assignment.owner == Some(view.me));
+    let mine = assignment.is_some_and(|assignment| assignment.owner == Some(view.local));
     mine && !view.service.hot.contains_key(&key)
 }
--- a/acaciaring_core/src/balance/mod.rs
+++ b/acaciaring_core/src/balance/mod.rs
@@ -18,7 +18,7 @@
 pub use self::settings::BalanceSettings;
 
 use self::survey::Survey;
-use crate::heat::Heat;
+use crate::heat::RequestRates;
 use crate::id::{MemberId, Name, UnitId};
 use crate::route::Weights;
 use crate::state::Service;
@@ -83,13 +83,13 @@
 #[derive(Debug)]
 pub struct View<'a> {
     /// The member that plans.
-    pub me: MemberId,
+    pub local: MemberId,
     /// Assignments of the service.
     pub service: &'a Service,
     /// Members that are alive and attached to the service, the planning one included.
     pub members: &'a BTreeMap<MemberId, Candidate>,
     /// Heat of the units that this member owns.
-    pub heat: &'a Heat,
+    pub rates: &'a RequestRates,
     /// The tenant's weights.
     pub weights: Weights,
     /// Typical time that a request takes at this member's upstream.
@@ -102,7 +102,7 @@
     /// The new standby is not in the owner's data centre, unless the planning member is.
     fn apart(&self, owner: MemberId, member: MemberId) -> bool {
         let place = |id: MemberId| self.members.get(&id).map(|candidate| &candidate.data_centre);
-        place(owner) != place(member) || place(owner) == place(self.me)
+        place(owner) != place(member) || place(owner) == place(self.local)
     }
 }
 
@@ -135,7 +135,7 @@
 /// The caller tells `history` what it has proposed and which switchovers it has folded.
 #[must_use]
 pub fn plan(now: Time, view: &View<'_>, settings: &BalanceSettings, history: &mut History) -> Plan {
-    if !view.members.contains_key(&view.me) {
+    if !view.members.contains_key(&view.local) {
         return Plan::default();
     }
     history.forget_old(now, settings);
--- a/acaciaring_core/src/balance/moves.rs
+++ b/acaciaring_core/src/balance/moves.rs
@@ -27,7 +27,7 @@
 ) -> Vec<UnitId> {
     let mut left = allowance(now, settings, survey, history);
     let mut free = survey.own.clone();
-    free.retain(|own| !history.rests(now, own.unit, settings.rest));
+    free.retain(|own| !history.rests(now, own.unit, settings.cooldown));
     let mut outlook = Outlook { survey, view, own: survey.load, others: survey.loads.clone() };
     let mut chosen: Vec<UnitId> = Vec::new();
     for own in free.iter().filter(|own| homeward.contains(&own.unit)).take(left) {
@@ -52,8 +52,8 @@
 /// Returns how many units may move now.
 fn allowance(now: Time, settings: &BalanceSettings, survey: &Survey, history: &History) -> usize {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a share of a u32")]
-    let share = (survey.fair * settings.moves) as usize;
-    let units = share.max(settings.least_moves).saturating_sub(history.own_moves(now));
+    let share = (survey.fair * settings.move_share) as usize;
+    let units = share.max(settings.min_moves).saturating_sub(history.own_moves(now));
     // A block counts by its slots.
     let blocks = survey.own.iter().filter(|own| own.block.is_some()).count();
     let slots = survey.owned.div_ceil(blocks.max(1)).max(1);
@@ -73,7 +73,7 @@
             let values = free.iter().map(|own| self.value(own));
             let best = values.enumerate().max_by(|(_, a), (_, b)| a.total_cmp(b));
             let Some((index, value)) = best else { break };
-            if value <= settings.price {
+            if value <= settings.min_gain {
                 break;
             }
             let own = free.swap_remove(index);
--- a/acaciaring_core/src/balance/shares.rs
+++ b/acaciaring_core/src/balance/shares.rs
@@ -38,7 +38,7 @@
         let available = available(view, member);
         let givers =
             givers(survey, |count| count.owned, |id| available.get(&id).copied().unwrap_or(0));
-        (member, quota(view.me, member, &givers, wanted, floor(settings, survey.fair)))
+        (member, quota(view.local, member, &givers, wanted, floor(settings, survey.fair)))
     });
     quotas.filter(|(_, quota)| *quota > 0).collect()
 }
@@ -55,12 +55,12 @@
     let mut given = Vec::new();
     for (member, wanted) in short(settings, survey, fair, |count| count.backed) {
         let givers = givers(survey, |count| count.backed, |_| u32::MAX);
-        let quota = quota(view.me, member, &givers, wanted, floor(settings, fair));
+        let quota = quota(view.local, member, &givers, wanted, floor(settings, fair));
         let mut roles = roles(view, member);
         roles.retain(|unit| given.iter().all(|(other, _)| other != unit));
         let block = |unit: &UnitId| view.service.block(unit.slot, view.members.len());
         roles.sort_by_key(|unit| (order(u64::from(block(unit)), member.0), unit.slot));
-        let left = settings.handoffs - given.len();
+        let left = settings.max_handoffs - given.len();
         given.extend(roles.into_iter().take(quota.min(left)).map(|unit| (unit, member)));
     }
     given
@@ -74,7 +74,7 @@
     of: impl Fn(&Count) -> u32,
 ) -> Vec<(MemberId, u32)> {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a share of a u32")]
-    let level = (fair * (1.0 - settings.shortage)) as u32;
+    let level = (fair * (1.0 - settings.max_deficit)) as u32;
     let short = survey.counts.iter().filter(|(_, count)| of(count) < level);
     short.map(|(id, count)| (*id, level - of(count))).collect()
 }
@@ -106,7 +106,7 @@
     let slots = (0..).zip(&view.service.slots);
     let fits = slots.filter(|(_, assignment)| {
         let Some(owner) = assignment.owner else { return false };
-        assignment.standby == Some(view.me) && owner != member && view.apart(owner, member)
+        assignment.standby == Some(view.local) && owner != member && view.apart(owner, member)
     });
     fits.map(|(slot, _)| UnitId::slot(slot)).collect()
 }
@@ -117,7 +117,7 @@
 /// stand by, as they are in its data centre; the others make up for them.
 fn floor(settings: &BalanceSettings, fair: f64) -> u32 {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a share of a u32")]
-    let floor = (fair * (1.0 - settings.shortage / 2.0)) as u32;
+    let floor = (fair * (1.0 - settings.max_deficit / 2.0)) as u32;
     floor
 }
 
--- a/acaciaring_core/src/balance/survey.rs
+++ b/acaciaring_core/src/balance/survey.rs
@@ -70,7 +70,7 @@
             let received = history.received_since(*member, report);
             let received = u32::try_from(received).map_or(0.0, f64::from);
             *load += received * mean / fair;
-            if history.heated(now, *member, settings.settle) {
+            if history.heated(now, *member, settings.settle_time) {
                 *load = load.max(mean);
             }
         }
@@ -90,7 +90,7 @@
 
     /// Returns true when this member should give load away, if only at no cost.
     pub(super) fn hot(&self, settings: &BalanceSettings) -> bool {
-        self.load > self.limit(0.0) && self.load > settings.floor
+        self.load > self.limit(0.0) && self.load > settings.min_load
     }
 }
 
@@ -100,9 +100,9 @@
     let mut own = Vec::new();
     for (unit, assignment) in view.service.units() {
         if let (Some(owner), Some(standby)) = (assignment.owner, assignment.standby)
-            && owner == view.me
+            && owner == view.local
         {
-            own.push(OwnUnit { unit, block: None, standby, rate: view.heat.rate(now, unit) });
+            own.push(OwnUnit { unit, block: None, standby, rate: view.rates.rate(now, unit) });
         }
         if unit.key.is_some() {
             continue;
@@ -159,7 +159,7 @@
         let members = view.members.len();
         let apart = |unit: UnitId| others.iter().any(|o| o.block.is_none() && o.unit == unit);
         let slots = view.service.units().filter(|(unit, assignment)| {
-            let mine = assignment.owner == Some(view.me);
+            let mine = assignment.owner == Some(view.local);
             let same = assignment.standby == Some(self.standby);
             let slot = unit.key.is_none() && view.service.block(unit.slot, members) == block;
             mine && same && slot && !apart(*unit)
@@ -193,14 +193,14 @@
 
 /// Returns the own load, and the part of it that one request a second makes up.
 fn own_load(now: Time, view: &View<'_>, ample: f64) -> (f64, f64) {
-    let Some(load) = view.members[&view.me].load else { return (0.0, 0.0) };
-    let rate = view.heat.total(now);
+    let Some(load) = view.members[&view.local].load else { return (0.0, 0.0) };
+    let rate = view.rates.total(now);
     let own = load_of(&Load { rate, ..load }, ample);
     if rate > 0.0 { (own, own / rate) } else { (0.0, 0.0) }
 }
 
 fn reported(view: &View<'_>, ample: f64) -> impl Iterator<Item = (MemberId, f64)> {
-    let others = view.members.iter().filter(|(id, _)| **id != view.me);
+    let others = view.members.iter().filter(|(id, _)| **id != view.local);
     others.filter_map(move |(id, candidate)| Some((*id, load_of(&candidate.load?, ample))))
 }
 
--- a/acaciaring_core/src/choice.rs
+++ b/acaciaring_core/src/choice.rs
@@ -13,7 +13,7 @@
 
 use rand::Rng;
 
-pub use self::near::{Near, Own};
+pub use self::near::{LocalMember, NearbyMembers};
 use self::peer::Peer;
 use crate::id::MemberId;
 use crate::time::Time;
@@ -23,7 +23,7 @@
 
 /// Settings of the choice among members.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ChoiceSettings {
+pub struct SelectorSettings {
     /// Slots that are assumed before the first report.
     pub slots: u32,
     /// Latency that is assumed before the first answer.
@@ -40,7 +40,7 @@
     pub longest: Duration,
 }
 
-impl Default for ChoiceSettings {
+impl Default for SelectorSettings {
     fn default() -> Self {
         Self {
             slots: 20,
@@ -56,7 +56,7 @@
 
 /// How a request that was sent to a member ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sent {
+pub enum Outcome {
     /// Whole answer after this time.
     Answered(Duration),
     /// Refused as not run, with the time after which to come back where the member named one.
@@ -69,17 +69,17 @@
 
 /// What is known of the members that may answer for one service.
 #[derive(Debug)]
-pub struct Choice {
-    settings: ChoiceSettings,
+pub struct Selector {
+    settings: SelectorSettings,
     peers: HashMap<MemberId, Peer>,
     /// Smoothed latency over all members, in seconds.
     latency: f64,
 }
 
-impl Choice {
+impl Selector {
     /// Returns a choice that knows no member.
     #[must_use]
-    pub fn new(settings: ChoiceSettings) -> Self {
+    pub fn new(settings: SelectorSettings) -> Self {
         let latency = settings.latency.as_secs_f64();
         Self { settings, peers: HashMap::new(), latency }
     }
@@ -110,12 +110,12 @@
         self.peer(now, member).sent(now);
     }
 
-    /// Notes how a request ended; to be called once for each [`Choice::sent`].
-    pub fn done(&mut self, now: Time, member: MemberId, sent: Sent) {
+    /// Notes how a request ended; to be called once for each [`Selector::sent`].
+    pub fn done(&mut self, now: Time, member: MemberId, sent: Outcome) {
         let typical = self.latency;
         let Some(peer) = self.peers.get_mut(&member) else { return };
         peer.done(now, sent, &self.settings, typical);
-        if let Sent::Answered(took) = sent {
+        if let Outcome::Answered(took) = sent {
             self.latency += (took.as_secs_f64() - self.latency) / 32.0;
         }
     }
@@ -159,7 +159,7 @@
 
     /// Returns when the first of the candidates that ask to be left alone may be tried again.
     #[must_use]
-    pub fn opening(&self, now: Time, candidates: &[MemberId]) -> Option<Duration> {
+    pub fn retry_after(&self, now: Time, candidates: &[MemberId]) -> Option<Duration> {
         let peers = candidates.iter().filter_map(|id| self.peers.get(id));
         peers.filter_map(|peer| peer.opening(now)).min()
     }
--- a/acaciaring_core/src/choice/near.rs
+++ b/acaciaring_core/src/choice/near.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng;
 
-use super::{Choice, pick};
+use super::{Selector, pick};
 use crate::id::MemberId;
 use crate::time::Time;
 
@@ -14,7 +14,7 @@
 
 /// The member of the choosing process itself, and its load as its gate counts it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalMember {
     /// Its identity.
     pub member: MemberId,
     /// Requests at the upstream or waiting for it.
@@ -25,9 +25,9 @@
 
 /// Candidates that are near the choosing process.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Near<'a> {
+pub struct NearbyMembers<'a> {
     /// The process's own member, where it serves the service.
-    pub own: Option<Own>,
+    pub local: Option<LocalMember>,
     /// Members of the same data centre.
     pub others: &'a [MemberId],
 }
@@ -40,8 +40,8 @@
     cost: f64,
 }
 
-impl Choice {
-    /// Chooses among all like [`Choice::choose`], but prefers what is near as long as it has room.
+impl Selector {
+    /// Chooses among all like [`Selector::choose`], but prefers what is near as long as it has room.
     ///
     /// A request that stays needs no second process, and one that goes to a neighbour no bytes
     /// between data centres. Beyond a part of the capacity only the cost counts: else a newcomer
@@ -50,7 +50,7 @@
         &self,
         now: Time,
         rng: &mut impl Rng,
-        near: Near<'_>,
+        near: NearbyMembers<'_>,
         candidates: &[MemberId],
         exclude: &[MemberId],
     ) -> Option<MemberId> {
@@ -65,7 +65,7 @@
             let open = !exclude.contains(&id) && self.open(now, id);
             roomy && open && (self.is_fast(now, id) || self.due(now, id))
         };
-        if let Some(own) = near.own.filter(|own| fits(own.member, self.weigh_own(now, *own))) {
+        if let Some(own) = near.local.filter(|own| fits(own.member, self.weigh_own(now, *own))) {
             return Some(own.member);
         }
         let passes = |id: &MemberId| fits(*id, self.weigh(now, *id));
@@ -79,7 +79,7 @@
         Weight { load, cost: self.cost(now, member) }
     }
 
-    fn weigh_own(&self, now: Time, own: Own) -> Weight {
+    fn weigh_own(&self, now: Time, own: LocalMember) -> Weight {
         let (busy, capacity) = (f64::from(own.busy), f64::from(own.capacity));
         Weight {
             load: busy / capacity,
--- a/acaciaring_core/src/choice/peer.rs
+++ b/acaciaring_core/src/choice/peer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{ChoiceSettings, Sent};
+use super::{Outcome, SelectorSettings};
 use crate::time::Time;
 
 /// Weight of a new latency in the smoothed one.
@@ -39,7 +39,7 @@
 }
 
 impl Peer {
-    pub(super) fn new(now: Time, settings: &ChoiceSettings, cold: bool) -> Self {
+    pub(super) fn new(now: Time, settings: &SelectorSettings, cold: bool) -> Self {
         Self {
             busy: 0.0,
             capacity: f64::from(settings.slots),
@@ -73,17 +73,23 @@
         self.flying += 1.0;
     }
 
-    pub(super) fn done(&mut self, now: Time, sent: Sent, settings: &ChoiceSettings, typical: f64) {
+    pub(super) fn done(
+        &mut self,
+        now: Time,
+        sent: Outcome,
+        settings: &SelectorSettings,
+        typical: f64,
+    ) {
         self.flying = (self.flying - 1.0).max(0.0);
         self.since = (self.since - 1.0).max(0.0);
         match sent {
-            Sent::Answered(took) => {
+            Outcome::Answered(took) => {
                 self.failures = 0;
                 self.sample(now, took.as_secs_f64(), settings, typical);
             }
-            Sent::Refused(retry) => self.leave_alone(now + retry.unwrap_or_default()),
-            Sent::Failed => self.fail(now, settings),
-            Sent::Cancelled(took) => {
+            Outcome::Refused(retry) => self.leave_alone(now + retry.unwrap_or_default()),
+            Outcome::Failed => self.fail(now, settings),
+            Outcome::Cancelled(took) => {
                 let took = took.as_secs_f64();
                 if took > self.latency(now, settings, typical) {
                     self.sample(now, took, settings, typical);
@@ -92,7 +98,7 @@
         }
     }
 
-    fn sample(&mut self, now: Time, took: f64, settings: &ChoiceSettings, typical: f64) {
+    fn sample(&mut self, now: Time, took: f64, settings: &SelectorSettings, typical: f64) {
         // The new sample joins what is left of the old value. Joined to the old value itself, the one
         // request that tries a member again would bring back the slowness that had faded.
         let latency = self.latency(now, settings, typical);
@@ -107,7 +113,7 @@
     ///
     /// Guards against a newcomer that was slow while its caches were cold: as long as the others
     /// carry the load nothing is sent there, so nothing shows that it has become fast.
-    pub(super) fn due(&self, now: Time, settings: &ChoiceSettings, typical: f64) -> bool {
+    pub(super) fn due(&self, now: Time, settings: &SelectorSettings, typical: f64) -> bool {
         let latency = Duration::from_secs_f64(self.latency(now, settings, typical));
         now.since(self.tried) >= latency * TRY_AGAIN
     }
@@ -115,12 +121,12 @@
     /// Returns the smoothed latency in seconds.
     ///
     /// A latency nobody confirms fades. Else a member that was slow once would never be tried again.
-    pub(super) fn latency(&self, now: Time, settings: &ChoiceSettings, typical: f64) -> f64 {
+    pub(super) fn latency(&self, now: Time, settings: &SelectorSettings, typical: f64) -> f64 {
         let known = self.latency.unwrap_or(typical);
         typical + (known - typical) * weight(now.since(self.measured), settings.half_life * 4)
     }
 
-    fn fail(&mut self, now: Time, settings: &ChoiceSettings) {
+    fn fail(&mut self, now: Time, settings: &SelectorSettings) {
         let doublings = self.failures.min(DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
         let pause = settings.quarantine.saturating_mul(1 << doublings).min(settings.longest);
@@ -139,24 +145,24 @@
         self.shedding(now).then(|| self.alone.since(now))
     }
 
-    pub(super) fn cost(&self, now: Time, settings: &ChoiceSettings, typical: f64) -> f64 {
+    pub(super) fn cost(&self, now: Time, settings: &SelectorSettings, typical: f64) -> f64 {
         let latency = self.latency(now, settings, typical);
         latency * (self.busy(now, settings) + 1.0) / (self.capacity * self.warmth(now, settings))
     }
 
     /// Returns the part of its capacity that is in use.
-    pub(super) fn load(&self, now: Time, settings: &ChoiceSettings) -> f64 {
+    pub(super) fn load(&self, now: Time, settings: &SelectorSettings) -> f64 {
         self.busy(now, settings) / (self.capacity * self.warmth(now, settings))
     }
 
-    fn busy(&self, now: Time, settings: &ChoiceSettings) -> f64 {
+    fn busy(&self, now: Time, settings: &SelectorSettings) -> f64 {
         let fresh = weight(now.since(self.reported), settings.half_life);
         // A request that this process has in flight counts, also when reports say nothing of it.
         (self.busy * fresh + self.since).max(self.flying)
     }
 
     /// Returns the share of its capacity that a member may be counted with while it is cold.
-    fn warmth(&self, now: Time, settings: &ChoiceSettings) -> f64 {
+    fn warmth(&self, now: Time, settings: &SelectorSettings) -> f64 {
         let Some(since) = self.cold else { return 1.0 };
         let grown = now.since(since).as_secs_f64() / settings.ramp.as_secs_f64();
         (settings.initial + (1.0 - settings.initial) * grown).min(1.0)
--- a/acaciaring_core/src/dedup.rs
+++ b/acaciaring_core/src/dedup.rs
@@ -23,12 +23,12 @@
     /// Time for which a request is remembered after it has ended.
     pub window: Duration,
     /// Bound on the size of ids and answers, in bytes.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
 impl Default for DedupSettings {
     fn default() -> Self {
-        Self { window: Duration::from_mins(10), bytes: 64 << 20 }
+        Self { window: Duration::from_mins(10), max_bytes: 64 << 20 }
     }
 }
 
@@ -49,7 +49,7 @@
 
 /// What is remembered of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Memory<A> {
+pub enum RequestState<A> {
     /// It is running here.
     Running,
     /// Its owner, another member, runs it or has run it.
@@ -73,7 +73,7 @@
     /// Identity of the request.
     pub id: RequestId,
     /// What is remembered.
-    pub memory: Memory<A>,
+    pub state: RequestState<A>,
     /// Time since the request ended, or since it was noted; zero while it runs.
     pub age: Duration,
 }
@@ -124,15 +124,15 @@
     }
 
     /// Becomes owner of a unit that never had an owner before, so that nothing can have run.
-    pub fn found(&mut self, unit: UnitId) {
+    pub fn become_first_owner(&mut self, unit: UnitId) {
         self.duties.insert(unit, Duty::Owner { blind: Time::ZERO });
     }
 
     /// Becomes owner of a unit that its former owner has released, with what that one remembers.
     ///
-    /// `blind` is the former owner's [`DedupTable::blind`]. The former owner has nothing in flight, so what
+    /// `blind` is the former owner's [`DedupTable::gap`]. The former owner has nothing in flight, so what
     /// was noted here and is not among its entries did not run.
-    pub fn receive(
+    pub fn become_owner(
         &mut self,
         now: Time,
         unit: UnitId,
@@ -151,7 +151,7 @@
     ///
     /// A standby whose unit only changes its version stays synced. So does the former owner after a
     /// planned move: it remembers all that ran before, and is told of all that runs after.
-    pub fn stand_by(&mut self, unit: UnitId, version: Offset) {
+    pub fn become_standby(&mut self, unit: UnitId, version: Offset) {
         let blind = match self.duties.get(&unit) {
             Some(Duty::Owner { blind }) => Some(*blind),
             Some(Duty::Standby { blind, .. }) => *blind,
@@ -213,7 +213,7 @@
 
     /// Returns for how long requests that are not known here may yet have run, zero for a whole memory.
     #[must_use]
-    pub fn blind(&self, now: Time, unit: UnitId) -> Duration {
+    pub fn gap(&self, now: Time, unit: UnitId) -> Duration {
         match self.duties.get(&unit) {
             Some(Duty::Owner { blind } | Duty::Standby { blind: Some(blind), .. }) => {
                 blind.since(now)
@@ -229,16 +229,16 @@
             return Begin::Refused(Refusal::not_run(Reason::NotOwner));
         };
         match self.table.get(unit.slot, id) {
-            Some(Memory::Running | Memory::Noted) => return Begin::Running,
-            Some(Memory::Done { answer, .. }) => return Begin::Done(answer.clone()),
-            Some(Memory::Unknown) => return Begin::Unknown(Reason::LostAnswer),
+            Some(RequestState::Running | RequestState::Noted) => return Begin::Running,
+            Some(RequestState::Done { answer, .. }) => return Begin::Done(answer.clone()),
+            Some(RequestState::Unknown) => return Begin::Unknown(Reason::LostAnswer),
             None => {}
         }
         // The former owner may have run this very request; its memory was lost with its VM.
         if now < *blind {
             return Begin::Unknown(Reason::DedupLost);
         }
-        if self.table.insert(now, unit, id, Memory::Running) {
+        if self.table.insert(now, unit, id, RequestState::Running) {
             Begin::Run
         } else {
             Begin::Refused(Refusal::not_run(Reason::Busy).after(self.next_expiry(now)))
@@ -247,12 +247,12 @@
 
     /// Notes, at the owner, the whole answer of a request that ran.
     pub fn finish(&mut self, now: Time, id: RequestId, unit: UnitId, answer: A, bytes: usize) {
-        self.table.update(now, unit, id, Memory::Done { answer, bytes });
+        self.table.update(now, unit, id, RequestState::Done { answer, bytes });
     }
 
     /// Notes, at the owner, that a request may have run and has no whole answer.
     pub fn unknown(&mut self, now: Time, id: RequestId, unit: UnitId) {
-        self.table.update(now, unit, id, Memory::Unknown);
+        self.table.update(now, unit, id, RequestState::Unknown);
     }
 
     /// Notes, at the owner, that a request which was begun did not run and never will under this try.
@@ -260,7 +260,7 @@
     /// Only the owner forgets. The standby is not told: the message could pass a later intent for the
     /// same request on the way, and the standby would forget a request that runs.
     pub fn not_run(&mut self, id: RequestId, unit: UnitId) {
-        if matches!(self.table.get(unit.slot, id), Some(Memory::Running)) {
+        if matches!(self.table.get(unit.slot, id), Some(RequestState::Running)) {
             self.table.remove(unit.slot, id);
         }
     }
@@ -279,9 +279,11 @@
             return false;
         }
         match self.table.get(unit.slot, id) {
-            Some(Memory::Noted) => true,
-            Some(Memory::Running | Memory::Done { .. } | Memory::Unknown) => false,
-            None => self.table.insert(now, unit, id, Memory::Noted),
+            Some(RequestState::Noted) => true,
+            Some(RequestState::Running | RequestState::Done { .. } | RequestState::Unknown) => {
+                false
+            }
+            None => self.table.insert(now, unit, id, RequestState::Noted),
         }
     }
 
@@ -289,8 +291,8 @@
     ///
     /// The message may come before a delayed intent or after a takeover; both are harmless.
     pub fn outcome(&mut self, now: Time, id: RequestId, unit: UnitId, answer: Option<(A, usize)>) {
-        let memory =
-            answer.map_or(Memory::Unknown, |(answer, bytes)| Memory::Done { answer, bytes });
+        let memory = answer
+            .map_or(RequestState::Unknown, |(answer, bytes)| RequestState::Done { answer, bytes });
         self.table.merge(now, unit, id, memory);
     }
 
@@ -307,12 +309,12 @@
         self.expire(now);
         let mut all = true;
         for entry in entries {
-            all &= self.table.merge(now - entry.age, entry.unit, entry.id, entry.memory);
+            all &= self.table.merge(now - entry.age, entry.unit, entry.id, entry.state);
         }
         all
     }
 
-    /// Takes in what the owner of a unit remembers of it and its [`DedupTable::blind`]; true when all fits.
+    /// Takes in what the owner of a unit remembers of it and its [`DedupTable::gap`]; true when all fits.
     pub fn sync(
         &mut self,
         now: Time,
--- a/acaciaring_core/src/dedup/table.rs
+++ b/acaciaring_core/src/dedup/table.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
 
-use super::{DedupEntry, DedupSettings, Memory};
+use super::{DedupEntry, DedupSettings, RequestState};
 use crate::id::{RequestId, Slot, UnitId};
 use crate::time::Time;
 
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 struct Entry<A> {
     unit: UnitId,
-    memory: Memory<A>,
+    state: RequestState<A>,
     changed: Time,
 }
 
@@ -40,7 +40,7 @@
 impl<A: Clone> Table<A> {
     pub(super) fn new(settings: &DedupSettings) -> Self {
         Self {
-            bound: settings.bytes,
+            bound: settings.max_bytes,
             window: settings.window,
             bytes: 0,
             entries: HashMap::new(),
@@ -58,8 +58,8 @@
         self.bytes
     }
 
-    pub(super) fn get(&self, slot: Slot, id: RequestId) -> Option<&Memory<A>> {
-        self.entries.get(&(slot, id)).map(|entry| &entry.memory)
+    pub(super) fn get(&self, slot: Slot, id: RequestId) -> Option<&RequestState<A>> {
+        self.entries.get(&(slot, id)).map(|entry| &entry.state)
     }
 
     /// Returns when the next entry is forgotten.
@@ -75,7 +75,7 @@
         at: Time,
         unit: UnitId,
         id: RequestId,
-        memory: Memory<A>,
+        memory: RequestState<A>,
     ) -> bool {
         if (self.entries.len() + 1) * ENTRY_BYTES > self.bound {
             return false;
@@ -86,7 +86,13 @@
     }
 
     /// Replaces what is known of an entry that is there.
-    pub(super) fn update(&mut self, at: Time, unit: UnitId, id: RequestId, memory: Memory<A>) {
+    pub(super) fn update(
+        &mut self,
+        at: Time,
+        unit: UnitId,
+        id: RequestId,
+        memory: RequestState<A>,
+    ) {
         if self.remove(unit.slot, id) {
             self.put(at, unit, id, memory);
             self.evict_answers();
@@ -99,10 +105,11 @@
         at: Time,
         unit: UnitId,
         id: RequestId,
-        memory: Memory<A>,
+        memory: RequestState<A>,
     ) -> bool {
         // What runs there does not run here.
-        let memory = if matches!(memory, Memory::Running) { Memory::Noted } else { memory };
+        let memory =
+            if matches!(memory, RequestState::Running) { RequestState::Noted } else { memory };
         let Some(known) = self.get(unit.slot, id) else {
             return self.insert(at, unit, id, memory);
         };
@@ -115,9 +122,9 @@
     pub(super) fn remove(&mut self, slot: Slot, id: RequestId) -> bool {
         let key = (slot, id);
         let Some(entry) = self.entries.remove(&key) else { return false };
-        self.bytes -= size(&entry.memory);
+        self.bytes -= size(&entry.state);
         self.answers.remove(&(entry.changed, key));
-        if let Some(due) = self.due(&entry.memory, entry.changed) {
+        if let Some(due) = self.due(&entry.state, entry.changed) {
             self.dues.remove(&(due, key));
         }
         if let Some(ids) = self.slots.get_mut(&slot) {
@@ -145,7 +152,7 @@
         let units: HashSet<_> = [unit, UnitId::slot(unit.slot)].into();
         for unit in units {
             for id in self.noted(unit) {
-                self.update(now, unit, id, Memory::Unknown);
+                self.update(now, unit, id, RequestState::Unknown);
             }
         }
     }
@@ -154,9 +161,9 @@
         let ids = self.slots.get(&slot).into_iter().flatten();
         ids.filter_map(|id| {
             let entry = self.entries.get(&(slot, *id))?;
-            let running = matches!(entry.memory, Memory::Running);
+            let running = matches!(entry.state, RequestState::Running);
             let age = if running { Duration::ZERO } else { now.since(entry.changed) };
-            Some(DedupEntry { unit: entry.unit, id: *id, memory: entry.memory.clone(), age })
+            Some(DedupEntry { unit: entry.unit, id: *id, state: entry.state.clone(), age })
         })
         .collect()
     }
@@ -173,33 +180,33 @@
         let ids = self.slots.get(&unit.slot).into_iter().flatten();
         let noted = ids.filter(|id| {
             let entry = self.entries.get(&(unit.slot, **id));
-            entry.is_some_and(|e| e.unit == unit && matches!(e.memory, Memory::Noted))
+            entry.is_some_and(|e| e.unit == unit && matches!(e.state, RequestState::Noted))
         });
         noted.copied().collect()
     }
 
-    fn put(&mut self, changed: Time, unit: UnitId, id: RequestId, memory: Memory<A>) {
+    fn put(&mut self, changed: Time, unit: UnitId, id: RequestId, memory: RequestState<A>) {
         let key = (unit.slot, id);
         self.bytes += size(&memory);
         if let Some(due) = self.due(&memory, changed) {
             self.dues.insert((due, key));
         }
-        if matches!(memory, Memory::Done { .. }) {
+        if matches!(memory, RequestState::Done { .. }) {
             self.answers.insert((changed, key));
         }
         self.slots.entry(unit.slot).or_default().insert(id);
-        self.entries.insert(key, Entry { unit, memory, changed });
+        self.entries.insert(key, Entry { unit, state: memory, changed });
     }
 
     /// Returns when an entry is forgotten.
     ///
     /// A noted request has twice the time. Its outcome may be lost on the way, so it must be forgotten
     /// some day; but its owner may have ended it, and counted the window, long after it was noted.
-    fn due(&self, memory: &Memory<A>, changed: Time) -> Option<Time> {
+    fn due(&self, memory: &RequestState<A>, changed: Time) -> Option<Time> {
         match memory {
-            Memory::Running => None,
-            Memory::Noted => Some(changed + 2 * self.window),
-            Memory::Done { .. } | Memory::Unknown => Some(changed + self.window),
+            RequestState::Running => None,
+            RequestState::Noted => Some(changed + 2 * self.window),
+            RequestState::Done { .. } | RequestState::Unknown => Some(changed + self.window),
         }
     }
 
@@ -209,24 +216,24 @@
             let Some((changed, (slot, id))) = self.answers.first().copied() else { return };
             let unit = self.entries.get(&(slot, id)).map_or(UnitId::slot(slot), |entry| entry.unit);
             self.remove(slot, id);
-            self.put(changed, unit, id, Memory::Unknown);
+            self.put(changed, unit, id, RequestState::Unknown);
         }
     }
 }
 
-fn size<A>(memory: &Memory<A>) -> usize {
+fn size<A>(memory: &RequestState<A>) -> usize {
     match memory {
-        Memory::Done { bytes, .. } => ENTRY_BYTES + bytes,
-        Memory::Running | Memory::Noted | Memory::Unknown => ENTRY_BYTES,
+        RequestState::Done { bytes, .. } => ENTRY_BYTES + bytes,
+        RequestState::Running | RequestState::Noted | RequestState::Unknown => ENTRY_BYTES,
     }
 }
 
 /// Orders what two members know of one request.
-fn certainty<A>(memory: &Memory<A>) -> u8 {
+fn certainty<A>(memory: &RequestState<A>) -> u8 {
     match memory {
-        Memory::Noted => 0,
-        Memory::Unknown => 1,
-        Memory::Running => 2,
-        Memory::Done { .. } => 3,
+        RequestState::Noted => 0,
+        RequestState::Unknown => 1,
+        RequestState::Running => 2,
+        RequestState::Done { .. } => 3,
     }
 }
--- a/acaciaring_core/src/full.rs
+++ b/acaciaring_core/src/full.rs
@@ -46,13 +46,13 @@
 
 /// What members refused lately because their queues were full.
 #[derive(Debug, Default)]
-pub struct FullQueues {
+pub struct RefusalCache {
     refused: HashMap<(MemberId, Rank), Refused>,
 }
 
-impl FullQueues {
+impl RefusalCache {
     /// Notes that a member refused a request, and when its caller may come back.
-    pub fn note(&mut self, now: Time, member: MemberId, slack: Slack, retry: Duration) {
+    pub fn record(&mut self, now: Time, member: MemberId, slack: Slack, retry: Duration) {
         self.refused.retain(|_, refused| now < refused.until);
         let refused = Refused { until: now + retry / HOLDS, slack, retry };
         self.refused.insert((member, slack.rank), refused);
@@ -60,7 +60,7 @@
 
     /// Returns when to come back if the member would refuse the request, `None` if it may take it.
     #[must_use]
-    pub fn refuses(&self, now: Time, member: MemberId, slack: Slack) -> Option<Duration> {
+    pub fn retry_after(&self, now: Time, member: MemberId, slack: Slack) -> Option<Duration> {
         let refused = self.refused.get(&(member, slack.rank))?;
         let holds = now < refused.until && slack.within(refused.slack);
         holds.then_some(refused.retry)
@@ -73,7 +73,7 @@
             return soonest;
         }
         members.retain(|member| {
-            let retry = self.refuses(now, *member, slack);
+            let retry = self.retry_after(now, *member, slack);
             soonest = soonest.into_iter().chain(retry).min();
             retry.is_none()
         });
--- a/acaciaring_core/src/heat.rs
+++ b/acaciaring_core/src/heat.rs
@@ -20,22 +20,22 @@
 
 /// Settings of the measurement of heat.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeatSettings {
+pub struct RateSettings {
     /// Time in which an event loses half of its weight.
     pub half_life: Duration,
     /// Count of keys that are followed at once.
-    pub keys: usize,
+    pub max_keys: usize,
 }
 
-impl Default for HeatSettings {
+impl Default for RateSettings {
     fn default() -> Self {
-        Self { half_life: Duration::from_secs(10), keys: 1024 }
+        Self { half_life: Duration::from_secs(10), max_keys: 1024 }
     }
 }
 
 /// Rate of one key.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct HotRate {
+pub struct HotKeyRate {
     /// Unit that covers the key.
     pub unit: UnitId,
     /// Key.
@@ -46,8 +46,8 @@
 
 /// Request rates of one service at one member.
 #[derive(Debug)]
-pub struct Heat {
-    settings: HeatSettings,
+pub struct RequestRates {
+    settings: RateSettings,
     start: Time,
     /// Time at which an event weighs 1.
     base: Time,
@@ -56,11 +56,11 @@
     sketch: Sketch,
 }
 
-impl Heat {
+impl RequestRates {
     /// Returns a measurement that starts now.
     #[must_use]
-    pub fn new(now: Time, settings: HeatSettings) -> Self {
-        let sketch = Sketch::new(settings.keys);
+    pub fn new(now: Time, settings: RateSettings) -> Self {
+        let sketch = Sketch::new(settings.max_keys);
         Self { settings, start: now, base: now, total: 0.0, units: HashMap::new(), sketch }
     }
 
@@ -96,9 +96,9 @@
 
     /// Returns the keys with at least `least` requests a second, hottest first.
     #[must_use]
-    pub fn hot(&self, now: Time, least: f64) -> Vec<HotRate> {
+    pub fn hot_keys(&self, now: Time, least: f64) -> Vec<HotKeyRate> {
         let scale = self.scale(now);
-        let rates = self.sketch.counts().map(|(unit, key, count)| HotRate {
+        let rates = self.sketch.counts().map(|(unit, key, count)| HotKeyRate {
             unit,
             key,
             rate: count * scale,
--- a/acaciaring_core/src/lag.rs
+++ b/acaciaring_core/src/lag.rs
@@ -15,14 +15,14 @@
 
 /// Delays of the messages of one process.
 #[derive(Debug, Clone, Default)]
-pub struct Lag {
+pub struct DelayEstimator {
     start: Time,
     /// Smallest difference in this window and the one before, in microseconds.
     least: Option<i64>,
     before: Option<i64>,
 }
 
-impl Lag {
+impl DelayEstimator {
     /// Returns for how long a message was under way beyond the fastest one lately.
     ///
     /// `stamp` is the sender's clock when it sent, `now` the receiver's when the message is dealt
--- a/acaciaring_core/src/pace.rs
+++ b/acaciaring_core/src/pace.rs
@@ -14,7 +14,7 @@
 /// of each member. A member rests after a read, and records that come meanwhile are read together.
 /// It does not rest while something here waits for a record that is known to stand in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Pace {
+pub struct ReadPacer {
     /// Offset of the next record to read.
     next: Offset,
     /// Offset behind the last record that something waits for.
@@ -24,7 +24,7 @@
     read: Time,
 }
 
-impl Pace {
+impl ReadPacer {
     /// Begins with the first record, without a rest.
     #[must_use]
     pub fn new() -> Self {
--- a/acaciaring_core/tests/admission.rs
+++ b/acaciaring_core/tests/admission.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use acaciaring_core::admission::{Admission, AdmissionSettings, Ending, Offer, Ticket};
+use acaciaring_core::admission::{Admission, AdmissionSettings, Completion, Offer, Ticket};
 use acaciaring_core::retry::RetrySettings;
 use acaciaring_core::route::Rank;
 use acaciaring_core::{Reason, Time, Verdict};
@@ -114,7 +114,7 @@
         for _ in 0..count {
             attempt += 1;
             if let Offer::Start(started) = offer(gate, now, attempt) {
-                assert!(gate.finish(now + took, started, took, Ending::Answered).is_empty());
+                assert!(gate.finish(now + took, started, took, Completion::Answered).is_empty());
             }
         }
     };
@@ -135,7 +135,7 @@
     }
     assert_eq!(refused, 10);
     for attempt in 1_000..1_020 {
-        gate.finish(now, attempt, ms(10), Ending::Answered);
+        gate.finish(now, attempt, ms(10), Completion::Answered);
     }
     serve(&mut gate, Time::from_millis(20_000), ms(10), 50);
     assert!(gate.service_time(Rank::Interactive) < ms(50));
@@ -161,7 +161,7 @@
     };
     assert_eq!((refusal.verdict, refusal.reason), (Verdict::NotRun, Reason::Busy));
     assert!(matches!(gate.offer(now, ticket(Rank::Background, 6), 6), Offer::Refused(6, _)));
-    assert_eq!(gate.finish(now, 1, ms(10), Ending::Answered), [5]);
+    assert_eq!(gate.finish(now, 1, ms(10), Completion::Answered), [5]);
 }
 
 // Bulk and interactive requests wait all the time and are owed their shares. A limit check that comes in
@@ -187,7 +187,7 @@
         if waits {
             offer(&mut gate, now, Rank::Critical, critical);
         }
-        let started = gate.finish(now, running, ms(10), Ending::Answered);
+        let started = gate.finish(now, running, ms(10), Completion::Answered);
         assert_eq!(started.len(), 1);
         assert_eq!(started[0] == critical, waits, "round {round}");
         running = started[0];
@@ -198,7 +198,8 @@
 // did not run as soon as that is certain, with time left to do something else.
 #[test]
 fn a_request_that_must_be_late_is_refused_before_its_deadline() {
-    let settings = AdmissionSettings { slots: 1, service: ms(100), ..AdmissionSettings::default() };
+    let settings =
+        AdmissionSettings { slots: 1, service_time: ms(100), ..AdmissionSettings::default() };
     let mut gate = Admission::new(settings);
     let ticket = |deadline, attempt| ticket(Rank::Interactive, deadline, attempt);
     gate.offer(Time::ZERO, ticket(Time::from_millis(5_000), 1), 1);
@@ -236,7 +237,7 @@
     assert!(refused.iter().all(|(_, refusal)| refusal.retry >= Some(ms(2_000))));
     assert!(matches!(gate.offer(now + ms(1_999), ticket(30), 30), Offer::Refused(..)));
     for attempt in 0..20 {
-        gate.finish(now, attempt, ms(20), Ending::Answered);
+        gate.finish(now, attempt, ms(20), Completion::Answered);
     }
     assert_eq!(gate.capacity(now + ms(2_000)), 10);
     assert_eq!(gate.offer(now + ms(2_000), ticket(31), 31), Offer::Start(31));
@@ -251,7 +252,7 @@
 
 /// Returns the ticket of a request that is of no use after its deadline.
 fn ticket(rank: Rank, deadline: Time, attempt: u64) -> Ticket {
-    Ticket { rank, deadline, last: deadline, attempt }
+    Ticket { rank, deadline, expiry: deadline, attempt }
 }
 
 // A server runs at half of what callers ask for, for seconds. Each request waits in turn until its
@@ -260,7 +261,8 @@
 // too late for them too.
 #[test]
 fn under_overload_those_in_time_go_before_those_that_are_late() {
-    let settings = AdmissionSettings { slots: 1, service: ms(100), ..AdmissionSettings::default() };
+    let settings =
+        AdmissionSettings { slots: 1, service_time: ms(100), ..AdmissionSettings::default() };
     let mut gate = Admission::new(settings);
     let mut now = Time::from_millis(1000);
     let (mut running, mut ends) = (None, now);
@@ -270,7 +272,7 @@
         let arrival = now;
         while running.is_some() && ends <= arrival {
             let next =
-                gate.finish(ends, running.take().expect("running"), ms(100), Ending::Answered);
+                gate.finish(ends, running.take().expect("running"), ms(100), Completion::Answered);
             gate.expire(ends);
             if let Some(id) = next.first().copied() {
                 started += 1;
@@ -281,7 +283,7 @@
         }
         arrived.insert(attempt, now);
         let (deadline, last) = (now + ms(300), now + ms(1200));
-        let ticket = Ticket { rank: Rank::Bulk, deadline, last, attempt };
+        let ticket = Ticket { rank: Rank::Bulk, deadline, expiry: last, attempt };
         if let Offer::Start(id) = gate.offer(now, ticket, attempt) {
             started += 1;
             in_time += 1;
@@ -349,7 +351,7 @@
     {
         let offered = admission.offer(start, ticket(rank, far, attempt), "warms up");
         assert!(matches!(offered, Offer::Start(_)));
-        admission.finish(start, attempt, took, Ending::Answered);
+        admission.finish(start, attempt, took, Completion::Answered);
     }
     for attempt in [4, 5] {
         let offered = admission.offer(start, ticket(Rank::Bulk, far, attempt), "read");
@@ -358,12 +360,12 @@
     let waits = admission.offer(start, ticket(Rank::Bulk, far, 6), "read");
     assert!(matches!(waits, Offer::Queued { .. }));
     let aim = start + ms(5);
-    let late = Ticket { last: start + ms(2_000), ..ticket(Rank::Interactive, aim, 7) };
+    let late = Ticket { expiry: start + ms(2_000), ..ticket(Rank::Interactive, aim, 7) };
     let offered = admission.offer(start, late, "call");
     if matches!(offered, Offer::Refused(..)) {
         return vec!["refused"];
     }
-    admission.finish(start + ms(20), 4, read, Ending::Answered)
+    admission.finish(start + ms(20), 4, read, Completion::Answered)
 }
 
 // A clerk's request runs and asks the records service for a limit. All places there are taken by archive
--- a/acaciaring_core/tests/admission_property.rs
+++ b/acaciaring_core/tests/admission_property.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use acaciaring_core::Time;
-use acaciaring_core::admission::{Admission, AdmissionSettings, Ending, Offer, Ticket};
+use acaciaring_core::admission::{Admission, AdmissionSettings, Completion, Offer, Ticket};
 use acaciaring_core::route::Rank;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -15,7 +15,7 @@
 enum Step {
     Wait(u64),
     Offer { rank: usize, left: u64 },
-    Finish { pick: usize, took: u64, ending: Ending },
+    Finish { pick: usize, took: u64, ending: Completion },
     Expire,
     Cancel(u64),
     Shed(u64),
@@ -25,7 +25,11 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let ending = prop_oneof![Just(Ending::Answered), Just(Ending::Refused), Just(Ending::Lost)];
+    let ending = prop_oneof![
+        Just(Completion::Answered),
+        Just(Completion::Refused),
+        Just(Completion::Unanswered)
+    ];
     prop_oneof![
         4 => (1u64..300).prop_map(Step::Wait),
         20 => (0usize..4, 0u64..3_000).prop_map(|(rank, left)| Step::Offer { rank, left }),
@@ -86,7 +90,7 @@
                 Step::Offer { rank, left } => {
                     attempt += 1;
                     let deadline = now + Duration::from_millis(left);
-                    let ticket = Ticket { rank: RANKS[rank], deadline, last: deadline, attempt };
+                    let ticket = Ticket { rank: RANKS[rank], deadline, expiry: deadline, attempt };
                     ledger.0.insert(attempt, Fate::Waiting);
                     match gate.offer(now, ticket, attempt) {
                         Offer::Start(item) => started.push(item),
@@ -138,7 +142,7 @@
         // Nothing waits for good: once all that runs has ended, all that waits has started or is refused.
         while let Some(item) = ledger.all(Fate::Running).first().copied() {
             ledger.pass([item], Fate::Running, Fate::Gone);
-            let started = gate.finish(now, item, Duration::from_millis(10), Ending::Answered);
+            let started = gate.finish(now, item, Duration::from_millis(10), Completion::Answered);
             ledger.pass(started, Fate::Waiting, Fate::Running);
             let late = gate.expire(now).into_iter().map(|(item, _)| item);
             ledger.pass(late, Fate::Waiting, Fate::Gone);
--- a/acaciaring_core/tests/balance.rs
+++ b/acaciaring_core/tests/balance.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use acaciaring_core::balance::BalanceSettings;
-use acaciaring_core::heat::{Heat, HeatSettings};
+use acaciaring_core::heat::{RateSettings, RequestRates};
 use acaciaring_core::route::Weights;
 use acaciaring_core::{KeyHash, MemberId, Time, UnitId};
 use rand::rngs::StdRng;
@@ -55,7 +55,7 @@
 #[test]
 fn units_are_not_swapped_to_and_fro() {
     // Without tolerance and price only the rest after a move holds units back.
-    let eager = BalanceSettings { tolerance: 0.0, price: 0.0, ..BalanceSettings::default() };
+    let eager = BalanceSettings { tolerance: 0.0, min_gain: 0.0, ..BalanceSettings::default() };
     for (balance, most) in [(BalanceSettings::default(), 3), (eager, 5)] {
         assert_no_swaps(balance, most);
     }
@@ -139,7 +139,7 @@
 // minutes later. All thirteen must be known within a minute, without a counter for each key.
 #[test]
 fn the_hottest_keys_are_found_within_a_minute() {
-    let mut heat = Heat::new(Time::ZERO, HeatSettings::default());
+    let mut heat = RequestRates::new(Time::ZERO, RateSettings::default());
     let mut rng = StdRng::seed_from_u64(7);
     let mut now = Time::ZERO;
     for rush in 0..2_u64 {
@@ -152,7 +152,7 @@
             };
             heat.record(now, UnitId::slot(key.slot(64)), key);
         }
-        let hot = heat.hot(now, 5.0);
+        let hot = heat.hot_keys(now, 5.0);
         let mut keys: Vec<_> = hot.iter().take(13).map(|hot| u64::MAX - hot.key.0).collect();
         keys.sort_unstable();
         assert_eq!(keys, (rush * 13..rush * 13 + 13).collect::<Vec<_>>());
@@ -160,7 +160,7 @@
         assert!(hot[..13].iter().all(|hot| (5.0..15.0).contains(&hot.rate)), "{hot:?}");
     }
     // Keys that were asked for once share counters with many others; none of them may look hot.
-    assert!(heat.hot(now, 0.4).len() <= 26, "{:?}", heat.hot(now, 0.4));
+    assert!(heat.hot_keys(now, 0.4).len() <= 26, "{:?}", heat.hot_keys(now, 0.4));
     let total = heat.total(now);
     assert!((total - 1_000.0).abs() < 20.0, "{total}");
     assert!(heat.total(now + MINUTE) < 20.0);
--- a/acaciaring_core/tests/choice.rs
+++ b/acaciaring_core/tests/choice.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use acaciaring_core::choice::{Choice, ChoiceSettings, Sent};
+use acaciaring_core::choice::{Outcome, Selector, SelectorSettings};
 use acaciaring_core::{MemberId, Time};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -12,7 +12,7 @@
 
 /// Four servers that answer at fixed speeds, and one entry that chooses among them.
 struct Fleet {
-    choice: Choice,
+    choice: Selector,
     rng: StdRng,
     now: Time,
     /// Milliseconds between two requests.
@@ -31,7 +31,7 @@
 impl Fleet {
     fn new() -> Self {
         Self {
-            choice: Choice::new(ChoiceSettings::default()),
+            choice: Selector::new(SelectorSettings::default()),
             rng: StdRng::seed_from_u64(5),
             now: Time::ZERO,
             gap: 1,
@@ -72,7 +72,7 @@
         self.flying = flying;
         let landed: Vec<_> = landed;
         for (_, member, took) in landed {
-            self.choice.done(now, member, Sent::Answered(took));
+            self.choice.done(now, member, Outcome::Answered(took));
             if self.answers {
                 self.report(member);
             }
@@ -88,7 +88,7 @@
                 let took = Duration::from_millis(millis);
                 self.flying.push((self.now + took, id, took));
             }
-            None => self.choice.done(self.now, id, Sent::Failed),
+            None => self.choice.done(self.now, id, Outcome::Failed),
         }
     }
 }
@@ -129,7 +129,7 @@
 fn an_old_latency_fades() {
     let mut fleet = Fleet::new();
     fleet.choice.sent(Time::ZERO, MEMBERS[0]);
-    fleet.choice.done(Time::ZERO, MEMBERS[0], Sent::Answered(Duration::from_secs(100)));
+    fleet.choice.done(Time::ZERO, MEMBERS[0], Outcome::Answered(Duration::from_secs(100)));
     fleet.play(2_000);
     assert_eq!(fleet.play(1_000).get(&MEMBERS[0]), None);
     fleet.play(120_000);
@@ -202,7 +202,7 @@
     let mut fleet = Fleet::new();
     for id in MEMBERS {
         fleet.choice.sent(Time::ZERO, id);
-        fleet.choice.done(Time::ZERO, id, Sent::Failed);
+        fleet.choice.done(Time::ZERO, id, Outcome::Failed);
     }
     assert!(fleet.choice.choose(Time::ZERO, &mut fleet.rng, &MEMBERS, &[]).is_some());
     assert_eq!(fleet.choice.choose(Time::ZERO, &mut fleet.rng, &MEMBERS, &MEMBERS), None);
--- a/acaciaring_core/tests/choice_near.rs
+++ b/acaciaring_core/tests/choice_near.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use acaciaring_core::choice::{Choice, ChoiceSettings, Near, Own, Sent};
+use acaciaring_core::choice::{LocalMember, NearbyMembers, Outcome, Selector, SelectorSettings};
 use acaciaring_core::{MemberId, Time};
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -17,7 +17,7 @@
 
 /// Members that are an entry and an upstream each, in data centres of two.
 struct Mesh {
-    choices: Vec<Choice>,
+    choices: Vec<Selector>,
     rng: StdRng,
     now: Time,
     /// Requests at each upstream.
@@ -36,7 +36,7 @@
 impl Mesh {
     fn new() -> Self {
         Self {
-            choices: (0..MEMBERS).map(|_| Choice::new(ChoiceSettings::default())).collect(),
+            choices: (0..MEMBERS).map(|_| Selector::new(SelectorSettings::default())).collect(),
             rng: StdRng::seed_from_u64(7),
             now: Time::ZERO,
             busy: [0; MEMBERS],
@@ -74,7 +74,7 @@
         for (_, entry, member, took) in landed {
             self.busy[member] -= 1;
             let choice = &mut self.choices[entry];
-            choice.done(now, id(member), Sent::Answered(took));
+            choice.done(now, id(member), Outcome::Answered(took));
             choice.report(now, id(member), self.busy[member], SLOTS);
         }
     }
@@ -82,10 +82,10 @@
     fn send(&mut self, entry: usize) {
         let all: Vec<_> = (0..MEMBERS).map(id).collect();
         let centre = entry / CENTRE * CENTRE;
-        let own = Own { member: id(entry), busy: self.busy[entry], capacity: SLOTS };
-        let near = Near { own: Some(own), others: &all[centre..centre + CENTRE] };
+        let own = LocalMember { member: id(entry), busy: self.busy[entry], capacity: SLOTS };
+        let near = NearbyMembers { local: Some(own), others: &all[centre..centre + CENTRE] };
         let choice = &mut self.choices[entry];
-        let near = if self.near { near } else { Near::default() };
+        let near = if self.near { near } else { NearbyMembers::default() };
         let target = choice.choose_near(self.now, &mut self.rng, near, &all, &[]);
         let target = target.expect("all members are open");
         choice.sent(self.now, target);
@@ -175,17 +175,17 @@
 fn a_near_member_that_cannot_take_it_is_passed_by() {
     let mut rng = StdRng::seed_from_u64(3);
     let all = [id(0), id(1), id(2)];
-    let own = |busy, capacity| Some(Own { member: id(0), busy, capacity });
-    let mut choice = Choice::new(ChoiceSettings::default());
-    let mut choose = |choice: &Choice, own, exclude: &[MemberId]| {
-        let near = Near { own, others: &all[..2] };
+    let own = |busy, capacity| Some(LocalMember { member: id(0), busy, capacity });
+    let mut choice = Selector::new(SelectorSettings::default());
+    let mut choose = |choice: &Selector, own, exclude: &[MemberId]| {
+        let near = NearbyMembers { local: own, others: &all[..2] };
         choice.choose_near(Time::ZERO, &mut rng, near, &all, exclude).unwrap()
     };
     assert_eq!(choose(&choice, own(0, SLOTS), &[]), id(0));
     assert_eq!(choose(&choice, own(0, SLOTS), &[id(0)]), id(1));
     assert_eq!(choose(&choice, own(0, 0), &[id(0)]), id(1));
     choice.sent(Time::ZERO, id(0));
-    choice.done(Time::ZERO, id(0), Sent::Failed);
+    choice.done(Time::ZERO, id(0), Outcome::Failed);
     assert_eq!(choose(&choice, own(0, SLOTS), &[]), id(1));
     choice.report(Time::ZERO, id(1), 7, SLOTS);
     choice.report(Time::ZERO, id(2), 8, SLOTS);
--- a/acaciaring_core/tests/dedup.rs
+++ b/acaciaring_core/tests/dedup.rs
@@ -20,9 +20,9 @@
 /// Returns an owner of the unit and its synced standby.
 fn pair() -> (DedupTable<&'static str>, DedupTable<&'static str>) {
     let (mut owner, mut standby) = (table(), table());
-    owner.found(UNIT);
-    standby.stand_by(UNIT, 5);
-    assert!(standby.sync(NOW, UNIT, owner.export(NOW, UNIT), owner.blind(NOW, UNIT)));
+    owner.become_first_owner(UNIT);
+    standby.become_standby(UNIT, 5);
+    assert!(standby.sync(NOW, UNIT, owner.export(NOW, UNIT), owner.gap(NOW, UNIT)));
     (owner, standby)
 }
 
@@ -55,8 +55,8 @@
     assert_eq!(old.begin(NOW, id(2), UNIT), Begin::Run);
     assert!(new.intent(NOW, id(2), UNIT, 5));
     old.not_run(id(2), UNIT);
-    new.receive(NOW, UNIT, old.export(NOW, UNIT), old.blind(NOW, UNIT));
-    old.stand_by(UNIT, 6);
+    new.become_owner(NOW, UNIT, old.export(NOW, UNIT), old.gap(NOW, UNIT));
+    old.become_standby(UNIT, 6);
     assert_eq!(new.begin(NOW, id(1), UNIT), Begin::Done("paid"));
     assert_eq!(new.begin(NOW, id(2), UNIT), Begin::Run);
     assert!(matches!(old.begin(NOW, id(3), UNIT), Begin::Refused(_)));
@@ -90,7 +90,7 @@
     assert!(!standby.intent(NOW, id(1), UNIT, 4), "older version");
     standby.take_over(NOW, UNIT);
     assert!(!standby.intent(NOW, id(1), UNIT, 5));
-    standby.stand_by(UNIT, 9);
+    standby.become_standby(UNIT, 9);
     assert!(!standby.intent(NOW, id(1), UNIT, 5), "delayed from the former owner");
     assert!(standby.intent(NOW, id(1), UNIT, 9));
     assert!(standby.intent(NOW, id(1), UNIT, 9), "the first reply was lost");
@@ -101,12 +101,12 @@
 #[test]
 fn a_member_without_memory_runs_nothing_for_the_window() {
     let (mut first, mut second) = (table(), table());
-    first.stand_by(UNIT, 5);
+    first.become_standby(UNIT, 5);
     first.take_over(NOW, UNIT);
     assert_eq!(first.begin(NOW, id(1), UNIT), Begin::Unknown(Reason::DedupLost));
     let later = NOW + WINDOW / 2;
-    second.stand_by(UNIT, 6);
-    second.receive(later, UNIT, first.export(later, UNIT), first.blind(later, UNIT));
+    second.become_standby(UNIT, 6);
+    second.become_owner(later, UNIT, first.export(later, UNIT), first.gap(later, UNIT));
     assert_eq!(second.begin(later, id(1), UNIT), Begin::Unknown(Reason::DedupLost));
     let end = NOW + WINDOW;
     assert_eq!(second.begin(end - Duration::from_millis(1), id(1), UNIT).clone(), {
@@ -119,9 +119,9 @@
 // run"; when ids alone fill it, new requests are refused as not run. None is forgotten before its time.
 #[test]
 fn a_full_table_drops_answers_but_no_ids() {
-    let settings = DedupSettings { bytes: 1_024, window: WINDOW };
+    let settings = DedupSettings { max_bytes: 1_024, window: WINDOW };
     let mut owner = DedupTable::new(settings);
-    owner.found(UNIT);
+    owner.become_first_owner(UNIT);
     for n in 1..=4 {
         assert_eq!(owner.begin(NOW, id(n), UNIT), Begin::Run);
         owner.finish(NOW + Duration::from_millis(n.into()), id(n), UNIT, "answer", 200);
@@ -141,17 +141,17 @@
 // of it. A sync that does not fit leaves it unsynced.
 #[test]
 fn a_full_standby_refuses_intents_and_sync() {
-    let mut standby = DedupTable::new(DedupSettings { bytes: 512, window: WINDOW });
-    standby.stand_by(UNIT, 5);
+    let mut standby = DedupTable::new(DedupSettings { max_bytes: 512, window: WINDOW });
+    standby.become_standby(UNIT, 5);
     let mut owner = table();
-    owner.found(UNIT);
+    owner.become_first_owner(UNIT);
     for n in 1..=3 {
         assert_eq!(owner.begin(NOW, id(n), UNIT), Begin::Run);
     }
-    assert!(!standby.sync(NOW, UNIT, owner.export(NOW, UNIT), owner.blind(NOW, UNIT)));
+    assert!(!standby.sync(NOW, UNIT, owner.export(NOW, UNIT), owner.gap(NOW, UNIT)));
     assert!(!standby.intent(NOW, id(9), UNIT, 5));
-    let mut other = DedupTable::new(DedupSettings { bytes: 512, window: WINDOW });
-    other.receive(NOW, UNIT, owner.export(NOW, UNIT), owner.blind(NOW, UNIT));
+    let mut other = DedupTable::new(DedupSettings { max_bytes: 512, window: WINDOW });
+    other.become_owner(NOW, UNIT, owner.export(NOW, UNIT), owner.gap(NOW, UNIT));
     assert_eq!(other.begin(NOW, id(9), UNIT), Begin::Unknown(Reason::DedupLost));
     standby.take_over(NOW, UNIT);
     assert_eq!(standby.begin(NOW, id(9), UNIT), Begin::Unknown(Reason::DedupLost));
@@ -166,8 +166,8 @@
     assert!(standby.intent(NOW, id(1), UNIT, 5));
     standby.outcome(NOW, id(1), UNIT, Some(("paid", 4)));
     owner.unknown(NOW, id(1), UNIT);
-    assert!(standby.sync(NOW, UNIT, owner.export(NOW, UNIT), owner.blind(NOW, UNIT)));
-    standby.receive(NOW, UNIT, owner.export(NOW, UNIT), owner.blind(NOW, UNIT));
+    assert!(standby.sync(NOW, UNIT, owner.export(NOW, UNIT), owner.gap(NOW, UNIT)));
+    standby.become_owner(NOW, UNIT, owner.export(NOW, UNIT), owner.gap(NOW, UNIT));
     assert_eq!(standby.begin(NOW, id(1), UNIT), Begin::Done("paid"));
 }
 
--- a/acaciaring_core/tests/dedup_property.rs
+++ b/acaciaring_core/tests/dedup_property.rs
@@ -81,9 +81,9 @@
 
 impl World {
     fn new(bytes: usize) -> Self {
-        let settings = DedupSettings { window: Duration::from_secs(1), bytes };
+        let settings = DedupSettings { window: Duration::from_secs(1), max_bytes: bytes };
         let mut owner = DedupTable::new(settings.clone());
-        owner.found(UNIT);
+        owner.become_first_owner(UNIT);
         let standby = DedupTable::new(settings.clone());
         let now = Time::from_millis(10_000);
         let mut world = Self {
@@ -103,7 +103,7 @@
     fn new_standby(&mut self) {
         self.standby = DedupTable::new(self.settings.clone());
         self.version += 1;
-        self.standby.stand_by(UNIT, self.version);
+        self.standby.become_standby(UNIT, self.version);
     }
 
     fn step(&mut self, step: &Step) {
@@ -116,10 +116,10 @@
                     self.end(id, Ending::Answered, false);
                 }
                 let entries = self.owner.export(self.now, UNIT);
-                let blind = self.owner.blind(self.now, UNIT);
-                self.standby.receive(self.now, UNIT, entries, blind);
+                let blind = self.owner.gap(self.now, UNIT);
+                self.standby.become_owner(self.now, UNIT, entries, blind);
                 self.version += 1;
-                self.owner.stand_by(UNIT, self.version);
+                self.owner.become_standby(UNIT, self.version);
                 std::mem::swap(&mut self.owner, &mut self.standby);
             }
             Step::Crash => {
@@ -137,7 +137,7 @@
             Step::Handoff => self.new_standby(),
             Step::Sync => {
                 let entries = self.owner.export(self.now, UNIT);
-                let blind = self.owner.blind(self.now, UNIT);
+                let blind = self.owner.gap(self.now, UNIT);
                 self.standby.sync(self.now, UNIT, entries, blind);
             }
             Step::Repeat => {
--- a/acaciaring_core/tests/lag.rs
+++ b/acaciaring_core/tests/lag.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use acaciaring_core::Time;
-use acaciaring_core::lag::Lag;
+use acaciaring_core::lag::DelayEstimator;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -16,7 +16,7 @@
 // an answer within 500 ms and has gone; only the delay tells.
 #[test]
 fn a_message_that_was_held_up_is_known() {
-    let mut lag = Lag::default();
+    let mut lag = DelayEstimator::default();
     for n in 0..20 {
         let way = 1 + n % 3;
         let delay = lag.delay(Time::from_millis(1000 + n * 10 + way), ms(APART + n * 10));
@@ -29,7 +29,7 @@
 // no request may lose time for it.
 #[test]
 fn the_first_message_counts_as_fast() {
-    let mut lag = Lag::default();
+    let mut lag = DelayEstimator::default();
     assert_eq!(lag.delay(Time::from_millis(9000), ms(10)), ms(0));
     assert_eq!(lag.delay(Time::from_millis(9100), ms(500)), ms(0));
     assert_eq!(lag.delay(Time::from_millis(9200), ms(580)), ms(20));
@@ -38,7 +38,7 @@
 // One clock runs faster by a thousandth, for an hour. Requests must not seem to be late for it.
 #[test]
 fn drift_is_no_delay() {
-    let mut lag = Lag::default();
+    let mut lag = DelayEstimator::default();
     for second in 0..3600 {
         let now = Time::from_millis(second * 1001);
         let delay = lag.delay(now, ms(APART + second * 1000));
--- a/acaciaring_core/tests/pace.rs
+++ b/acaciaring_core/tests/pace.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use acaciaring_core::Time;
-use acaciaring_core::pace::Pace;
+use acaciaring_core::pace::ReadPacer;
 
 const RATE: u32 = 200;
 
 /// A member of so many that has just read up to an offset.
-fn reader(members: usize, next: u64) -> Pace {
-    let mut pace = Pace::new();
+fn reader(members: usize, next: u64) -> ReadPacer {
+    let mut pace = ReadPacer::new();
     pace.share(members, RATE);
     pace.folded(next);
     pace.answered(Time::from_millis(1000));
@@ -18,8 +18,8 @@
 
 #[test]
 fn the_first_read_begins_at_once() {
-    assert_eq!(Pace::new().left(Time::ZERO), Duration::ZERO);
-    assert_eq!(Pace::new().next(), 1);
+    assert_eq!(ReadPacer::new().left(Time::ZERO), Duration::ZERO);
+    assert_eq!(ReadPacer::new().next(), 1);
 }
 
 #[test]
--- a/acaciaring_core/tests/support/fleet.rs
+++ b/acaciaring_core/tests/support/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use acaciaring_core::balance::{BalanceSettings, Candidate, History, Load, Plan, View, plan};
-use acaciaring_core::heat::{Heat, HeatSettings};
+use acaciaring_core::heat::{RateSettings, RequestRates};
 use acaciaring_core::route::Weights;
 use acaciaring_core::state::{Assignment, HotKey, Service};
 use acaciaring_core::{KeyHash, MemberId, Time, UnitId};
@@ -65,7 +65,7 @@
 
 struct Server {
     data_centre: usize,
-    heat: Heat,
+    heat: RequestRates,
     history: History,
     /// Requests in the last period.
     count: u32,
@@ -243,7 +243,7 @@
         let id = MemberId(self.version);
         let server = Server {
             data_centre: self.servers.len() % 3,
-            heat: Heat::new(self.now, HeatSettings::default()),
+            heat: RequestRates::new(self.now, RateSettings::default()),
             history: History::default(),
             count: 0,
             slowness: 1.0,
@@ -355,10 +355,10 @@
         let (now, service, shape) = (self.now, &self.service, &self.shape);
         let decide = |id: MemberId, server: &mut Server| {
             let view = View {
-                me: id,
+                local: id,
                 service,
                 members,
-                heat: &server.heat,
+                rates: &server.heat,
                 weights: shape.weights,
                 service_time: SERVICE,
             };
@@ -366,7 +366,7 @@
                 Policy::Weighted => plan(now, &view, &shape.balance, &mut server.history),
                 Policy::Greedy | Policy::Hashing => greedy(now, &view),
             };
-            server.history.proposed(now, &plan);
+            server.history.record_plan(now, &plan);
             (id, plan)
         };
         let servers = self.servers.iter_mut().filter(|(id, _)| group.contains(id));
@@ -384,7 +384,9 @@
             if assignment.owner == Some(id) && self.servers.contains_key(&to) {
                 self.set(*unit, Assignment { owner: Some(to), standby: Some(id), ..assignment });
                 self.servers.get_mut(&id).unwrap().heat.forget(*unit);
-                self.servers.values_mut().for_each(|s| s.history.folded(self.now, *unit, to));
+                self.servers
+                    .values_mut()
+                    .for_each(|s| s.history.record_switchover(self.now, *unit, to));
                 self.moved.push((self.now, *unit, to));
                 self.note_unserved(*unit);
             }
@@ -432,12 +434,12 @@
         return Plan::default();
     }
     let mean = known.iter().sum::<f64>() / f64::from(u32::try_from(known.len()).unwrap());
-    let mut own = view.heat.total(now);
+    let mut own = view.rates.total(now);
     let mut others: BTreeMap<_, _> =
         view.members.keys().filter_map(|id| Some((*id, rate(id)?))).collect();
-    let mine = view.service.units().filter(|(_, a)| a.owner == Some(view.me));
+    let mine = view.service.units().filter(|(_, a)| a.owner == Some(view.local));
     let mut units: Vec<_> =
-        mine.filter_map(|(unit, a)| Some((unit, a.standby?, view.heat.rate(now, unit)))).collect();
+        mine.filter_map(|(unit, a)| Some((unit, a.standby?, view.rates.rate(now, unit)))).collect();
     units.sort_by(|a, b| b.2.total_cmp(&a.2));
     let mut plan = Plan::default();
     for (unit, standby, heat) in units {
--- a/acaciaring_core/tests/support/upstream.rs
+++ b/acaciaring_core/tests/support/upstream.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use acaciaring_core::admission::{Admission, AdmissionSettings, Ending, Offer, Ticket};
-use acaciaring_core::full::{FullQueues, Slack};
+use acaciaring_core::admission::{Admission, AdmissionSettings, Completion, Offer, Ticket};
+use acaciaring_core::full::{RefusalCache, Slack};
 use acaciaring_core::retry::{Failure, RetryBudget, RetryDecision, RetrySettings};
 use acaciaring_core::route::{Rank, Repeat};
 use acaciaring_core::{MemberId, Reason, Refusal, Time};
@@ -101,7 +101,7 @@
     requests: BTreeMap<u64, Request>,
     gate: Box<dyn Front>,
     /// Memory of the one entry, if it has one.
-    full: Option<FullQueues>,
+    full: Option<RefusalCache>,
     retries: Retries,
     /// One budget per stream, so that failures of one rank don't use up another's.
     budgets: Vec<RetryBudget>,
@@ -136,7 +136,7 @@
             Retries::Budget(settings) => settings.clone(),
             Retries::Never | Retries::Always => RetrySettings::default(),
         };
-        let full = matches!(gate, Gate::Remembered(_)).then(FullQueues::default);
+        let full = matches!(gate, Gate::Remembered(_)).then(RefusalCache::default);
         let gate: Box<dyn Front> = match gate {
             Gate::Admission(settings) | Gate::Remembered(settings) => {
                 Box::new(Admission::new(settings.clone()))
@@ -209,10 +209,10 @@
         let stream = self.streams[request.stream];
         self.tallies[request.stream].tries += 1;
         let deadline = request.arrived + stream.deadline;
-        let ticket = Ticket { rank: stream.rank, deadline, last: deadline, attempt };
+        let ticket = Ticket { rank: stream.rank, deadline, expiry: deadline, attempt };
         let left = deadline.since(now);
         let slack = Slack { rank: stream.rank, aim: left, left };
-        let retry = self.full.as_ref().and_then(|full| full.refuses(now, MEMBER, slack));
+        let retry = self.full.as_ref().and_then(|full| full.retry_after(now, MEMBER, slack));
         if let Some(retry) = retry {
             let refusal = Refusal::not_run(Reason::Busy).after(retry);
             return self.refused(now, attempt, refusal);
@@ -222,7 +222,7 @@
         if let (Offer::Refused(_, refusal), Some(full)) = (&offer, &mut self.full)
             && let Refusal { reason: Reason::Busy, retry: Some(retry), .. } = *refusal
         {
-            full.note(now, MEMBER, slack, retry);
+            full.record(now, MEMBER, slack, retry);
         }
         match offer {
             Offer::Start(attempt) => self.start(now, attempt),
@@ -323,7 +323,7 @@
     }
 
     fn finish(&mut self, now: Time, attempt: u64, took: Duration) -> Vec<u64> {
-        self.finish(now, attempt, took, Ending::Answered)
+        self.finish(now, attempt, took, Completion::Answered)
     }
 
     fn expire(&mut self, now: Time) -> Vec<(u64, Refusal)> {
--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use acaciaring_core::balance::{self, BalanceSettings, Candidate, History, Load, Plan};
-use acaciaring_core::heat::Heat;
+use acaciaring_core::heat::RequestRates;
 use acaciaring_core::route::Weights;
 use acaciaring_core::state::{Member, Service, State};
 use acaciaring_core::{MemberId, Name, Offset, Time, UnitId};
@@ -80,7 +80,7 @@
     /// Proposes moves of this member's units, if it is time for it.
     pub(super) fn plan_when_due(&mut self, now: Time) {
         let due = now.since(self.balance.planned) >= self.parts.interval;
-        if due && !self.retiring() && !self.pausing() && self.parts.balance.least_moves > 0 {
+        if due && !self.retiring() && !self.pausing() && self.parts.balance.min_moves > 0 {
             self.balance.planned = now;
             self.plan(now);
         }
@@ -209,7 +209,7 @@
             let moved =
                 former.is_some() && former == assignment.prior && former != assignment.owner;
             if let Some(owner) = assignment.owner.filter(|_| moved) {
-                self.balance.history.folded(now, unit, owner);
+                self.balance.history.record_switchover(now, unit, owner);
             }
         }
     }
@@ -226,7 +226,7 @@
         }
         debug!(%workspace, ?plan, "balance");
         let moved = self.propose_switchovers(now, &workspace, &plan);
-        self.balance.history.proposed(now, &Plan { switchovers: moved, ..Plan::default() });
+        self.balance.history.record_plan(now, &Plan { switchovers: moved, ..Plan::default() });
         self.propose_handoff(now, &workspace, &plan);
         self.propose_splits(now, &workspace, &plan);
         self.propose_merges(now, &workspace, &plan);
@@ -252,9 +252,15 @@
         let history = &mut self.balance.history;
         let gate = &self.parts.gate;
         let service_time = gate.service_time();
-        let decide = |heat: &mut Heat| {
-            let view =
-                balance::View { me, service, members: &members, heat, weights, service_time };
+        let decide = |heat: &mut RequestRates| {
+            let view = balance::View {
+                local: me,
+                service,
+                members: &members,
+                rates: heat,
+                weights,
+                service_time,
+            };
             balance::plan(now, &view, settings, history)
         };
         Some(gate.with_heat(workspace, decide))
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use acaciaring_core::choice::{Choice, ChoiceSettings};
+use acaciaring_core::choice::{Selector, SelectorSettings};
 use acaciaring_schema::settings::Settings;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use parking_lot::Mutex;
@@ -161,7 +161,7 @@
             shared: Arc::clone(&shared),
             gate: Arc::clone(&gate),
             transport: transport.clone(),
-            choice: Mutex::new(Choice::new(ChoiceSettings::default())),
+            choice: Mutex::new(Selector::new(SelectorSettings::default())),
             budgets: options::budgets(settings),
             suspects: Suspects::default(),
             full: Mutex::default(),
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -5,7 +5,7 @@
 
 use acaciaring_core::admission::AdmissionSettings;
 use acaciaring_core::balance::BalanceSettings;
-use acaciaring_core::heat::HeatSettings;
+use acaciaring_core::heat::RateSettings;
 use acaciaring_core::lease::LeaseSettings;
 use acaciaring_core::retry::RetrySettings;
 use acaciaring_core::state::HOT_MAX;
@@ -87,8 +87,8 @@
 }
 
 /// Returns how heat is measured.
-fn heat_settings(settings: &Settings) -> HeatSettings {
-    HeatSettings { half_life: settings.balance.heat, ..HeatSettings::default() }
+fn heat_settings(settings: &Settings) -> RateSettings {
+    RateSettings { half_life: settings.balance.heat, ..RateSettings::default() }
 }
 
 /// Returns the settings of balance.
@@ -96,9 +96,9 @@
     let balance = &settings.balance;
     BalanceSettings {
         tolerance: balance.hysteresis,
-        least_moves: balance.moves as usize,
+        min_moves: balance.moves as usize,
         hot_keys: HOT_MAX,
-        rest: balance.rest,
+        cooldown: balance.rest,
         merge_after: balance.rest,
         ..BalanceSettings::default()
     }
--- a/acaciaringd/src/gate/dedup.rs
+++ b/acaciaringd/src/gate/dedup.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use acaciaring_core::dedup::{Begin, DedupEntry, DedupSettings, DedupTable, Memory};
+use acaciaring_core::dedup::{Begin, DedupEntry, DedupSettings, DedupTable, RequestState};
 use acaciaring_core::{KeyHash, Name, Offset, RequestId, Time, UnitId};
 use acaciaring_schema::peer;
 use parking_lot::Mutex;
@@ -63,15 +63,15 @@
     /// Takes up a role for a unit.
     pub(crate) fn take_up(&self, now: Time, workspace: &Name, unit: UnitId, role: Role) {
         self.with(workspace, |table| match role {
-            Role::Founder => table.found(unit),
+            Role::Founder => table.become_first_owner(unit),
             Role::Heir(inheritance) => {
                 let entries = entries(&inheritance.entries, unit);
-                table.receive(now, unit, entries, inheritance.blind);
+                table.become_owner(now, unit, entries, inheritance.blind);
             }
             Role::Successor => table.take_over(now, unit),
             Role::Split => table.split(unit),
             Role::Merge => table.merge(unit),
-            Role::Standby(version) => table.stand_by(unit, version),
+            Role::Standby(version) => table.become_standby(unit, version),
             Role::Nothing => table.drop_unit(unit),
         });
     }
@@ -149,7 +149,7 @@
             let slots: BTreeSet<_> = units.iter().map(|unit| unit.slot).collect();
             let entries = slots.into_iter().flat_map(|slot| table.export(now, UnitId::slot(slot)));
             let entries = entries.map(|entry| to_wire(&entry)).collect();
-            let blind = units.iter().map(|unit| table.blind(now, *unit)).max();
+            let blind = units.iter().map(|unit| table.gap(now, *unit)).max();
             (entries, blind.unwrap_or_default())
         })
     }
@@ -179,10 +179,12 @@
 }
 
 fn to_wire(entry: &DedupEntry<Answer>) -> peer::DedupEntry {
-    let (state, answer) = match &entry.memory {
-        Memory::Running | Memory::Noted => (peer::DedupState::Noted, None),
-        Memory::Done { answer, .. } => (peer::DedupState::Done, Some(peer::Answer::clone(answer))),
-        Memory::Unknown => (peer::DedupState::Lost, None),
+    let (state, answer) = match &entry.state {
+        RequestState::Running | RequestState::Noted => (peer::DedupState::Noted, None),
+        RequestState::Done { answer, .. } => {
+            (peer::DedupState::Done, Some(peer::Answer::clone(answer)))
+        }
+        RequestState::Unknown => (peer::DedupState::Lost, None),
     };
     peer::DedupEntry {
         slot: entry.unit.slot,
@@ -197,12 +199,12 @@
 fn from_wire(entry: &peer::DedupEntry) -> Option<DedupEntry<Answer>> {
     let id = RequestId(entry.id.as_slice().try_into().ok()?);
     let memory = match (entry.state(), &entry.answer) {
-        (peer::DedupState::Noted, _) => Memory::Noted,
+        (peer::DedupState::Noted, _) => RequestState::Noted,
         (peer::DedupState::Done, Some(answer)) => {
-            Memory::Done { answer: Arc::new(answer.clone()), bytes: answer.body.len() }
+            RequestState::Done { answer: Arc::new(answer.clone()), bytes: answer.body.len() }
         }
-        _ => Memory::Unknown,
+        _ => RequestState::Unknown,
     };
     let unit = UnitId { slot: entry.slot, key: entry.key.map(KeyHash) };
-    Some(DedupEntry { unit, id, memory, age: Duration::from_millis(u64::from(entry.age)) })
+    Some(DedupEntry { unit, id, state: memory, age: Duration::from_millis(u64::from(entry.age)) })
 }
--- a/acaciaringd/src/gate/forward.rs
+++ b/acaciaringd/src/gate/forward.rs
@@ -32,7 +32,7 @@
         grant: Option<Grant>,
     ) -> Result<Answer, Refusal> {
         let attempt = job.request.attempt;
-        let ticket = Ticket { rank: job.rank, deadline: job.aim, last: job.deadline, attempt };
+        let ticket = Ticket { rank: job.rank, deadline: job.aim, expiry: job.deadline, attempt };
         let moved = self.moved(job, grant);
         let place = self.queue.enter(ticket, job.cancelled, moved).await?;
         let view = self.shared.view();
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use acaciaring_core::admission::AdmissionSettings;
-use acaciaring_core::heat::{Heat, HeatSettings};
+use acaciaring_core::heat::{RateSettings, RequestRates};
 use acaciaring_core::route::{Division, Rank, Repeat};
 use acaciaring_core::{
     KeyHash, MemberId, Name, Offset, Reason, Refusal, RequestId, Slot, Time, Token, UnitId,
@@ -63,7 +63,7 @@
 pub(crate) struct GateSettings {
     pub(crate) admission: AdmissionSettings,
     /// How heat is measured.
-    pub(crate) warmth: HeatSettings,
+    pub(crate) warmth: RateSettings,
 }
 
 /// Gate in front of the upstream.
@@ -75,9 +75,9 @@
     pub(crate) dedup: Dedup,
     transport: Transport,
     outbox: Outbox,
-    heat: Mutex<HashMap<Name, Heat>>,
+    heat: Mutex<HashMap<Name, RequestRates>>,
     /// How heat is measured.
-    warmth: HeatSettings,
+    warmth: RateSettings,
     metrics: Metrics,
     events: Sender<Event>,
 }
@@ -309,12 +309,16 @@
     }
 
     /// Looks at the heat of a workspace's units.
-    pub(crate) fn with_heat<T>(&self, workspace: &Name, look: impl FnOnce(&mut Heat) -> T) -> T {
+    pub(crate) fn with_heat<T>(
+        &self,
+        workspace: &Name,
+        look: impl FnOnce(&mut RequestRates) -> T,
+    ) -> T {
         let now = clock::now();
         let mut heat = self.heat.lock();
         look(
             heat.entry(Arc::clone(workspace))
-                .or_insert_with(|| Heat::new(now, self.warmth.clone())),
+                .or_insert_with(|| RequestRates::new(now, self.warmth.clone())),
         )
     }
 
--- a/acaciaringd/src/gate/queue.rs
+++ b/acaciaringd/src/gate/queue.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use acaciaring_core::admission::{Admission, AdmissionSettings, Ending, Offer, Ticket};
+use acaciaring_core::admission::{Admission, AdmissionSettings, Completion, Offer, Ticket};
 use acaciaring_core::route::Rank;
 use acaciaring_core::{Reason, Refusal, Time, Verdict};
 use acaciaring_schema::peer::Answer;
@@ -152,7 +152,7 @@
                 let waiting = Waiting { queue: self, attempt, done: false };
                 tokio::select! {
                     biased;
-                    decided = waiting.decide(decision, ticket.last, cancelled) => decided?,
+                    decided = waiting.decide(decision, ticket.expiry, cancelled) => decided?,
                     refusal = moved => return Err(refusal),
                 }
             }
@@ -167,7 +167,7 @@
         refuse(expired);
     }
 
-    fn finish(&self, attempt: u64, took: Duration, ending: Ending, shed: Option<Duration>) {
+    fn finish(&self, attempt: u64, took: Duration, ending: Completion, shed: Option<Duration>) {
         let now = clock::now();
         let (refused, started) = {
             let mut admission = self.admission.lock();
@@ -253,7 +253,7 @@
         }
         let now = clock::now();
         if self.queue.admission.lock().cancel(now, self.attempt).is_none() {
-            self.queue.finish(self.attempt, Duration::ZERO, Ending::Refused, None);
+            self.queue.finish(self.attempt, Duration::ZERO, Completion::Refused, None);
         }
     }
 }
@@ -277,17 +277,17 @@
     /// Frees the place with what came of the request.
     pub(crate) fn finish(mut self, result: &Result<Answer, Refusal>) {
         let (ending, shed) = match result {
-            Ok(_) => (Ending::Answered, None),
+            Ok(_) => (Completion::Answered, None),
             Err(Refusal { reason: Reason::Busy | Reason::Shed, retry, .. }) => {
-                (Ending::Refused, *retry)
+                (Completion::Refused, *retry)
             }
-            Err(Refusal { verdict: Verdict::NotRun, .. }) => (Ending::Refused, None),
-            Err(_) => (Ending::Lost, None),
+            Err(Refusal { verdict: Verdict::NotRun, .. }) => (Completion::Refused, None),
+            Err(_) => (Completion::Unanswered, None),
         };
         self.free(ending, shed);
     }
 
-    fn free(&mut self, ending: Ending, shed: Option<Duration>) {
+    fn free(&mut self, ending: Completion, shed: Option<Duration>) {
         if self.finished {
             return;
         }
@@ -299,7 +299,7 @@
 
 impl Drop for Place<'_> {
     fn drop(&mut self) {
-        self.free(Ending::Lost, None);
+        self.free(Completion::Unanswered, None);
     }
 }
 
--- a/acaciaringd/src/peer/lags.rs
+++ b/acaciaringd/src/peer/lags.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use acaciaring_core::lag::Lag;
+use acaciaring_core::lag::DelayEstimator;
 use parking_lot::Mutex;
 
 use crate::clock;
@@ -14,7 +14,7 @@
 /// Delays by the random number of the sender's process start.
 #[derive(Debug, Default)]
 pub(super) struct Lags {
-    processes: Mutex<HashMap<u64, Lag>>,
+    processes: Mutex<HashMap<u64, DelayEstimator>>,
 }
 
 impl Lags {
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -17,8 +17,8 @@
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
 
-use acaciaring_core::choice::Choice;
-use acaciaring_core::full::{FullQueues, Slack};
+use acaciaring_core::choice::Selector;
+use acaciaring_core::full::{RefusalCache, Slack};
 use acaciaring_core::retry::{Failure, RetryDecision};
 use acaciaring_core::route::{Class, Division, Rank, Route};
 use acaciaring_core::{KeyHash, MemberId, Reason, Refusal, RequestId, Time, Verdict};
@@ -63,11 +63,11 @@
     pub(crate) shared: Arc<Shared>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) transport: Transport,
-    pub(crate) choice: Mutex<Choice>,
+    pub(crate) choice: Mutex<Selector>,
     pub(crate) budgets: Budgets,
     pub(crate) suspects: Suspects,
     /// What members refused a moment ago, being full.
-    pub(crate) full: Mutex<FullQueues>,
+    pub(crate) full: Mutex<RefusalCache>,
     pub(crate) outages: Outages,
     pub(crate) metrics: Metrics,
     pub(crate) lingerers: Lingerers,
@@ -335,13 +335,13 @@
         let Refusal { reason: Reason::Busy, retry: Some(retry), .. } = refusal else { return };
         if self.shared.view().me != Some(target) {
             let now = clock::now();
-            self.full.lock().note(now, target, plan.slack(now), retry);
+            self.full.lock().record(now, target, plan.slack(now), retry);
         }
     }
 
     /// Returns the refusal of a request whose owner would refuse it, being full.
     fn refuse_full(&self, now: Time, plan: &Plan, owner: MemberId) -> Option<Refusal> {
-        let retry = self.full.lock().refuses(now, owner, plan.slack(now))?;
+        let retry = self.full.lock().retry_after(now, owner, plan.slack(now))?;
         plan.last.store(owner.0, Ordering::Relaxed);
         Some(self.full_refusal(retry))
     }
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use acaciaring_core::choice::{Near, Own, Sent};
+use acaciaring_core::choice::{LocalMember, NearbyMembers, Outcome};
 use acaciaring_core::retry::{Failure, RetryDecision};
 use acaciaring_core::{MemberId, Reason, Refusal, Time, Verdict};
 use acaciaring_schema::peer::Answer;
@@ -109,15 +109,15 @@
     fn choose(&self, now: Time, candidates: &Candidates, tried: &[MemberId]) -> Option<MemberId> {
         let own = candidates.own.map(|member| {
             let (busy, capacity) = self.gate.load();
-            Own { member, busy, capacity }
+            LocalMember { member, busy, capacity }
         });
-        let near = Near { own, others: &candidates.near };
+        let near = NearbyMembers { local: own, others: &candidates.near };
         self.choice.lock().choose_near(now, &mut rand::rng(), near, &candidates.all, tried)
     }
 
     /// Returns the refusal of a request for which there is no member.
     fn none(&self, now: Time, candidates: &[MemberId]) -> Refusal {
-        match self.choice.lock().opening(now, candidates) {
+        match self.choice.lock().retry_after(now, candidates) {
             Some(retry) => Refusal::not_run(Reason::Busy).after(retry),
             None => Refusal::not_run(Reason::Unreachable).after(COME_BACK),
         }
@@ -198,10 +198,10 @@
         let (sent, load) = match outcome {
             Try::Whole(answer) => {
                 let load = Load { busy: answer.busy, capacity: answer.capacity };
-                (Sent::Answered(now.since(self.start)), Some(load))
+                (Outcome::Answered(now.since(self.start)), Some(load))
             }
             Try::Refused { refusal, load, .. } => (learn(*refusal, *load), Some(*load)),
-            Try::Undelivered | Try::Lost => (Sent::Failed, None),
+            Try::Undelivered | Try::Lost => (Outcome::Failed, None),
         };
         let mut choice = self.router.choice.lock();
         choice.done(now, self.target, sent);
@@ -214,7 +214,7 @@
 impl Drop for Flight<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.router.choice.lock().done(clock::now(), self.target, Sent::Failed);
+            self.router.choice.lock().done(clock::now(), self.target, Outcome::Failed);
         }
     }
 }
@@ -223,11 +223,11 @@
 ///
 /// A full queue concerns the class and deadline of the one request: a member that refuses
 /// background work still takes critical work, so it is not left alone for it.
-fn learn(refusal: Refusal, load: Load) -> Sent {
+fn learn(refusal: Refusal, load: Load) -> Outcome {
     match refusal.reason {
-        Reason::Busy if load.capacity == 0 => Sent::Refused(refusal.retry),
-        Reason::UpstreamDown | Reason::Draining | Reason::LostAnswer => Sent::Failed,
-        _ => Sent::Refused(None),
+        Reason::Busy if load.capacity == 0 => Outcome::Refused(refusal.retry),
+        Reason::UpstreamDown | Reason::Draining | Reason::LostAnswer => Outcome::Failed,
+        _ => Outcome::Refused(None),
     }
 }
 
--- a/acaciaringd/src/wanted.rs
+++ b/acaciaringd/src/wanted.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use acaciaring_core::pace::Pace;
+use acaciaring_core::pace::ReadPacer;
 use acaciaring_core::{Offset, Time};
 use parking_lot::{Condvar, Mutex};
 
@@ -11,7 +11,7 @@
 /// Pace of the reader, which wakes it from its rest when a record is needed.
 #[derive(Debug)]
 pub(crate) struct Wanted {
-    pace: Mutex<Pace>,
+    pace: Mutex<ReadPacer>,
     changed: Condvar,
     /// Reads a second of all members together.
     rate: u32,
@@ -20,7 +20,7 @@
 impl Wanted {
     /// Begins with the first record.
     pub(crate) fn new(rate: u32) -> Self {
-        Self { pace: Mutex::new(Pace::new()), changed: Condvar::new(), rate }
+        Self { pace: Mutex::new(ReadPacer::new()), changed: Condvar::new(), rate }
     }
 
     /// Waits until the next read may begin; returns where it begins.
