--- a/acaciaring_core/src/choice.rs
+++ b/acaciaring_core/src/choice.rs
@@ -33,11 +33,11 @@
     /// Time in which a cold member comes to its full share.
     pub ramp: Duration,
     /// Share with which a cold member starts.
-    pub initial: f64,
+    pub initial_share: f64,
     /// Time for which a member is left alone after a failure; it doubles with each further one.
-    pub quarantine: Duration,
+    pub base_ejection: Duration,
     /// Longest time for which a member is left alone after failures.
-    pub longest: Duration,
+    pub max_ejection: Duration,
 }
 
 impl Default for SelectorSettings {
@@ -47,9 +47,9 @@
             latency: Duration::from_millis(10),
             half_life: Duration::from_secs(2),
             ramp: Duration::from_secs(10),
-            initial: 0.1,
-            quarantine: Duration::from_millis(200),
-            longest: Duration::from_secs(5),
+            initial_share: 0.1,
+            base_ejection: Duration::from_millis(200),
+            max_ejection: Duration::from_secs(5),
         }
     }
 }
--- a/acaciaring_core/src/choice/peer.rs
+++ b/acaciaring_core/src/choice/peer.rs
@@ -129,7 +129,8 @@
     fn fail(&mut self, now: Time, settings: &SelectorSettings) {
         let doublings = self.failures.min(DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let pause = settings.quarantine.saturating_mul(1 << doublings).min(settings.longest);
+        let pause =
+            settings.base_ejection.saturating_mul(1 << doublings).min(settings.max_ejection);
         self.quarantine = self.quarantine.max(now + pause);
     }
 
@@ -165,7 +166,7 @@
     fn warmth(&self, now: Time, settings: &SelectorSettings) -> f64 {
         let Some(since) = self.cold else { return 1.0 };
         let grown = now.since(since).as_secs_f64() / settings.ramp.as_secs_f64();
-        (settings.initial + (1.0 - settings.initial) * grown).min(1.0)
+        (settings.initial_share + (1.0 - settings.initial_share) * grown).min(1.0)
     }
 }
 
--- a/acaciaring_core/src/pace.rs
+++ b/acaciaring_core/src/pace.rs
@@ -48,31 +48,31 @@
     }
 
     /// Notes how many members read, and how often all together may each second.
-    pub fn share(&mut self, members: usize, rate: u32) {
+    pub fn set_rate(&mut self, members: usize, rate: u32) {
         let members = u32::try_from(members).unwrap_or(u32::MAX);
         let rest = Duration::from_secs(1).saturating_mul(members) / rate.max(1);
         self.rest = rest.min(LONGEST);
     }
 
     /// Notes that something here waits for all records before an offset.
-    pub fn need(&mut self, end: Offset) {
+    pub fn require(&mut self, end: Offset) {
         self.needed = self.needed.max(end);
     }
 
     /// Notes that a record may stand in the log for which something here waits.
-    pub fn ask(&mut self) {
-        self.need(self.next.saturating_add(1));
+    pub fn expect_record(&mut self) {
+        self.require(self.next.saturating_add(1));
     }
 
     /// Returns the rest between two reads.
     #[must_use]
-    pub const fn rest(&self) -> Duration {
+    pub const fn interval(&self) -> Duration {
         self.rest
     }
 
     /// Returns for how long the next read has to wait, zero when it may begin.
     #[must_use]
-    pub fn left(&self, now: Time) -> Duration {
+    pub fn remaining(&self, now: Time) -> Duration {
         if self.next < self.needed {
             return Duration::ZERO;
         }
--- a/acaciaring_core/src/retry.rs
+++ b/acaciaring_core/src/retry.rs
@@ -12,31 +12,31 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetrySettings {
     /// Retries per first try, over time.
-    pub share: f64,
+    pub ratio: f64,
     /// Retries a second that are allowed however few first tries there are.
-    pub least: f64,
+    pub min_rate: f64,
     /// Retries that may be saved up.
     pub burst: f64,
     /// Tries of one request at most, redirects not counted.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Redirects of one request to another owner at most; further ones count as tries.
-    pub redirects: u32,
+    pub max_redirects: u32,
     /// Longest pause before the second try; it doubles with each further try.
-    pub pause: Duration,
+    pub base_backoff: Duration,
     /// Longest pause.
-    pub longest: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for RetrySettings {
     fn default() -> Self {
         Self {
-            share: 0.1,
-            least: 1.0,
+            ratio: 0.1,
+            min_rate: 1.0,
             burst: 20.0,
-            tries: 5,
-            redirects: 3,
-            pause: Duration::from_millis(50),
-            longest: Duration::from_millis(800),
+            max_attempts: 5,
+            max_redirects: 3,
+            base_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_millis(800),
         }
     }
 }
@@ -54,17 +54,17 @@
     /// How often the request may run.
     pub repeat: Repeat,
     /// Time that is left for the whole answer.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Tries so far, this one included, redirects not.
-    pub tries: u32,
+    pub attempts: u32,
     /// Tries so far that no upstream has seen, this one included.
     pub redirects: u32,
     /// True when an upstream has seen this try.
-    pub arrived: bool,
+    pub reached_upstream: bool,
     /// True when a member that was not tried yet may take the request.
-    pub elsewhere: bool,
+    pub has_alternative: bool,
     /// Tries that the class allows; 0 leaves it to the settings.
-    pub most: u32,
+    pub max_attempts: u32,
 }
 
 /// What to do after a failed try.
@@ -102,31 +102,31 @@
     /// Guards against many processes that each spend a full budget on one upstream that is in
     /// trouble: `burst` retries in each `window` are this process's part of a bound for all. A
     /// full bucket and what it earns in one window are half of that part each.
-    pub fn bound(&mut self, burst: f64, window: Duration, usual: &RetrySettings) {
+    pub fn limit(&mut self, burst: f64, window: Duration, usual: &RetrySettings) {
         let half = burst / 2.0;
         self.settings.burst = usual.burst.min(half.max(1.0));
-        self.settings.least = usual.least.min(half / window.as_secs_f64());
+        self.settings.min_rate = usual.min_rate.min(half / window.as_secs_f64());
         self.tokens = self.tokens.min(self.settings.burst);
     }
 
     /// Notes a first try, which earns its share of a retry.
-    pub fn first_try(&mut self, now: Time) {
+    pub fn first_attempt(&mut self, now: Time) {
         self.refill(now);
-        self.tokens = (self.tokens + self.settings.share).min(self.settings.burst);
+        self.tokens = (self.tokens + self.settings.ratio).min(self.settings.burst);
     }
 
     /// Decides what to do after a failed try.
-    pub fn next(&mut self, now: Time, rng: &mut impl Rng, failure: &Failure) -> RetryDecision {
+    pub fn decide(&mut self, now: Time, rng: &mut impl Rng, failure: &Failure) -> RetryDecision {
         self.refill(now);
         if !may_repeat(failure) {
             return RetryDecision::GiveUp;
         }
         if self.is_free_redirect(failure) {
-            return within(failure.left, Duration::ZERO);
+            return within(failure.time_left, Duration::ZERO);
         }
         let after = self.pause(rng, failure);
-        let late = after >= failure.left;
-        if late || failure.tries >= self.most(failure) || self.tokens < 1.0 {
+        let late = after >= failure.time_left;
+        if late || failure.attempts >= self.most(failure) || self.tokens < 1.0 {
             return RetryDecision::GiveUp;
         }
         self.tokens -= 1.0;
@@ -135,7 +135,11 @@
 
     /// Returns how many tries a request has in all.
     fn most(&self, failure: &Failure) -> u32 {
-        if failure.most > 0 { failure.most.min(self.settings.tries) } else { self.settings.tries }
+        if failure.max_attempts > 0 {
+            failure.max_attempts.min(self.settings.max_attempts)
+        } else {
+            self.settings.max_attempts
+        }
     }
 
     /// A try that no upstream has seen costs next to nothing, so a few of them are free.
@@ -144,8 +148,8 @@
     /// that all members share, and then be refused while other members have room.
     fn is_free_redirect(&self, failure: &Failure) -> bool {
         match failure.refusal.reason {
-            Reason::NotOwner => failure.redirects <= self.settings.redirects,
-            Reason::Busy if failure.elsewhere && !failure.arrived => {
+            Reason::NotOwner => failure.redirects <= self.settings.max_redirects,
+            Reason::Busy if failure.has_alternative && !failure.reached_upstream => {
                 failure.redirects <= BUSY_REDIRECTS
             }
             _ => false,
@@ -154,17 +158,21 @@
 
     /// Returns the pause: none towards a member not tried yet, else random, and no less than was asked for.
     fn pause(&self, rng: &mut impl Rng, failure: &Failure) -> Duration {
-        if failure.elsewhere {
+        if failure.has_alternative {
             return Duration::ZERO;
         }
-        let doublings = failure.tries.saturating_sub(1).min(16);
-        let bound = self.settings.pause.saturating_mul(1 << doublings).min(self.settings.longest);
+        let doublings = failure.attempts.saturating_sub(1).min(16);
+        let bound = self
+            .settings
+            .base_backoff
+            .saturating_mul(1 << doublings)
+            .min(self.settings.max_backoff);
         let random = bound.mul_f64(rng.random_range(0.5..1.0));
         failure.refusal.retry.unwrap_or_default().max(random)
     }
 
     fn refill(&mut self, now: Time) {
-        let earned = now.since(self.filled).as_secs_f64() * self.settings.least;
+        let earned = now.since(self.filled).as_secs_f64() * self.settings.min_rate;
         self.tokens = (self.tokens + earned).min(self.settings.burst);
         self.filled = self.filled.max(now);
     }
--- a/acaciaring_core/tests/pace.rs
+++ b/acaciaring_core/tests/pace.rs
@@ -10,7 +10,7 @@
 /// A member of so many that has just read up to an offset.
 fn reader(members: usize, next: u64) -> ReadPacer {
     let mut pace = ReadPacer::new();
-    pace.share(members, RATE);
+    pace.set_rate(members, RATE);
     pace.folded(next);
     pace.answered(Time::from_millis(1000));
     pace
@@ -18,13 +18,13 @@
 
 #[test]
 fn the_first_read_begins_at_once() {
-    assert_eq!(ReadPacer::new().left(Time::ZERO), Duration::ZERO);
+    assert_eq!(ReadPacer::new().remaining(Time::ZERO), Duration::ZERO);
     assert_eq!(ReadPacer::new().next(), 1);
 }
 
 #[test]
 fn the_rest_grows_with_the_members_and_is_bounded() {
-    let rest = |members| reader(members, 1).rest().as_millis();
+    let rest = |members| reader(members, 1).interval().as_millis();
     assert_eq!([8, 10, 66, 100].map(rest), [40, 50, 330, 500]);
     assert_eq!(rest(usize::MAX), 1000);
 }
@@ -37,7 +37,7 @@
         let mut pace = reader(members as usize, 1);
         let mut reads = 0;
         for now in (1000..11_000).map(Time::from_millis) {
-            if pace.left(now).is_zero() {
+            if pace.remaining(now).is_zero() {
                 pace.answered(now);
                 reads += 1;
             }
@@ -53,29 +53,29 @@
 fn a_needed_record_is_read_at_once() {
     let mut pace = reader(66, 7);
     let now = Time::from_millis(1010);
-    assert_eq!(pace.left(now), Duration::from_millis(320));
-    pace.need(9);
-    assert_eq!(pace.left(now), Duration::ZERO);
+    assert_eq!(pace.remaining(now), Duration::from_millis(320));
+    pace.require(9);
+    assert_eq!(pace.remaining(now), Duration::ZERO);
     pace.answered(now);
     pace.folded(8);
-    assert_eq!(pace.left(now), Duration::ZERO, "it did not come with the first read");
+    assert_eq!(pace.remaining(now), Duration::ZERO, "it did not come with the first read");
     pace.folded(9);
-    assert_eq!(pace.left(now), Duration::from_millis(330));
+    assert_eq!(pace.remaining(now), Duration::from_millis(330));
 }
 
 #[test]
 fn what_was_read_before_is_not_needed() {
     let mut pace = reader(66, 7);
-    pace.need(7);
-    assert_eq!(pace.left(Time::from_millis(1000)), Duration::from_millis(330));
+    pace.require(7);
+    assert_eq!(pace.remaining(Time::from_millis(1000)), Duration::from_millis(330));
 }
 
 /// The answer to an append was lost: whether the record stands in the log is seen by a read only.
 #[test]
 fn a_record_in_doubt_is_looked_for_at_once() {
     let mut pace = reader(66, 7);
-    pace.ask();
-    assert_eq!(pace.left(Time::from_millis(1000)), Duration::ZERO);
+    pace.expect_record();
+    assert_eq!(pace.remaining(Time::from_millis(1000)), Duration::ZERO);
     pace.folded(8);
-    assert_eq!(pace.left(Time::from_millis(1000)), Duration::from_millis(330));
+    assert_eq!(pace.remaining(Time::from_millis(1000)), Duration::from_millis(330));
 }
--- a/acaciaring_core/tests/retry.rs
+++ b/acaciaring_core/tests/retry.rs
@@ -12,18 +12,18 @@
     Failure {
         refusal,
         repeat: Repeat::Once,
-        left: Duration::from_secs(1),
-        tries: 1,
+        time_left: Duration::from_secs(1),
+        attempts: 1,
         redirects: 0,
-        arrived: true,
-        elsewhere: false,
-        most: 0,
+        reached_upstream: true,
+        has_alternative: false,
+        max_attempts: 0,
     }
 }
 
 fn decide(failure: &Failure) -> RetryDecision {
     let mut budget = RetryBudget::new(Time::ZERO, RetrySettings::default());
-    budget.next(Time::ZERO, &mut StdRng::seed_from_u64(1), failure)
+    budget.decide(Time::ZERO, &mut StdRng::seed_from_u64(1), failure)
 }
 
 // A payment was given to the server and the answer was lost. A second run would be a doubled payment, so
@@ -50,7 +50,7 @@
     assert_eq!(decide(&late), RetryDecision::GiveUp);
     let asked = Duration::from_millis(900);
     assert_eq!(decide(&failure(busy.after(asked))), RetryDecision::Retry { after: asked });
-    let elsewhere = Failure { elsewhere: true, ..late };
+    let elsewhere = Failure { has_alternative: true, ..late };
     assert_eq!(decide(&elsewhere), RetryDecision::Retry { after: Duration::ZERO });
 }
 
@@ -62,12 +62,12 @@
     let mut budget = RetryBudget::new(Time::ZERO, settings.clone());
     let mut rng = StdRng::seed_from_u64(1);
     let redirect = failure(Refusal::not_run(Reason::NotOwner));
-    for redirects in 1..=settings.redirects {
-        let decision = budget.next(Time::ZERO, &mut rng, &Failure { redirects, ..redirect });
+    for redirects in 1..=settings.max_redirects {
+        let decision = budget.decide(Time::ZERO, &mut rng, &Failure { redirects, ..redirect });
         assert_eq!(decision, RetryDecision::Retry { after: Duration::ZERO });
     }
-    let over = Failure { redirects: settings.redirects + 1, ..redirect };
-    assert_eq!(budget.next(Time::ZERO, &mut rng, &over), RetryDecision::GiveUp);
+    let over = Failure { redirects: settings.max_redirects + 1, ..redirect };
+    assert_eq!(budget.decide(Time::ZERO, &mut rng, &over), RetryDecision::GiveUp);
     assert!(matches!(decide(&over), RetryDecision::Retry { after } if after > Duration::ZERO));
 }
 
@@ -80,9 +80,9 @@
     let mut retries = 0;
     for n in 0..10_000_u64 {
         let now = Time::from_millis(n);
-        budget.first_try(now);
+        budget.first_attempt(now);
         let refusal = Refusal::not_run(Reason::UpstreamDown);
-        if budget.next(now, &mut rng, &failure(refusal)) != RetryDecision::GiveUp {
+        if budget.decide(now, &mut rng, &failure(refusal)) != RetryDecision::GiveUp {
             retries += 1;
         }
     }
@@ -95,15 +95,15 @@
 // that turned the request away itself is another matter, and so is a service that is full as a whole.
 #[test]
 fn a_full_member_leads_to_another_one_without_budget() {
-    let settings = RetrySettings { burst: 0.0, least: 0.0, ..RetrySettings::default() };
+    let settings = RetrySettings { burst: 0.0, min_rate: 0.0, ..RetrySettings::default() };
     let mut budget = RetryBudget::new(Time::ZERO, settings);
     let mut rng = StdRng::seed_from_u64(1);
-    let mut decide = |failure: &Failure| budget.next(Time::ZERO, &mut rng, failure);
+    let mut decide = |failure: &Failure| budget.decide(Time::ZERO, &mut rng, failure);
     let full = failure(Refusal::not_run(Reason::Busy));
-    let full = Failure { redirects: 1, arrived: false, elsewhere: true, ..full };
+    let full = Failure { redirects: 1, reached_upstream: false, has_alternative: true, ..full };
     assert_eq!(decide(&full), RetryDecision::Retry { after: Duration::ZERO });
-    assert_eq!(decide(&Failure { redirects: 2, tries: 2, ..full }), RetryDecision::GiveUp);
-    assert_eq!(decide(&Failure { elsewhere: false, ..full }), RetryDecision::GiveUp);
-    let shed = Failure { refusal: Refusal::not_run(Reason::Shed), arrived: true, ..full };
+    assert_eq!(decide(&Failure { redirects: 2, attempts: 2, ..full }), RetryDecision::GiveUp);
+    assert_eq!(decide(&Failure { has_alternative: false, ..full }), RetryDecision::GiveUp);
+    let shed = Failure { refusal: Refusal::not_run(Reason::Shed), reached_upstream: true, ..full };
     assert_eq!(decide(&shed), RetryDecision::GiveUp);
 }
--- a/acaciaring_core/tests/support/upstream.rs
+++ b/acaciaring_core/tests/support/upstream.rs
@@ -196,7 +196,7 @@
             self.schedule(now + gap, Event::Arrive(stream));
         }
         self.tallies[stream].requests += 1;
-        self.budgets[stream].first_try(now);
+        self.budgets[stream].first_attempt(now);
         self.order += 1;
         let attempt = self.order;
         self.requests.insert(attempt, Request { stream, arrived: now, tries: 0 });
@@ -284,16 +284,16 @@
         let failure = Failure {
             refusal,
             repeat: Repeat::Once,
-            left,
-            tries: request.tries,
+            time_left: left,
+            attempts: request.tries,
             redirects: 0,
-            arrived: true,
-            elsewhere: false,
-            most: 0,
+            reached_upstream: true,
+            has_alternative: false,
+            max_attempts: 0,
         };
         let decision = match self.retries {
             Retries::Never => RetryDecision::GiveUp,
-            Retries::Budget(_) => self.budgets[request.stream].next(now, &mut self.rng, &failure),
+            Retries::Budget(_) => self.budgets[request.stream].decide(now, &mut self.rng, &failure),
             Retries::Always => {
                 let after = refusal.retry.unwrap_or(Duration::from_millis(50));
                 let gone = refusal.reason == Reason::Expired || after >= left;
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -81,7 +81,7 @@
 /// Returns the budgets of retries: of each class, and of all members together.
 pub(super) fn budgets(settings: &Settings) -> Budgets {
     let limits = &settings.limits;
-    let retries = RetrySettings { share: limits.retry_ratio, ..RetrySettings::default() };
+    let retries = RetrySettings { ratio: limits.retry_ratio, ..RetrySettings::default() };
     let common = CommonBudget { burst: limits.retry_burst.into(), window: limits.retry_window };
     Budgets::new(retries, common)
 }
--- a/acaciaringd/src/router/budgets.rs
+++ b/acaciaringd/src/router/budgets.rs
@@ -34,7 +34,7 @@
 
     /// Notes the first try of a request of a class.
     pub(super) fn first_try(&self, now: Time, workspace: &Name, class: &Name) {
-        self.with(now, workspace, class, |budget| budget.first_try(now));
+        self.with(now, workspace, class, |budget| budget.first_attempt(now));
     }
 
     /// Decides what to do after a failed try of a request of a class, as one of so many members.
@@ -48,8 +48,8 @@
     ) -> RetryDecision {
         let part = self.common.burst / self.sharers(members, workspace);
         self.with(now, workspace, class, |budget| {
-            budget.bound(part, self.common.window, &self.settings);
-            budget.next(now, &mut rand::rng(), failure)
+            budget.limit(part, self.common.window, &self.settings);
+            budget.decide(now, &mut rand::rng(), failure)
         })
     }
 
--- a/acaciaringd/src/router/budgets/tests.rs
+++ b/acaciaringd/src/router/budgets/tests.rs
@@ -15,12 +15,12 @@
 const BUSY: Failure = Failure {
     refusal: Refusal::not_run(Reason::Busy),
     repeat: Repeat::Idempotent,
-    left: Duration::from_secs(1),
-    tries: 1,
+    time_left: Duration::from_secs(1),
+    attempts: 1,
     redirects: 0,
-    arrived: true,
-    elsewhere: true,
-    most: 0,
+    reached_upstream: true,
+    has_alternative: true,
+    max_attempts: 0,
 };
 
 // Samples fail by the hundred and use up their retries. A request to grade, of another class of the
@@ -47,7 +47,7 @@
     let mut allowed = 0;
     for _ in 0..members {
         let budgets =
-            Budgets::new(RetrySettings { share: 0.0, ..RetrySettings::default() }, common);
+            Budgets::new(RetrySettings { ratio: 0.0, ..RetrySettings::default() }, common);
         for tenth in 0..100 {
             let now = Time::ZERO + Duration::from_millis(100 * tenth);
             let decision = budgets.next(now, members, &lab, &grade, &failure);
@@ -62,7 +62,7 @@
 fn a_class_bounds_the_tries_of_a_request() {
     let budgets = Budgets::new(RetrySettings::default(), AMPLE);
     let (lab, grade) = (Name::from("lab"), Name::from("grade"));
-    let failure = |tries| Failure { tries, most: 2, ..BUSY };
+    let failure = |tries| Failure { attempts: tries, max_attempts: 2, ..BUSY };
     let next = |tries| budgets.next(Time::ZERO, 1, &lab, &grade, &failure(tries));
     assert!(matches!(next(1), RetryDecision::Retry { .. }));
     assert_eq!(next(2), RetryDecision::GiveUp);
--- a/acaciaringd/src/router/keyed.rs
+++ b/acaciaringd/src/router/keyed.rs
@@ -246,12 +246,12 @@
         let failure = Failure {
             refusal,
             repeat: plan.class.repeat,
-            left: plan.deadline.since(now),
-            tries: search.repeats + 1,
+            time_left: plan.deadline.since(now),
+            attempts: search.repeats + 1,
             redirects: 0,
-            arrived: true,
-            elsewhere: false,
-            most: plan.class.tries,
+            reached_upstream: true,
+            has_alternative: false,
+            max_attempts: plan.class.tries,
         };
         let RetryDecision::Retry { after } = self.allowed(now, plan, &failure) else { return None };
         search.repeats += 1;
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -136,12 +136,12 @@
         let failure = Failure {
             refusal,
             repeat: plan.class.repeat,
-            left: plan.deadline.since(now),
-            tries: progress.tries,
+            time_left: plan.deadline.since(now),
+            attempts: progress.tries,
             redirects: progress.unseen,
-            arrived: arrived(refusal),
-            elsewhere,
-            most: progress.most(plan.class.tries),
+            reached_upstream: arrived(refusal),
+            has_alternative: elsewhere,
+            max_attempts: progress.most(plan.class.tries),
         };
         let RetryDecision::Retry { after } = self.allowed(now, plan, &failure) else { return None };
         if !elsewhere {
--- a/acaciaringd/src/wanted.rs
+++ b/acaciaringd/src/wanted.rs
@@ -27,7 +27,7 @@
     pub(crate) fn wait(&self) -> Offset {
         let mut pace = self.pace.lock();
         loop {
-            let left = pace.left(clock::now());
+            let left = pace.remaining(clock::now());
             if left.is_zero() {
                 return pace.next();
             }
@@ -44,24 +44,24 @@
     pub(crate) fn folded(&self, next: Offset, end: Offset, members: usize) {
         let mut pace = self.pace.lock();
         pace.folded(next);
-        pace.need(end);
-        pace.share(members, self.rate);
+        pace.require(end);
+        pace.set_rate(members, self.rate);
     }
 
     /// Wakes the reader for the records before an offset.
     pub(crate) fn need(&self, end: Offset) {
-        self.pace.lock().need(end);
+        self.pace.lock().require(end);
         self.changed.notify_all();
     }
 
     /// Wakes the reader for a record that may stand in the log.
     pub(crate) fn ask(&self) {
-        self.pace.lock().ask();
+        self.pace.lock().expect_record();
         self.changed.notify_all();
     }
 
     /// Returns the rest between two reads.
     pub(crate) fn rest(&self) -> Duration {
-        self.pace.lock().rest()
+        self.pace.lock().interval()
     }
 }
