--- a/acaciaring_core/examples/policy.rs
+++ b/acaciaring_core/examples/policy.rs
@@ -15,11 +15,11 @@
 
 use acaciaring_core::admission::{Admission, AdmissionSettings, Completion, Ticket};
 use acaciaring_core::balance::{BalanceSettings, Candidate, History, Load, View, plan};
-use acaciaring_core::choice::{Outcome, Selector, SelectorSettings};
 use acaciaring_core::dedup::{DedupSettings, DedupTable};
-use acaciaring_core::heat::{RateSettings, RequestRates};
+use acaciaring_core::rates::{RateSettings, RequestRates};
 use acaciaring_core::retry::RetrySettings;
 use acaciaring_core::route::{Rank, Weights};
+use acaciaring_core::selector::{Outcome, Selector, SelectorSettings};
 use acaciaring_core::{KeyHash, MemberId, RequestId, Time, UnitId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/acaciaring_core/src/balance/keys.rs
+++ b/acaciaring_core/src/balance/keys.rs
@@ -2,8 +2,8 @@
 
 use super::survey::Survey;
 use super::{BalanceSettings, History, View};
-use crate::heat::HotKeyRate;
 use crate::id::{KeyHash, MemberId, UnitId};
+use crate::rates::HotKeyRate;
 use crate::time::Time;
 
 /// Members among which a hot key chooses its next standby.
--- a/acaciaring_core/src/balance/mod.rs
+++ b/acaciaring_core/src/balance/mod.rs
@@ -18,8 +18,8 @@
 pub use self::settings::BalanceSettings;
 
 use self::survey::Survey;
-use crate::heat::RequestRates;
 use crate::id::{MemberId, Name, UnitId};
+use crate::rates::RequestRates;
 use crate::route::Weights;
 use crate::state::Service;
 use crate::time::Time;
--- a/acaciaring_core/tests/balance.rs
+++ b/acaciaring_core/tests/balance.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use acaciaring_core::balance::BalanceSettings;
-use acaciaring_core::heat::{RateSettings, RequestRates};
+use acaciaring_core::rates::{RateSettings, RequestRates};
 use acaciaring_core::route::Weights;
 use acaciaring_core::{KeyHash, MemberId, Time, UnitId};
 use rand::rngs::StdRng;
--- a/acaciaring_core/tests/choice.rs
+++ b/acaciaring_core/tests/choice.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use acaciaring_core::choice::{Outcome, Selector, SelectorSettings};
+use acaciaring_core::selector::{Outcome, Selector, SelectorSettings};
 use acaciaring_core::{MemberId, Time};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/acaciaring_core/tests/choice_near.rs
+++ b/acaciaring_core/tests/choice_near.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use acaciaring_core::choice::{LocalMember, NearbyMembers, Outcome, Selector, SelectorSettings};
+use acaciaring_core::selector::{LocalMember, NearbyMembers, Outcome, Selector, SelectorSettings};
 use acaciaring_core::{MemberId, Time};
 use proptest::prelude::*;
 use rand::SeedableRng;
--- a/acaciaring_core/tests/full.rs
+++ b/acaciaring_core/tests/full.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use acaciaring_core::full::{RefusalCache, Slack};
+use acaciaring_core::refusal_cache::{RefusalCache, Slack};
 use acaciaring_core::route::Rank;
 use acaciaring_core::{MemberId, Time};
 
--- a/acaciaring_core/tests/support/fleet.rs
+++ b/acaciaring_core/tests/support/fleet.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use acaciaring_core::balance::{BalanceSettings, Candidate, History, Load, Plan, View, plan};
-use acaciaring_core::heat::{RateSettings, RequestRates};
+use acaciaring_core::rates::{RateSettings, RequestRates};
 use acaciaring_core::route::Weights;
 use acaciaring_core::state::{Assignment, HotKey, Service};
 use acaciaring_core::{KeyHash, MemberId, Time, UnitId};
--- a/acaciaring_core/tests/support/upstream.rs
+++ b/acaciaring_core/tests/support/upstream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use acaciaring_core::admission::{Admission, AdmissionSettings, Completion, Offer, Ticket};
-use acaciaring_core::full::{RefusalCache, Slack};
+use acaciaring_core::refusal_cache::{RefusalCache, Slack};
 use acaciaring_core::retry::{Failure, RetryBudget, RetryDecision, RetrySettings};
 use acaciaring_core::route::{Rank, Repeat};
 use acaciaring_core::{MemberId, Reason, Refusal, Time};
--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use acaciaring_core::balance::{self, BalanceSettings, Candidate, History, Load, Plan};
-use acaciaring_core::heat::RequestRates;
+use acaciaring_core::rates::RequestRates;
 use acaciaring_core::route::Weights;
 use acaciaring_core::state::{Member, Service, State};
 use acaciaring_core::{MemberId, Name, Offset, Time, UnitId};
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use acaciaring_core::choice::{Selector, SelectorSettings};
+use acaciaring_core::selector::{Selector, SelectorSettings};
 use acaciaring_schema::settings::Settings;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use parking_lot::Mutex;
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -5,8 +5,8 @@
 
 use acaciaring_core::admission::AdmissionSettings;
 use acaciaring_core::balance::BalanceSettings;
-use acaciaring_core::heat::RateSettings;
 use acaciaring_core::lease::LeaseSettings;
+use acaciaring_core::rates::RateSettings;
 use acaciaring_core::retry::RetrySettings;
 use acaciaring_core::state::HOT_MAX;
 use acaciaring_schema::settings::{Lease, Settings, UpstreamGrants};
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use acaciaring_core::admission::AdmissionSettings;
-use acaciaring_core::heat::{RateSettings, RequestRates};
+use acaciaring_core::rates::{RateSettings, RequestRates};
 use acaciaring_core::route::{Division, Rank, Repeat};
 use acaciaring_core::{
     KeyHash, MemberId, Name, Offset, Reason, Refusal, RequestId, Slot, Time, Token, UnitId,
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -17,10 +17,10 @@
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
 
-use acaciaring_core::choice::Selector;
-use acaciaring_core::full::{RefusalCache, Slack};
+use acaciaring_core::refusal_cache::{RefusalCache, Slack};
 use acaciaring_core::retry::{Failure, RetryDecision};
 use acaciaring_core::route::{Class, Division, Rank, Route};
+use acaciaring_core::selector::Selector;
 use acaciaring_core::{KeyHash, MemberId, Reason, Refusal, RequestId, Time, Verdict};
 use acaciaring_schema::peer::{Answer, Request};
 use parking_lot::Mutex;
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use acaciaring_core::choice::{LocalMember, NearbyMembers, Outcome};
 use acaciaring_core::retry::{Failure, RetryDecision};
+use acaciaring_core::selector::{LocalMember, NearbyMembers, Outcome};
 use acaciaring_core::{MemberId, Reason, Refusal, Time, Verdict};
 use acaciaring_schema::peer::Answer;
 use tokio::time::sleep;
