--- a/acaciaring_core/src/admission/mod.rs
+++ b/acaciaring_core/src/admission/mod.rs
@@ -15,7 +15,7 @@
 
 pub use self::settings::AdmissionSettings;
 
-use self::queue::Waiting;
+use self::queue::WaitQueue;
 use self::service::ServiceTimes;
 use crate::route::Rank;
 use crate::time::Time;
@@ -25,16 +25,16 @@
 ///
 /// A caller that is refused may come back within a third of its time, so a refusal must leave most
 /// of it.
-const LATE_PART: u32 = 8;
+const LATE_WAIT_DIVISOR: u32 = 8;
 
 /// The same while requests run that it may pass: it gets the next slot that one of them frees.
-const PASSING_PART: u32 = 2;
+const OVERTAKE_WAIT_DIVISOR: u32 = 2;
 
 /// Count of ranks.
-const RANKS: usize = 4;
+const RANK_COUNT: usize = 4;
 
 /// Ranks, most important first.
-const ORDER: [Rank; RANKS] = [Rank::Critical, Rank::Interactive, Rank::Bulk, Rank::Background];
+const RANKS: [Rank; RANK_COUNT] = [Rank::Critical, Rank::Interactive, Rank::Bulk, Rank::Background];
 
 /// What admission has to know of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -94,16 +94,16 @@
     /// Bound on concurrency when the ramp began, and when that was.
     ramp: (u32, Time),
     running: HashMap<u64, Rank>,
-    waiting: Waiting<T>,
+    waiting: WaitQueue<T>,
     /// Requests that have missed their deadline, or would, and are of use later.
     ///
     /// Guards against a queue in which each request waits until its answer is late: under a load
     /// above its capacity an upstream would answer everybody late. Those that can be in time
-    /// go first, the late ones take what is left; but see [`Admission::passes`].
-    late: Waiting<T>,
+    /// go first, the late ones take what is left; but see [`Admission::overtakes`].
+    late: WaitQueue<T>,
     times: ServiceTimes,
     /// Slot time, in seconds, that each rank is owed for having been passed over.
-    credit: [f64; RANKS],
+    credit: [f64; RANK_COUNT],
 }
 
 impl<T> Admission<T> {
@@ -116,10 +116,10 @@
             settings,
             mode: Mode::Open,
             running: HashMap::new(),
-            waiting: Waiting::new(),
-            late: Waiting::new(),
+            waiting: WaitQueue::new(),
+            late: WaitQueue::new(),
             times,
-            credit: [0.0; RANKS],
+            credit: [0.0; RANK_COUNT],
         }
     }
 
@@ -180,15 +180,16 @@
 
     /// Offers a request that has just arrived.
     pub fn offer(&mut self, now: Time, ticket: Ticket, item: T) -> Offer<T> {
-        if let Some(refusal) = self.refuse_outright(now, ticket) {
+        if let Some(refusal) = self.refuse_immediately(now, ticket) {
             return Offer::Refused(item, refusal);
         }
-        if self.may_start_newcomer(now) {
-            self.note_start(ticket);
+        if self.can_start_now(now) {
+            self.record_start(ticket);
             return Offer::Start(item);
         }
         let wait = self.predicted_wait(now, ticket);
-        if now + wait + self.times.cautious(ticket.rank, self.settings.deviations) > ticket.deadline
+        if now + wait + self.times.upper_estimate(ticket.rank, self.settings.deviations)
+            > ticket.deadline
         {
             return self.offer_late(now, ticket, item);
         }
@@ -211,10 +212,10 @@
         now: Time,
         attempt: u64,
         took: Duration,
-        ending: Completion,
+        completion: Completion,
     ) -> Vec<T> {
         if let Some(rank) = self.running.remove(&attempt) {
-            self.times.sample(rank, took, ending);
+            self.times.sample(rank, took, completion);
         }
         self.start_waiting(now)
     }
@@ -224,9 +225,9 @@
         let mut late = Vec::new();
         let mut ahead = self.residual(now);
         let slots = f64::from(self.capacity(now));
-        for rank in ORDER {
+        for rank in RANKS {
             let service = self.times.mean(rank);
-            let needed = self.times.cautious(rank, self.settings.deviations);
+            let needed = self.times.upper_estimate(rank, self.settings.deviations);
             let mut own = 0.0;
             for ticket in self.waiting.tickets(rank) {
                 let wait = self.bounded_wait(rank, ahead, own, slots);
@@ -239,29 +240,29 @@
             ahead += own;
         }
         let mut refused = self.postpone(now, &late);
-        let hopeless = self.hopeless(now);
-        refused.extend(self.refuse(now, &hopeless, Reason::Expired));
+        let expired = self.expired(now);
+        refused.extend(self.refuse(now, &expired, Reason::Expired));
         refused
     }
 
     /// Returns the late requests that cannot be served any more behind what goes before them.
-    fn hopeless(&self, now: Time) -> Vec<u64> {
-        let mut hopeless = Vec::new();
+    fn expired(&self, now: Time) -> Vec<u64> {
+        let mut expired = Vec::new();
         let slots = f64::from(self.capacity(now));
         let mut ahead = self.residual(now);
-        for rank in ORDER {
-            let needed = self.times.cautious(rank, 0.0);
-            let in_time = self.work_before(&self.waiting, rank);
+        for rank in RANKS {
+            let needed = self.times.upper_estimate(rank, 0.0);
+            let feasible_work = self.work_ahead(&self.waiting, rank);
             for ticket in self.late.tickets(rank) {
-                let wait = Duration::from_secs_f64((ahead + in_time) / slots);
+                let wait = Duration::from_secs_f64((ahead + feasible_work) / slots);
                 if now + wait + needed > ticket.expiry {
-                    hopeless.push(ticket.attempt);
+                    expired.push(ticket.attempt);
                 } else {
                     ahead += self.times.mean(rank);
                 }
             }
         }
-        hopeless
+        expired
     }
 
     /// Queues a request behind all that can be in time.
@@ -270,16 +271,16 @@
     /// is passed by new ones for as long as the load lasts: its caller would wait to the end for
     /// nothing, and could have come back meanwhile.
     fn push_late(&mut self, now: Time, ticket: Ticket, item: T) {
-        let passes = self.running.values().any(|rank| self.passes(ticket.rank, *rank));
-        let part = if passes { PASSING_PART } else { LATE_PART };
-        let last = now + ticket.expiry.since(now) / part;
-        self.late.push(Ticket { deadline: last, expiry: last, ..ticket }, item);
+        let overtakes = self.running.values().any(|rank| self.overtakes(ticket.rank, *rank));
+        let divisor = if overtakes { OVERTAKE_WAIT_DIVISOR } else { LATE_WAIT_DIVISOR };
+        let expiry = now + ticket.expiry.since(now) / divisor;
+        self.late.push(Ticket { deadline: expiry, expiry, ..ticket }, item);
     }
 
     /// Queues a request that would miss its deadline but be of use later, or refuses it.
     fn offer_late(&mut self, now: Time, ticket: Ticket, item: T) -> Offer<T> {
-        let wait = self.wait_late(now, ticket.rank);
-        let done = now + wait + self.times.cautious(ticket.rank, self.settings.deviations);
+        let wait = self.predicted_late_wait(now, ticket.rank);
+        let done = now + wait + self.times.upper_estimate(ticket.rank, self.settings.deviations);
         if ticket.expiry <= ticket.deadline
             || done > ticket.expiry
             || self.late.len() >= self.settings.queue
@@ -295,8 +296,8 @@
         let mut refused = Vec::new();
         for attempt in attempts {
             let Some((ticket, item)) = self.waiting.remove(*attempt) else { continue };
-            let of_use = now + self.times.cautious(ticket.rank, 0.0) <= ticket.expiry;
-            if ticket.expiry > ticket.deadline && of_use && self.late.len() < self.settings.queue {
+            let useful = now + self.times.upper_estimate(ticket.rank, 0.0) <= ticket.expiry;
+            if ticket.expiry > ticket.deadline && useful && self.late.len() < self.settings.queue {
                 self.push_late(now, ticket, item);
             } else {
                 refused.push((item, self.refusal(now, Reason::Expired, *attempt)));
@@ -359,7 +360,7 @@
     }
 
     /// Returns the refusal of a request that cannot be taken whatever the queue holds.
-    fn refuse_outright(&mut self, now: Time, ticket: Ticket) -> Option<Refusal> {
+    fn refuse_immediately(&mut self, now: Time, ticket: Ticket) -> Option<Refusal> {
         if let Mode::Shedding(until) = self.mode
             && until <= now
         {
@@ -382,8 +383,9 @@
     ///
     /// With room and nothing in time waiting, it starts whatever the estimates say. Else an upstream whose
     /// estimate once exceeded all deadlines would never be tried again, and the estimate never fall.
-    fn may_start_newcomer(&self, now: Time) -> bool {
-        self.room(now) && ORDER.into_iter().all(|rank| self.first_in_time(now, rank).is_none())
+    fn can_start_now(&self, now: Time) -> bool {
+        self.has_free_slot(now)
+            && RANKS.into_iter().all(|rank| self.first_feasible(now, rank).is_none())
     }
 
     /// Takes a request out of either queue.
@@ -401,34 +403,34 @@
         all
     }
 
-    fn room(&self, now: Time) -> bool {
+    fn has_free_slot(&self, now: Time) -> bool {
         u32::try_from(self.running.len()).is_ok_and(|count| count < self.capacity(now))
     }
 
     fn start_waiting(&mut self, now: Time) -> Vec<T> {
         let mut started = Vec::new();
-        while self.mode == Mode::Open && self.room(now) {
+        while self.mode == Mode::Open && self.has_free_slot(now) {
             let Some(attempt) = self.next(now) else { break };
             let Some((ticket, item)) = self.take(attempt) else { break };
-            self.note_start(ticket);
+            self.record_start(ticket);
             started.push(item);
         }
         started
     }
 
     /// Books the slot time of a start: the ranks that wait earn their share of it, its own rank pays.
-    fn note_start(&mut self, ticket: Ticket) {
+    fn record_start(&mut self, ticket: Ticket) {
         let cost = self.times.mean(ticket.rank);
-        for rank in ORDER {
+        for rank in RANKS {
             let index = rank as usize;
             if self.waiting.count(rank) == 0 {
                 self.credit[index] = 0.0;
             } else if rank == ticket.rank {
                 self.credit[index] = (self.credit[index] - cost).max(0.0);
             } else {
-                let most = 2.0 * self.times.mean(rank);
+                let max_credit = 2.0 * self.times.mean(rank);
                 let earned = cost * self.settings.min_shares[index];
-                self.credit[index] = (self.credit[index] + earned).min(most);
+                self.credit[index] = (self.credit[index] + earned).min(max_credit);
             }
         }
         self.running.insert(ticket.attempt, ticket.rank);
--- a/acaciaring_core/src/admission/queue.rs
+++ b/acaciaring_core/src/admission/queue.rs
@@ -3,28 +3,28 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::service::ServiceTimes;
-use super::{ORDER, RANKS, Ticket};
+use super::{RANK_COUNT, RANKS, Ticket};
 use crate::route::Rank;
 use crate::time::Time;
 
 /// Deadline, then order of arrival.
-type Place = (Time, u64);
+type QueueKey = (Time, u64);
 
 /// Requests that wait.
 #[derive(Debug)]
-pub(super) struct Waiting<T> {
+pub(super) struct WaitQueue<T> {
     arrivals: u64,
-    ranks: [BTreeMap<Place, (Ticket, T)>; RANKS],
-    places: HashMap<u64, (Rank, Place)>,
+    ranks: [BTreeMap<QueueKey, (Ticket, T)>; RANK_COUNT],
+    keys: HashMap<u64, (Rank, QueueKey)>,
 }
 
-impl<T> Waiting<T> {
+impl<T> WaitQueue<T> {
     pub(super) fn new() -> Self {
-        Self { arrivals: 0, ranks: [const { BTreeMap::new() }; RANKS], places: HashMap::new() }
+        Self { arrivals: 0, ranks: [const { BTreeMap::new() }; RANK_COUNT], keys: HashMap::new() }
     }
 
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.keys.len()
     }
 
     pub(super) fn count(&self, rank: Rank) -> usize {
@@ -32,7 +32,7 @@
     }
 
     pub(super) fn contains(&self, attempt: u64) -> bool {
-        self.places.contains_key(&attempt)
+        self.keys.contains_key(&attempt)
     }
 
     /// Returns the slot time that the waiting requests of a rank will take, in seconds.
@@ -43,14 +43,14 @@
 
     pub(super) fn push(&mut self, ticket: Ticket, item: T) {
         self.arrivals += 1;
-        let place = (ticket.deadline, self.arrivals);
-        self.ranks[ticket.rank as usize].insert(place, (ticket, item));
-        self.places.insert(ticket.attempt, (ticket.rank, place));
+        let key = (ticket.deadline, self.arrivals);
+        self.ranks[ticket.rank as usize].insert(key, (ticket, item));
+        self.keys.insert(ticket.attempt, (ticket.rank, key));
     }
 
     pub(super) fn remove(&mut self, attempt: u64) -> Option<(Ticket, T)> {
-        let (rank, place) = self.places.remove(&attempt)?;
-        self.ranks[rank as usize].remove(&place)
+        let (rank, key) = self.keys.remove(&attempt)?;
+        self.ranks[rank as usize].remove(&key)
     }
 
     /// Returns the tickets of a rank, earliest deadline first.
@@ -60,7 +60,7 @@
 
     /// Returns the attempt with the earliest deadline of the most important rank.
     pub(super) fn first(&self) -> Option<u64> {
-        ORDER.into_iter().find_map(|rank| self.first_of(rank))
+        RANKS.into_iter().find_map(|rank| self.first_of(rank))
     }
 
     /// Returns the attempt of a rank with the earliest deadline.
--- a/acaciaring_core/src/admission/select.rs
+++ b/acaciaring_core/src/admission/select.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Admission, ORDER, RANKS};
+use super::{Admission, RANK_COUNT, RANKS};
 use crate::route::Rank;
 use crate::time::Time;
 use crate::verdict::Reason;
@@ -10,31 +10,31 @@
 impl<T> Admission<T> {
     /// Returns the waiting request that starts next; late ones come last, but for those that may pass.
     pub(super) fn next(&self, now: Time) -> Option<u64> {
-        let heads = ORDER.map(|rank| self.first_in_time(now, rank));
-        let Some((rank, attempt)) = self.next_in_time(heads) else { return self.late.first() };
-        let mut passing = ORDER.into_iter().filter(|late| self.passes(*late, rank));
-        passing.find_map(|late| self.late.first_of(late)).or(Some(attempt))
+        let heads = RANKS.map(|rank| self.first_feasible(now, rank));
+        let Some((rank, attempt)) = self.next_feasible(heads) else { return self.late.first() };
+        let mut overtaking = RANKS.into_iter().filter(|late| self.overtakes(*late, rank));
+        overtaking.find_map(|late| self.late.first_of(late)).or(Some(attempt))
     }
 
-    fn next_in_time(&self, heads: [Option<u64>; RANKS]) -> Option<(Rank, u64)> {
-        let ranked = || ORDER.into_iter().zip(heads).filter_map(|(r, head)| Some((r, head?)));
+    fn next_feasible(&self, heads: [Option<u64>; RANK_COUNT]) -> Option<(Rank, u64)> {
+        let ranked = || RANKS.into_iter().zip(heads).filter_map(|(r, head)| Some((r, head?)));
         if let Some(critical) = heads[0] {
             return Some((Rank::Critical, critical));
         }
-        let owed = ranked()
-            .filter(|(rank, _)| self.overdue(*rank))
+        let credited = ranked()
+            .filter(|(rank, _)| self.has_credit(*rank))
             .max_by(|(a, _), (b, _)| self.credit[*a as usize].total_cmp(&self.credit[*b as usize]));
-        owed.or_else(|| ranked().next())
+        credited.or_else(|| ranked().next())
     }
 
-    pub(super) fn first_in_time(&self, now: Time, rank: Rank) -> Option<u64> {
+    pub(super) fn first_feasible(&self, now: Time, rank: Rank) -> Option<u64> {
         let needed = Duration::from_secs_f64(self.times.mean(rank));
         let mut tickets = self.waiting.tickets(rank);
         tickets.find(|ticket| now + needed <= ticket.deadline).map(|ticket| ticket.attempt)
     }
 
     /// Returns true when a rank has been passed over for as long as one of its requests takes.
-    fn overdue(&self, rank: Rank) -> bool {
+    fn has_credit(&self, rank: Rank) -> bool {
         self.credit[rank as usize] >= self.times.mean(rank)
     }
 
@@ -44,12 +44,12 @@
     /// that holds more than its reserved places. Without reserved places a flood of important requests
     /// would push out each bulk request before its share comes up: callers would see bulk starve.
     pub(super) fn victim(&self, now: Time, rank: Rank) -> Option<(u64, Reason)> {
-        let late = ORDER.into_iter().rev().find_map(|r| self.first_late(now, r));
+        let late = RANKS.into_iter().rev().find_map(|r| self.first_late(now, r));
         if let Some(attempt) = late {
             return Some((attempt, Reason::Expired));
         }
         let entitled = self.waiting.count(rank) < self.settings.reserved[rank as usize];
-        let from = ORDER.into_iter().rev().find(|other| {
+        let from = RANKS.into_iter().rev().find(|other| {
             let spare = self.waiting.count(*other) > self.settings.reserved[*other as usize];
             let lower = *other > rank;
             (lower && (spare || rank == Rank::Critical) && self.waiting.count(*other) > 0)
--- a/acaciaring_core/src/admission/service.rs
+++ b/acaciaring_core/src/admission/service.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Completion, RANKS};
+use super::{Completion, RANK_COUNT};
 use crate::route::Rank;
 
 /// Weight of a new sample in the mean, as in RFC 6298.
@@ -12,7 +12,7 @@
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 
 /// Shortest mean, in seconds; keeps work in the queue from counting as nothing.
-const SHORTEST: f64 = 1e-5;
+const MIN_MEAN_SECS: f64 = 1e-5;
 
 #[derive(Debug, Clone, Copy)]
 struct Smoothed {
@@ -31,23 +31,23 @@
 /// Smoothed service times, per rank and over all.
 #[derive(Debug)]
 pub(super) struct ServiceTimes {
-    ranks: [Option<Smoothed>; RANKS],
+    ranks: [Option<Smoothed>; RANK_COUNT],
     all: Smoothed,
 }
 
 impl ServiceTimes {
     pub(super) fn new(assumed: Duration) -> Self {
-        let mean = assumed.as_secs_f64().max(SHORTEST);
-        Self { ranks: [None; RANKS], all: Smoothed { mean, deviation: 0.0 } }
+        let mean = assumed.as_secs_f64().max(MIN_MEAN_SECS);
+        Self { ranks: [None; RANK_COUNT], all: Smoothed { mean, deviation: 0.0 } }
     }
 
     /// Takes in how long a request took.
     ///
     /// A request that ended without answer took at least this long, so it may only raise the mean.
     /// Else an upstream that refuses connections fast would look like a fast one.
-    pub(super) fn sample(&mut self, rank: Rank, took: Duration, ending: Completion) {
-        let took = took.as_secs_f64().max(SHORTEST);
-        let counts = match ending {
+    pub(super) fn sample(&mut self, rank: Rank, took: Duration, completion: Completion) {
+        let took = took.as_secs_f64().max(MIN_MEAN_SECS);
+        let counts = match completion {
             Completion::Answered => true,
             Completion::Refused => false,
             Completion::Unanswered => took > self.mean(rank),
@@ -70,9 +70,9 @@
     }
 
     /// Returns the mean of a rank plus `caution` mean deviations.
-    pub(super) fn cautious(&self, rank: Rank, caution: f64) -> Duration {
+    pub(super) fn upper_estimate(&self, rank: Rank, deviations: f64) -> Duration {
         let Smoothed { mean, deviation } = self.smoothed(rank);
-        Duration::from_secs_f64(mean + caution * deviation)
+        Duration::from_secs_f64(mean + deviations * deviation)
     }
 
     fn smoothed(&self, rank: Rank) -> Smoothed {
--- a/acaciaring_core/src/admission/settings.rs
+++ b/acaciaring_core/src/admission/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::RANKS;
+use super::RANK_COUNT;
 
 /// Settings of admission beside one upstream.
 #[derive(Debug, Clone, PartialEq)]
@@ -22,11 +22,11 @@
     /// Least share of the slot time per rank while it waits, most important rank first.
     ///
     /// The share of critical requests has no effect, they go first.
-    pub min_shares: [f64; RANKS],
+    pub min_shares: [f64; RANK_COUNT],
     /// Waiting places per rank that no other rank but critical may take, most important rank first.
     ///
     /// A rank that gets a small share of the slots needs enough places to ride out bursts.
-    pub reserved: [usize; RANKS],
+    pub reserved: [usize; RANK_COUNT],
     /// Shortest time after which a refused caller is asked to come back.
     pub min_retry: Duration,
     /// Longest time for which an upstream that sheds load is left alone.
