--- a/acaciaring_core/src/admission/mod.rs
+++ b/acaciaring_core/src/admission/mod.rs
@@ -1,8 +1,9 @@
-//! Admission beside an upstream: its slots bound concurrency, a short queue orders what waits.
+//! Admission control in front of one upstream: a concurrency limit and a short queue by deadline.
 //!
-//! Critical requests go first. Of what they leave, each lower rank is sure of a minimum share while it
-//! waits; beyond that the more important rank goes first, and within a rank the earliest deadline.
-//! A request that would miss its deadline is refused as soon as that is foreseen.
+//! Critical requests start first. Each lower rank that waits is guaranteed a minimum share of the
+//! remaining slot time; beyond that the more important rank starts first, and within a rank the
+//! earliest deadline. A request that would miss its deadline is refused as soon as that can be
+//! predicted.
 
 mod predict;
 mod queue;
@@ -21,93 +22,91 @@
 use crate::time::Time;
 use crate::verdict::{Reason, Refusal};
 
-/// Part of the time in which a late request is of use for which it may wait; 8 stands for an eighth.
+/// Divisor of the time to expiry that bounds how long a late request may wait.
 ///
-/// A caller that is refused may come back within a third of its time, so a refusal must leave most
-/// of it.
+/// A refusal must leave the caller most of its time for a retry.
 const LATE_WAIT_DIVISOR: u32 = 8;
 
-/// The same while requests run that it may pass: it gets the next slot that one of them frees.
+/// The same divisor while a request that it may overtake is running and will free a slot.
 const OVERTAKE_WAIT_DIVISOR: u32 = 2;
 
-/// Count of ranks.
 const RANK_COUNT: usize = 4;
 
 /// Ranks, most important first.
 const RANKS: [Rank; RANK_COUNT] = [Rank::Critical, Rank::Interactive, Rank::Bulk, Rank::Background];
 
-/// What admission has to know of a request.
+/// Properties of a request that admission decides by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ticket {
     /// Rank of the request's class.
     pub rank: Rank,
-    /// Time by which the whole answer is wanted.
+    /// Time by which the whole answer should arrive.
     pub deadline: Time,
-    /// Time up to which a late answer is of use; the deadline where none is.
+    /// Time after which an answer is useless; the deadline if late answers are useless.
     pub expiry: Time,
-    /// One try of the request, unique among those that wait or run here.
+    /// Attempt number, unique among the requests that wait or run here.
     pub attempt: u64,
 }
 
-/// What becomes of a request that is offered.
+/// Result of [`Admission::offer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer<T> {
-    /// Give it to the upstream now.
+    /// Send it to the upstream now.
     Start(T),
-    /// It waits.
+    /// It waits for a slot.
     Queued {
-        /// Less important request that had to make room; it did not run and never will.
+        /// Less important request removed from the full queue; it was not run.
         displaced: Option<(T, Refusal)>,
     },
-    /// It did not run and never will.
+    /// Refused without running.
     Refused(T, Refusal),
 }
 
 /// How a started request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completion {
-    /// The upstream gave a whole answer.
+    /// The upstream answered completely.
     Answered,
-    /// The upstream refused it without running it.
+    /// The upstream refused the request without running it.
     Refused,
-    /// No whole answer: time ran out, the connection failed or the caller left.
+    /// No complete answer: timeout, connection failure or cancellation by the caller.
     Unanswered,
 }
 
-/// What admission does with new requests.
+/// How new requests are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mode {
     Open,
-    /// The upstream asked to be left alone until then.
+    /// The upstream sheds load until this time.
     Shedding(Time),
     Draining,
 }
 
-/// Gate in front of one upstream.
+/// Admission controller of one upstream.
 ///
-/// The owner of this value calls [`Admission::expire`] after each [`Admission::finish`] and at least
-/// every few milliseconds while something waits.
+/// The owner calls [`Admission::expire`] after each [`Admission::finish`] and every few
+/// milliseconds while requests wait.
 #[derive(Debug)]
 pub struct Admission<T> {
     settings: AdmissionSettings,
     mode: Mode,
-    /// Bound on concurrency when the ramp began, and when that was.
+    /// Concurrency limit at the start of the ramp, and the start time.
     ramp: (u32, Time),
     running: HashMap<u64, Rank>,
     waiting: WaitQueue<T>,
-    /// Requests that have missed their deadline, or would, and are of use later.
+    /// Requests that have missed or would miss their deadline but have not expired.
     ///
-    /// Guards against a queue in which each request waits until its answer is late: under a load
-    /// above its capacity an upstream would answer everybody late. Those that can be in time
-    /// go first, the late ones take what is left; but see [`Admission::overtakes`].
+    /// Guards against an overloaded queue in which every answer is late: requests that can meet
+    /// their deadline start first, late ones use the remaining slots, except by
+    /// [`Admission::overtakes`].
     late: WaitQueue<T>,
     times: ServiceTimes,
-    /// Slot time, in seconds, that each rank is owed for having been passed over.
+    /// Slot time in seconds that each rank is owed while others start before it.
     credit: [f64; RANK_COUNT],
 }
 
 impl<T> Admission<T> {
-    /// Returns a gate for a warm upstream.
+    /// Returns a controller for a warm upstream.
     #[must_use]
     pub fn new(settings: AdmissionSettings) -> Self {
         let times = ServiceTimes::new(settings.service_time);
@@ -123,37 +122,37 @@
         }
     }
 
-    /// Returns the count of requests that run or wait.
+    /// Returns the number of running and waiting requests.
     #[must_use]
     pub fn busy(&self) -> usize {
         self.running.len() + self.waiting()
     }
 
-    /// Returns the count of requests that run.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the count of requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len() + self.late.len()
     }
 
-    /// Returns the smoothed time that a request of `rank` takes at the upstream.
+    /// Returns the smoothed service time of a rank's requests at the upstream.
     #[must_use]
     pub fn service_time(&self, rank: Rank) -> Duration {
         Duration::from_secs_f64(self.times.mean(rank))
     }
 
-    /// Returns the smoothed time that a request of any rank takes at the upstream.
+    /// Returns the smoothed service time over all ranks.
     #[must_use]
     pub fn mean_time(&self) -> Duration {
         Duration::from_secs_f64(self.times.overall())
     }
 
-    /// Returns how many requests may run at once.
+    /// Returns the current concurrency limit.
     #[must_use]
     pub fn capacity(&self, now: Time) -> u32 {
         let (from, since) = self.ramp;
@@ -172,13 +171,13 @@
         from + grown
     }
 
-    /// Returns true while the upstream asks to be left alone.
+    /// Returns true while the upstream sheds load.
     #[must_use]
     pub fn shedding(&self, now: Time) -> bool {
         matches!(self.mode, Mode::Shedding(until) if now < until)
     }
 
-    /// Offers a request that has just arrived.
+    /// Decides whether a new request starts, waits or is refused.
     pub fn offer(&mut self, now: Time, ticket: Ticket, item: T) -> Offer<T> {
         if let Some(refusal) = self.refuse_immediately(now, ticket) {
             return Offer::Refused(item, refusal);
@@ -206,7 +205,7 @@
         Offer::Queued { displaced }
     }
 
-    /// Notes that a started request has ended after `took`; returns the requests to start now.
+    /// Records that a started request ended after `took`; returns the requests to start now.
     pub fn finish(
         &mut self,
         now: Time,
@@ -220,7 +219,9 @@
         self.start_waiting(now)
     }
 
-    /// Returns the waiting requests whose deadline cannot be met any more; they did not run.
+    /// Removes and refuses the waiting requests that can no longer be answered in time.
+    ///
+    /// Requests that are still useful after their deadline move to the late queue instead.
     pub fn expire(&mut self, now: Time) -> Vec<(T, Refusal)> {
         let mut late = Vec::new();
         let mut ahead = self.residual(now);
@@ -245,7 +246,7 @@
         refused
     }
 
-    /// Returns the late requests that cannot be served any more behind what goes before them.
+    /// Returns the late requests that would expire before the work ahead of them is done.
     fn expired(&self, now: Time) -> Vec<u64> {
         let mut expired = Vec::new();
         let slots = f64::from(self.capacity(now));
@@ -265,11 +266,10 @@
         expired
     }
 
-    /// Queues a request behind all that can be in time.
+    /// Queues a request behind all that can meet their deadline.
     ///
-    /// It waits for a small part of the time in which it is of use. Guards against a request that
-    /// is passed by new ones for as long as the load lasts: its caller would wait to the end for
-    /// nothing, and could have come back meanwhile.
+    /// Its wait is bounded by a fraction of the time to its expiry. Guards against a request that
+    /// is overtaken for as long as an overload lasts and leaves its caller no time for a retry.
     fn push_late(&mut self, now: Time, ticket: Ticket, item: T) {
         let overtakes = self.running.values().any(|rank| self.overtakes(ticket.rank, *rank));
         let divisor = if overtakes { OVERTAKE_WAIT_DIVISOR } else { LATE_WAIT_DIVISOR };
@@ -277,7 +277,7 @@
         self.late.push(Ticket { deadline: expiry, expiry, ..ticket }, item);
     }
 
-    /// Queues a request that would miss its deadline but be of use later, or refuses it.
+    /// Queues a request that would miss its deadline but be useful later, or refuses it.
     fn offer_late(&mut self, now: Time, ticket: Ticket, item: T) -> Offer<T> {
         let wait = self.predicted_late_wait(now, ticket.rank);
         let done = now + wait + self.times.upper_estimate(ticket.rank, self.settings.deviations);
@@ -291,7 +291,7 @@
         Offer::Queued { displaced: None }
     }
 
-    /// Puts waiting requests that would be late behind all that would not; returns those refused.
+    /// Moves waiting requests that would be late to the late queue; returns those refused.
     fn postpone(&mut self, now: Time, attempts: &[u64]) -> Vec<(T, Refusal)> {
         let mut refused = Vec::new();
         for attempt in attempts {
@@ -306,16 +306,16 @@
         refused
     }
 
-    /// Takes back a waiting request whose caller has gone; `None` when it does not wait here.
+    /// Removes a waiting request whose caller has gone; `None` when it does not wait here.
     ///
-    /// A request that runs keeps its slot until [`Admission::finish`].
+    /// A running request keeps its slot until [`Admission::finish`].
     pub fn cancel(&mut self, _now: Time, attempt: u64) -> Option<T> {
         self.take(attempt).map(|(_, item)| item)
     }
 
-    /// Notes that the upstream asks to be left alone for `retry`; returns what waits, refused.
+    /// Starts shedding load for `retry`, as the upstream asks; refuses and returns what waits.
     ///
-    /// Afterwards concurrency grows again from half of what ran.
+    /// Afterwards the concurrency limit ramps up from half of the running requests.
     pub fn shed(&mut self, now: Time, retry: Duration) -> Vec<(T, Refusal)> {
         if self.mode == Mode::Draining {
             return Vec::new();
@@ -332,7 +332,7 @@
         self.refuse(now, &all, Reason::Busy)
     }
 
-    /// Notes that the upstream is leaving; returns what waits, refused.
+    /// Stops admission for good because the upstream is leaving; refuses and returns what waits.
     pub fn drain(&mut self, now: Time) -> Vec<(T, Refusal)> {
         self.mode = Mode::Draining;
         let all = self.attempts();
@@ -341,7 +341,7 @@
 
     /// Notes that the upstream takes requests; returns the requests to start now.
     ///
-    /// Concurrency of a cold upstream starts small and grows over the settings' ramp.
+    /// The concurrency limit of a cold upstream ramps up from the initial one.
     pub fn ready(&mut self, now: Time, cold: bool) -> Vec<T> {
         self.mode = Mode::Open;
         let from = if cold { self.settings.initial_slots } else { self.settings.slots };
@@ -349,7 +349,7 @@
         self.start_waiting(now)
     }
 
-    /// Takes over the count of slots that the upstream states; returns the requests to start now.
+    /// Sets the concurrency limit that the upstream states; returns the requests to start now.
     pub fn resize(&mut self, now: Time, slots: u32) -> Vec<T> {
         let warm = self.capacity(now) >= self.settings.slots;
         self.settings.slots = slots.max(1);
@@ -359,7 +359,7 @@
         self.start_waiting(now)
     }
 
-    /// Returns the refusal of a request that cannot be taken whatever the queue holds.
+    /// Returns the refusal of a request that cannot be admitted whatever the queue holds.
     fn refuse_immediately(&mut self, now: Time, ticket: Ticket) -> Option<Refusal> {
         if let Mode::Shedding(until) = self.mode
             && until <= now
@@ -379,16 +379,17 @@
         }
     }
 
-    /// Returns true when a newcomer need not wait.
+    /// Returns true when a new request need not wait.
     ///
-    /// With room and nothing in time waiting, it starts whatever the estimates say. Else an upstream whose
-    /// estimate once exceeded all deadlines would never be tried again, and the estimate never fall.
+    /// With a free slot and no feasible request waiting, it starts whatever the estimates say.
+    /// Otherwise an estimate that exceeds all deadlines would block all requests and never be
+    /// corrected.
     fn can_start_now(&self, now: Time) -> bool {
         self.has_free_slot(now)
             && RANKS.into_iter().all(|rank| self.first_feasible(now, rank).is_none())
     }
 
-    /// Takes a request out of either queue.
+    /// Removes a request from either queue.
     fn take(&mut self, attempt: u64) -> Option<(Ticket, T)> {
         self.waiting.remove(attempt).or_else(|| self.late.remove(attempt))
     }
@@ -418,7 +419,8 @@
         started
     }
 
-    /// Books the slot time of a start: the ranks that wait earn their share of it, its own rank pays.
+    /// Charges the slot time of a start to its rank and credits the waiting ranks with their
+    /// shares.
     fn record_start(&mut self, ticket: Ticket) {
         let cost = self.times.mean(ticket.rank);
         for rank in RANKS {
--- a/acaciaring_core/src/admission/predict.rs
+++ b/acaciaring_core/src/admission/predict.rs
@@ -1,4 +1,4 @@
-//! How long a newcomer would wait, and when a refused one may come back.
+//! Prediction of waiting times, and retry delays for refused requests.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::time::Time;
 use crate::verdict::{Reason, Refusal};
 
-/// How many times as long the requests must take that a late one passes.
+/// Minimum ratio of service times at which a short late request overtakes a long one.
 const OVERTAKE_RATIO: f64 = 3.0;
 
 impl<T> Admission<T> {
-    /// Returns the time until a newcomer with this ticket would start.
+    /// Returns the predicted time until a new request with this ticket would start.
     pub(super) fn predicted_wait(&self, now: Time, ticket: Ticket) -> Duration {
         let mut ahead = self.residual(now);
         for rank in RANKS.into_iter().filter(|rank| *rank < ticket.rank) {
@@ -25,7 +25,7 @@
         self.bounded_wait(ticket.rank, ahead, own, f64::from(self.capacity(now)))
     }
 
-    /// Returns the time until a newcomer of a rank would start that is late.
+    /// Returns the predicted time until a new late request of a rank would start.
     pub(super) fn predicted_late_wait(&self, now: Time, rank: Rank) -> Duration {
         let all = self.residual(now)
             + self.work_ahead(&self.waiting, rank)
@@ -33,23 +33,26 @@
         Duration::from_secs_f64(all / f64::from(self.capacity(now)))
     }
 
-    /// Returns the slot time of what goes before a late request of a rank in a queue, in seconds.
+    /// Returns the slot time that a queue serves before a late request of a rank, in seconds.
     pub(super) fn work_ahead(&self, queue: &WaitQueue<T>, rank: Rank) -> f64 {
         let before = RANKS.into_iter().filter(|other| !self.overtakes(rank, *other));
         before.map(|other| queue.work(other, &self.times)).sum()
     }
 
-    /// Returns true when a late request of a rank goes before one of another that is in time.
+    /// Returns true when a late request of `rank` starts before one of `other` that can meet its
+    /// deadline.
     ///
-    /// It is more important and so short that the other is hardly delayed. Guards against calls of
-    /// running requests that are refused behind long reads: late by their own aim they are as good as in
-    /// time, without them the requests that make them fail, and the slot time that these took is lost.
-    /// Among requests of like length a late one is worth less than one in time.
+    /// It is more important and so short that it hardly delays the other. Guards against refusing
+    /// short calls that running requests depend on: without them the callers fail and the slot time
+    /// they have used is lost. Among requests of similar length the one that can meet its deadline
+    /// goes first.
     pub(super) fn overtakes(&self, rank: Rank, other: Rank) -> bool {
         rank < other && self.times.mean(rank) * OVERTAKE_RATIO <= self.times.mean(other)
     }
 
-    /// Returns the wait behind `ahead` of other ranks and `own` of the same, in seconds of slot time.
+    /// Returns the wait behind slot time, in seconds, `ahead` of other ranks and `own` of the same.
+    ///
+    /// A rank with a guaranteed share waits no longer than that share takes to serve it.
     pub(super) fn bounded_wait(&self, rank: Rank, ahead: f64, own: f64, slots: f64) -> Duration {
         let behind_all = (ahead + own) / slots;
         let share = self.settings.min_shares[rank as usize];
@@ -58,14 +61,16 @@
         Duration::from_secs_f64(wait)
     }
 
-    /// Returns the slot time until one slot is free, in seconds: one request's share when all are busy.
+    /// Returns the expected time until a slot frees, in seconds of slot time; zero with a free
+    /// slot.
     pub(super) fn residual(&self, now: Time) -> f64 {
         if self.has_free_slot(now) { 0.0 } else { self.times.overall() }
     }
 
-    /// Returns a refusal that says when to come back: once what waits now has been served.
+    /// Returns a refusal whose retry delay is the time in which the present queue is served.
     ///
-    /// The time is spread by the attempt's number. Refused together, callers would else return together.
+    /// The delay is spread by the attempt number, so that callers refused together do not return
+    /// together.
     pub(super) fn refusal(&self, now: Time, reason: Reason, attempt: u64) -> Refusal {
         let refusal = Refusal::not_run(reason);
         if reason == Reason::Draining {
@@ -82,7 +87,7 @@
     }
 }
 
-/// Returns a number between 1 and 2 that depends on the attempt alone.
+/// Returns a factor from 1 to 2 derived from the attempt number alone.
 fn jitter(attempt: u64) -> f64 {
     let mixed = xxh3_64(&attempt.to_le_bytes()) >> 32;
     let mixed = u32::try_from(mixed).unwrap_or(u32::MAX);
--- a/acaciaring_core/src/admission/queue.rs
+++ b/acaciaring_core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot, by rank and deadline.
+//! Queue of requests that wait for a slot, by rank and deadline.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,7 +10,7 @@
 /// Deadline, then order of arrival.
 type QueueKey = (Time, u64);
 
-/// Requests that wait.
+/// Waiting requests, ordered by rank and deadline.
 #[derive(Debug)]
 pub(super) struct WaitQueue<T> {
     arrivals: u64,
@@ -58,7 +58,7 @@
         self.ranks[rank as usize].values().map(|(ticket, _)| ticket)
     }
 
-    /// Returns the attempt with the earliest deadline of the most important rank.
+    /// Returns the attempt with the earliest deadline in the most important rank.
     pub(super) fn first(&self) -> Option<u64> {
         RANKS.into_iter().find_map(|rank| self.first_of(rank))
     }
--- a/acaciaring_core/src/admission/select.rs
+++ b/acaciaring_core/src/admission/select.rs
@@ -1,4 +1,4 @@
-//! Which waiting request starts next, and which makes room for a newcomer.
+//! Selection of the next waiting request, and of the request that a full queue drops.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::verdict::Reason;
 
 impl<T> Admission<T> {
-    /// Returns the waiting request that starts next; late ones come last, but for those that may pass.
+    /// Returns the waiting request to start next; late ones come last unless they may overtake.
     pub(super) fn next(&self, now: Time) -> Option<u64> {
         let heads = RANKS.map(|rank| self.first_feasible(now, rank));
         let Some((rank, attempt)) = self.next_feasible(heads) else { return self.late.first() };
@@ -27,22 +27,23 @@
         credited.or_else(|| ranked().next())
     }
 
+    /// Returns the first request of a rank that can still meet its deadline.
     pub(super) fn first_feasible(&self, now: Time, rank: Rank) -> Option<u64> {
         let needed = Duration::from_secs_f64(self.times.mean(rank));
         let mut tickets = self.waiting.tickets(rank);
         tickets.find(|ticket| now + needed <= ticket.deadline).map(|ticket| ticket.attempt)
     }
 
-    /// Returns true when a rank has been passed over for as long as one of its requests takes.
+    /// Returns true when a rank is owed at least the slot time of one of its requests.
     fn has_credit(&self, rank: Rank) -> bool {
         self.credit[rank as usize] >= self.times.mean(rank)
     }
 
-    /// Returns the waiting request that makes room for a newcomer of `rank`, and why it is refused.
+    /// Returns the waiting request that makes room for a new one of `rank`, and why it is refused.
     ///
-    /// One that would be late anyway comes first. Otherwise it is the last of the least important rank
-    /// that holds more than its reserved places. Without reserved places a flood of important requests
-    /// would push out each bulk request before its share comes up: callers would see bulk starve.
+    /// One that would miss its deadline anyway goes first, else the last of the least important
+    /// rank that holds more than its reserved places. Without reserved places a flood of important
+    /// requests would displace all bulk requests before their share comes up and starve them.
     pub(super) fn victim(&self, now: Time, rank: Rank) -> Option<(u64, Reason)> {
         let late = RANKS.into_iter().rev().find_map(|r| self.first_late(now, r));
         if let Some(attempt) = late {
--- a/acaciaring_core/src/admission/service.rs
+++ b/acaciaring_core/src/admission/service.rs
@@ -1,4 +1,4 @@
-//! Smoothed service times at the upstream.
+//! Smoothed service times of the upstream (RFC 6298).
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 /// Weight of a new sample in the mean deviation, as in RFC 6298.
 const DEVIATION_WEIGHT: f64 = 1.0 / 4.0;
 
-/// Shortest mean, in seconds; keeps work in the queue from counting as nothing.
+/// Minimum mean in seconds, so that queued work never counts as zero.
 const MIN_MEAN_SECS: f64 = 1e-5;
 
 #[derive(Debug, Clone, Copy)]
@@ -28,7 +28,7 @@
     }
 }
 
-/// Smoothed service times, per rank and over all.
+/// Smoothed service times, per rank and over all ranks.
 #[derive(Debug)]
 pub(super) struct ServiceTimes {
     ranks: [Option<Smoothed>; RANK_COUNT],
@@ -41,10 +41,10 @@
         Self { ranks: [None; RANK_COUNT], all: Smoothed { mean, deviation: 0.0 } }
     }
 
-    /// Takes in how long a request took.
+    /// Adds a sample of the service time.
     ///
-    /// A request that ended without answer took at least this long, so it may only raise the mean.
-    /// Else an upstream that refuses connections fast would look like a fast one.
+    /// A request without an answer took at least this long, so it may only raise the mean.
+    /// Otherwise an upstream that fails connections fast would look fast.
     pub(super) fn sample(&mut self, rank: Rank, took: Duration, completion: Completion) {
         let took = took.as_secs_f64().max(MIN_MEAN_SECS);
         let counts = match completion {
@@ -64,12 +64,12 @@
         self.all.mean
     }
 
-    /// Returns the mean of a rank, in seconds; that over all ranks when it has none yet.
+    /// Returns the mean of a rank, in seconds; the mean over all ranks before its first sample.
     pub(super) fn mean(&self, rank: Rank) -> f64 {
         self.smoothed(rank).mean
     }
 
-    /// Returns the mean of a rank plus `caution` mean deviations.
+    /// Returns the mean of a rank plus a number of mean deviations.
     pub(super) fn upper_estimate(&self, rank: Rank, deviations: f64) -> Duration {
         let Smoothed { mean, deviation } = self.smoothed(rank);
         Duration::from_secs_f64(mean + deviations * deviation)
--- a/acaciaring_core/src/admission/settings.rs
+++ b/acaciaring_core/src/admission/settings.rs
@@ -1,37 +1,38 @@
-//! Settings of admission.
+//! Settings of admission control.
 
 use std::time::Duration;
 
 use super::RANK_COUNT;
 
-/// Settings of admission beside one upstream.
+/// Settings of admission control in front of one upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests that run at once.
+    /// Concurrency limit in requests.
     pub slots: u32,
-    /// Requests that wait at most.
+    /// Maximum number of waiting requests.
     pub queue: usize,
-    /// Requests that run at once when the upstream is cold.
+    /// Concurrency limit of a cold upstream at the start of the ramp.
     pub initial_slots: u32,
-    /// Time in which a cold upstream comes to all its slots.
+    /// Time in which a cold upstream reaches the full concurrency limit.
     pub ramp: Duration,
-    /// Service time that is assumed before the first answer.
+    /// Service time assumed before the first answer.
     pub service_time: Duration,
-    /// Mean deviations that are added to the service time when a deadline is checked.
+    /// Mean deviations added to the service time when a deadline is checked.
     pub deviations: f64,
-    /// Least share of the slot time per rank while it waits, most important rank first.
+    /// Minimum share of the slot time per waiting rank, most important rank first.
     ///
-    /// The share of critical requests has no effect, they go first.
+    /// The share of critical requests has no effect because they always start first.
     pub min_shares: [f64; RANK_COUNT],
-    /// Waiting places per rank that no other rank but critical may take, most important rank first.
+    /// Queue places per rank that only critical requests may take from it, most important rank
+    /// first.
     ///
-    /// A rank that gets a small share of the slots needs enough places to ride out bursts.
+    /// A rank with a small share of the slots needs enough places to absorb bursts.
     pub reserved: [usize; RANK_COUNT],
-    /// Shortest time after which a refused caller is asked to come back.
+    /// Minimum retry delay given to a refused caller.
     pub min_retry: Duration,
-    /// Longest time for which an upstream that sheds load is left alone.
+    /// Maximum time for which an upstream may ask for load shedding.
     ///
-    /// A longer wish is cut. An upstream that asks for hours by mistake would look lost to callers.
+    /// Guards against an upstream that asks for hours by mistake and would look unavailable.
     pub max_shed: Duration,
 }
 
