--- a/acaciaring_core/src/balance/keys.rs
+++ b/acaciaring_core/src/balance/keys.rs
@@ -1,6 +1,6 @@
 //! Which keys become units of their own, and which return to their slots.
 
-use super::survey::Survey;
+use super::summary::Survey;
 use super::{BalanceSettings, History, View};
 use crate::id::{KeyHash, MemberId, UnitId};
 use crate::rates::HotKeyRate;
--- a/acaciaring_core/src/balance/mod.rs
+++ b/acaciaring_core/src/balance/mod.rs
@@ -7,9 +7,9 @@
 mod history;
 mod keys;
 mod moves;
+mod quotas;
 mod settings;
-mod shares;
-mod survey;
+mod summary;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 pub use self::history::History;
 pub use self::settings::BalanceSettings;
 
-use self::survey::Survey;
+use self::summary::Survey;
 use crate::id::{MemberId, Name, UnitId};
 use crate::rates::RequestRates;
 use crate::route::Weights;
@@ -143,7 +143,7 @@
     let keys = keys::decide(now, view, settings, &survey, history);
     let mut switchovers = moves::decide(now, view, settings, &survey, history, &keys.homeward);
     switchovers.retain(|unit| !keys.merges.contains(unit));
-    let mut handoffs = shares::handoffs(view, settings, &survey);
+    let mut handoffs = quotas::handoffs(view, settings, &survey);
     handoffs.extend(keys.handoffs);
     Plan { switchovers, splits: keys.splits, merges: keys.merges, handoffs }
 }
--- a/acaciaring_core/src/balance/moves.rs
+++ b/acaciaring_core/src/balance/moves.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use super::shares;
-use super::survey::{OwnUnit, Survey};
+use super::quotas;
+use super::summary::{OwnUnit, Survey};
 use super::{BalanceSettings, History, View};
 use crate::id::{MemberId, UnitId};
 use crate::time::Time;
@@ -90,7 +90,7 @@
     fn fill(&mut self, settings: &BalanceSettings, free: &[OwnUnit], left: usize) -> Vec<OwnUnit> {
         let mut chosen = Vec::new();
         let slots = self.survey.owned.div_ceil(self.survey.own.len().max(1)).max(1);
-        for (member, quota) in shares::fills(self.view, settings, self.survey) {
+        for (member, quota) in quotas::fills(self.view, settings, self.survey) {
             let quota = if self.view.service.founded { quota / slots } else { quota };
             let typical = self.survey.mean / self.survey.fair;
             let mut units: Vec<_> = free.iter().filter(|own| own.standby == member).collect();
--- a/acaciaring_core/src/balance/shares.rs
+++ b/acaciaring_core/src/balance/quotas.rs
@@ -6,7 +6,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::survey::{Count, Survey};
+use super::summary::{Count, Survey};
 use super::{BalanceSettings, View};
 use crate::id::{MemberId, UnitId};
 
