--- a/acaciaring_core/src/balance/cost.rs
+++ b/acaciaring_core/src/balance/cost.rs
@@ -23,10 +23,10 @@
 impl Costs {
     pub(super) fn new(view: &View<'_>, settings: &BalanceSettings, fair: f64) -> Self {
         let (churn, downtime) = (f64::from(view.weights.churn), f64::from(view.weights.downtime));
-        let whole = (churn + downtime).max(1.0);
+        let total = (churn + downtime).max(1.0);
         Self {
-            churn: churn / whole,
-            downtime: downtime / whole,
+            churn: churn / total,
+            downtime: downtime / total,
             service: view.service_time,
             transfer: settings.transfer_time,
             drain: settings.reference_drain,
--- a/acaciaring_core/src/balance/history.rs
+++ b/acaciaring_core/src/balance/history.rs
@@ -8,21 +8,21 @@
 use crate::time::Time;
 
 /// Span over which own moves are bounded.
-const MINUTE: Duration = Duration::from_mins(1);
+const RATE_WINDOW: Duration = Duration::from_mins(1);
 
 /// Moves that a member has proposed or seen.
 #[derive(Debug, Default)]
 pub struct History {
     moved: HashMap<UnitId, Time>,
     /// Own moves, oldest first.
-    own: VecDeque<Time>,
+    move_times: VecDeque<Time>,
     /// Units that members have received, oldest first.
     received: BTreeMap<MemberId, VecDeque<Time>>,
     /// When members last received a hot key.
-    heated: HashMap<MemberId, Time>,
-    cold: HashMap<KeyHash, Time>,
+    hot_received: HashMap<MemberId, Time>,
+    cold_since: HashMap<KeyHash, Time>,
     /// Hot keys whose standby role this member has handed over.
-    handed: HashMap<KeyHash, Time>,
+    handed_off: HashMap<KeyHash, Time>,
 }
 
 impl History {
@@ -30,9 +30,9 @@
     pub fn record_plan(&mut self, now: Time, plan: &Plan) {
         for unit in &plan.switchovers {
             self.moved.insert(*unit, now);
-            self.own.push_back(now);
+            self.move_times.push_back(now);
         }
-        self.handed.extend(plan.handoffs.iter().filter_map(|(unit, _)| Some((unit.key?, now))));
+        self.handed_off.extend(plan.handoffs.iter().filter_map(|(unit, _)| Some((unit.key?, now))));
     }
 
     /// Notes a switchover that was folded, whoever proposed it.
@@ -40,23 +40,23 @@
         self.moved.insert(unit, now);
         self.received.entry(owner).or_default().push_back(now);
         if unit.key.is_some() {
-            self.heated.insert(owner, now);
+            self.hot_received.insert(owner, now);
         }
     }
 
     /// Returns true when a unit has moved so lately that it stays.
-    pub(super) fn rests(&self, now: Time, unit: UnitId, rest: Duration) -> bool {
-        self.moved.get(&unit).is_some_and(|at| now.since(*at) < rest)
+    pub(super) fn in_cooldown(&self, now: Time, unit: UnitId, cooldown: Duration) -> bool {
+        self.moved.get(&unit).is_some_and(|at| now.since(*at) < cooldown)
     }
 
     /// Returns true when this member has handed over the standby role of a hot key in the last minute.
-    pub(super) fn handed(&self, now: Time, key: KeyHash) -> bool {
-        self.handed.get(&key).is_some_and(|at| now.since(*at) < MINUTE)
+    pub(super) fn handed_off(&self, now: Time, key: KeyHash) -> bool {
+        self.handed_off.get(&key).is_some_and(|at| now.since(*at) < RATE_WINDOW)
     }
 
     /// Returns the count of own moves in the last minute.
     pub(super) fn own_moves(&self, now: Time) -> usize {
-        self.own.iter().filter(|at| now.since(**at) < MINUTE).count()
+        self.move_times.iter().filter(|at| now.since(**at) < RATE_WINDOW).count()
     }
 
     /// Returns the count of units that a member has received since it reported its load.
@@ -66,42 +66,42 @@
     }
 
     /// Returns true when a member has received a hot key so lately that its reports may not show it.
-    pub(super) fn heated(&self, now: Time, member: MemberId, settle: Duration) -> bool {
-        self.heated.get(&member).is_some_and(|at| now.since(*at) < settle)
+    pub(super) fn hot_received(&self, now: Time, member: MemberId, settle_time: Duration) -> bool {
+        self.hot_received.get(&member).is_some_and(|at| now.since(*at) < settle_time)
     }
 
     /// Returns for how long a hot key has been cold.
-    pub(super) fn cold_for(&mut self, now: Time, key: KeyHash, cold: bool) -> Duration {
+    pub(super) fn cold_duration(&mut self, now: Time, key: KeyHash, cold: bool) -> Duration {
         if cold {
-            let since = *self.cold.entry(key).or_insert(now);
+            let since = *self.cold_since.entry(key).or_insert(now);
             return now.since(since);
         }
-        self.cold.remove(&key);
+        self.cold_since.remove(&key);
         Duration::ZERO
     }
 
     /// Returns true when a hot key was cold when this member last owned it.
-    pub(super) fn cold(&self, key: KeyHash) -> bool {
-        self.cold.contains_key(&key)
+    pub(super) fn is_cold(&self, key: KeyHash) -> bool {
+        self.cold_since.contains_key(&key)
     }
 
-    pub(super) fn forget_old(&mut self, now: Time, settings: &BalanceSettings) {
+    pub(super) fn prune(&mut self, now: Time, settings: &BalanceSettings) {
         self.moved.retain(|_, at| now.since(*at) < settings.cooldown);
-        drop_old(now, &mut self.own);
+        drop_expired(now, &mut self.move_times);
         self.received.retain(|_, times| {
-            drop_old(now, times);
+            drop_expired(now, times);
             !times.is_empty()
         });
-        self.heated.retain(|_, at| now.since(*at) < settings.settle_time);
-        self.handed.retain(|_, at| now.since(*at) < MINUTE);
+        self.hot_received.retain(|_, at| now.since(*at) < settings.settle_time);
+        self.handed_off.retain(|_, at| now.since(*at) < RATE_WINDOW);
         // A key that was merged is never asked for again.
         let longest = settings.merge_after * 4;
-        self.cold.retain(|_, since| now.since(*since) < longest);
+        self.cold_since.retain(|_, since| now.since(*since) < longest);
     }
 }
 
-fn drop_old(now: Time, times: &mut VecDeque<Time>) {
-    while times.front().is_some_and(|at| now.since(*at) >= MINUTE) {
+fn drop_expired(now: Time, times: &mut VecDeque<Time>) {
+    while times.front().is_some_and(|at| now.since(*at) >= RATE_WINDOW) {
         times.pop_front();
     }
 }
--- a/acaciaring_core/src/balance/keys.rs
+++ b/acaciaring_core/src/balance/keys.rs
@@ -1,13 +1,13 @@
 //! Which keys become units of their own, and which return to their slots.
 
-use super::summary::Survey;
+use super::summary::Summary;
 use super::{BalanceSettings, History, View};
 use crate::id::{KeyHash, MemberId, UnitId};
 use crate::rates::HotKeyRate;
 use crate::time::Time;
 
 /// Members among which a hot key chooses its next standby.
-const COOLEST: usize = 4;
+const COOL_CANDIDATES: usize = 4;
 
 /// Decisions on keys.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
     pub(super) splits: Vec<UnitId>,
     pub(super) merges: Vec<UnitId>,
     /// Cold keys on their way to the owner of their slot; once there they can be merged.
-    pub(super) homeward: Vec<UnitId>,
+    pub(super) returning: Vec<UnitId>,
     /// Hot keys whose standby role goes to a cooler member.
     pub(super) handoffs: Vec<(UnitId, MemberId)>,
 }
@@ -24,21 +24,21 @@
     now: Time,
     view: &View<'_>,
     settings: &BalanceSettings,
-    survey: &Survey,
+    summary: &Summary,
     history: &mut History,
 ) -> KeyMoves {
     let mut moves = KeyMoves {
-        splits: splits(now, view, settings, survey),
-        handoffs: to_cool(now, view, settings, survey, history),
+        splits: splits(now, view, settings, summary),
+        handoffs: cooler_handoffs(now, view, settings, summary, history),
         ..KeyMoves::default()
     };
-    moves.handoffs.extend(to_home(view, history));
+    moves.handoffs.extend(return_handoffs(view, history));
     let own = view.service.hot.iter().filter(|(_, hot)| hot.assignment.owner == Some(view.local));
     for (key, hot) in own {
         let unit = UnitId { slot: hot.slot, key: Some(*key) };
-        let load = view.rates.rate(now, unit) * survey.per_rate;
-        let cold = load < settings.merge_load * survey.mean || survey.load < settings.min_load;
-        if history.cold_for(now, *key, cold) < settings.merge_after {
+        let load = view.rates.rate(now, unit) * summary.rate_factor;
+        let cold = load < settings.merge_load * summary.mean || summary.load < settings.min_load;
+        if history.cold_duration(now, *key, cold) < settings.merge_after {
             continue;
         }
         let slot = view.service.assignment(UnitId::slot(hot.slot));
@@ -47,19 +47,24 @@
         } else {
             // A standby that does not own the slot does not know that the key is cold. This member, once
             // it has become standby in its place, hands the role to the slot's owner.
-            moves.homeward.push(unit);
+            moves.returning.push(unit);
         }
     }
     moves
 }
 
 /// Returns the keys to split out: hot ones that make up most of their slot, at a member that is hot.
-fn splits(now: Time, view: &View<'_>, settings: &BalanceSettings, survey: &Survey) -> Vec<UnitId> {
+fn splits(
+    now: Time,
+    view: &View<'_>,
+    settings: &BalanceSettings,
+    summary: &Summary,
+) -> Vec<UnitId> {
     // The slots of a founded service are so small that a hot key moves with its slot.
-    if !survey.hot(settings) || survey.per_rate <= 0.0 || view.service.founded {
+    if !summary.overloaded(settings) || summary.rate_factor <= 0.0 || view.service.founded {
         return Vec::new();
     }
-    let least = settings.split_load * survey.mean / survey.per_rate;
+    let least = settings.split_load * summary.mean / summary.rate_factor;
     let room = settings.hot_keys.saturating_sub(view.service.hot.len());
     let most = |hot: &HotKeyRate| hot.rate >= settings.split_share * view.rates.rate(now, hot.unit);
     let hot = view.rates.hot_keys(now, least).into_iter();
@@ -73,28 +78,28 @@
 ///
 /// A unit moves only to its standby. With a standby that is warm too, a hot key would stay where it is.
 /// Keys choose among the coolest members by hash, so that they do not all go to one.
-fn to_cool(
+fn cooler_handoffs(
     now: Time,
     view: &View<'_>,
     settings: &BalanceSettings,
-    survey: &Survey,
+    summary: &Summary,
     history: &History,
 ) -> Vec<(UnitId, MemberId)> {
-    let cool = settings.cool_load * survey.mean;
-    if survey.load <= cool || survey.load < settings.min_load {
+    let cool = settings.cool_load * summary.mean;
+    if summary.load <= cool || summary.load < settings.min_load {
         return Vec::new();
     }
-    let mut members: Vec<_> = survey.loads.iter().filter(|(_, load)| **load < cool).collect();
+    let mut members: Vec<_> = summary.loads.iter().filter(|(_, load)| **load < cool).collect();
     members.sort_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0)));
     let hot = view.service.hot.iter().filter(|(key, hot)| {
-        let backed = hot.assignment.standby == Some(view.local);
-        backed && !history.handed(now, **key) && !history.cold(**key)
+        let is_standby = hot.assignment.standby == Some(view.local);
+        is_standby && !history.handed_off(now, **key) && !history.is_cold(**key)
     });
     hot.filter_map(|(key, hot)| {
         let owner = hot.assignment.owner?;
-        let fits = |id: &MemberId| *id != owner && view.apart(owner, *id);
+        let fits = |id: &MemberId| *id != owner && view.allows_standby(owner, *id);
         let mut open: Vec<_> = members.iter().map(|(id, _)| **id).filter(fits).collect();
-        open.truncate(COOLEST);
+        open.truncate(COOL_CANDIDATES);
         let index = key.0 % u64::try_from(open.len().max(1)).ok()?;
         let target = *open.get(usize::try_from(index).ok()?)?;
         Some((UnitId { slot: hot.slot, key: Some(*key) }, target))
@@ -103,12 +108,11 @@
 }
 
 /// Returns keys that were cold when this member owned them, whose standby role goes to the slot's owner.
-fn to_home(view: &View<'_>, history: &History) -> Vec<(UnitId, MemberId)> {
-    let cold = view
-        .service
-        .hot
-        .iter()
-        .filter(|(key, hot)| hot.assignment.standby == Some(view.local) && history.cold(**key));
+fn return_handoffs(view: &View<'_>, history: &History) -> Vec<(UnitId, MemberId)> {
+    let cold =
+        view.service.hot.iter().filter(|(key, hot)| {
+            hot.assignment.standby == Some(view.local) && history.is_cold(**key)
+        });
     cold.filter_map(|(key, hot)| {
         let home = view.service.assignment(UnitId::slot(hot.slot))?.owner?;
         let away = home != view.local && hot.assignment.owner != Some(home);
--- a/acaciaring_core/src/balance/mod.rs
+++ b/acaciaring_core/src/balance/mod.rs
@@ -17,7 +17,7 @@
 pub use self::history::History;
 pub use self::settings::BalanceSettings;
 
-use self::summary::Survey;
+use self::summary::Summary;
 use crate::id::{MemberId, Name, UnitId};
 use crate::rates::RequestRates;
 use crate::route::Weights;
@@ -25,8 +25,8 @@
 use crate::time::Time;
 
 /// Least and greatest speed that is believed; beyond them something else is wrong.
-const SPEED_LEAST: f64 = 0.1;
-const SPEED_MOST: f64 = 10.0;
+const MIN_SPEED: f64 = 0.1;
+const MAX_SPEED: f64 = 10.0;
 
 /// Load of a member as it was reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -55,17 +55,17 @@
     }
 
     /// Returns the count of typical slots that run as much as this member's.
-    fn power(&self) -> f64 {
-        self.slots() * self.speed.clamp(SPEED_LEAST, SPEED_MOST)
+    fn effective_slots(&self) -> f64 {
+        self.slots() * self.speed.clamp(MIN_SPEED, MAX_SPEED)
     }
 
     /// Returns requests a second for each typical slot.
-    fn density(&self) -> f64 {
-        self.rate / self.power()
+    fn load_per_slot(&self) -> f64 {
+        self.rate / self.effective_slots()
     }
 
     /// Returns how many times its slots a saturated member would need, 1 for any other.
-    fn excess(&self) -> f64 {
+    fn overload(&self) -> f64 {
         (f64::from(self.busy) / self.slots()).max(1.0)
     }
 }
@@ -100,7 +100,7 @@
     /// Returns true when `member` may take the standby role from the planning one.
     ///
     /// The new standby is not in the owner's data centre, unless the planning member is.
-    fn apart(&self, owner: MemberId, member: MemberId) -> bool {
+    fn allows_standby(&self, owner: MemberId, member: MemberId) -> bool {
         let place = |id: MemberId| self.members.get(&id).map(|candidate| &candidate.data_centre);
         place(owner) != place(member) || place(owner) == place(self.local)
     }
@@ -138,12 +138,12 @@
     if !view.members.contains_key(&view.local) {
         return Plan::default();
     }
-    history.forget_old(now, settings);
-    let survey = Survey::new(now, view, settings, history);
-    let keys = keys::decide(now, view, settings, &survey, history);
-    let mut switchovers = moves::decide(now, view, settings, &survey, history, &keys.homeward);
+    history.prune(now, settings);
+    let summary = Summary::new(now, view, settings, history);
+    let keys = keys::decide(now, view, settings, &summary, history);
+    let mut switchovers = moves::decide(now, view, settings, &summary, history, &keys.returning);
     switchovers.retain(|unit| !keys.merges.contains(unit));
-    let mut handoffs = quotas::handoffs(view, settings, &survey);
+    let mut handoffs = quotas::handoffs(view, settings, &summary);
     handoffs.extend(keys.handoffs);
     Plan { switchovers, splits: keys.splits, merges: keys.merges, handoffs }
 }
--- a/acaciaring_core/src/balance/moves.rs
+++ b/acaciaring_core/src/balance/moves.rs
@@ -3,17 +3,17 @@
 use std::collections::HashMap;
 
 use super::quotas;
-use super::summary::{OwnUnit, Survey};
+use super::summary::{OwnedUnit, Summary};
 use super::{BalanceSettings, History, View};
 use crate::id::{MemberId, UnitId};
 use crate::time::Time;
 
 /// Loads as they would be after the moves chosen so far.
-struct Outlook<'a> {
-    survey: &'a Survey,
+struct Projection<'a> {
+    summary: &'a Summary,
     view: &'a View<'a>,
-    own: f64,
-    others: HashMap<MemberId, f64>,
+    own_load: f64,
+    other_loads: HashMap<MemberId, f64>,
 }
 
 /// Chooses the units to move now.
@@ -21,56 +21,58 @@
     now: Time,
     view: &View<'_>,
     settings: &BalanceSettings,
-    survey: &Survey,
+    summary: &Summary,
     history: &History,
-    homeward: &[UnitId],
+    returning: &[UnitId],
 ) -> Vec<UnitId> {
-    let mut left = allowance(now, settings, survey, history);
-    let mut free = survey.own.clone();
-    free.retain(|own| !history.rests(now, own.unit, settings.cooldown));
-    let mut outlook = Outlook { survey, view, own: survey.load, others: survey.loads.clone() };
+    let mut left = allowance(now, settings, summary, history);
+    let mut free = summary.movable.clone();
+    free.retain(|own| !history.in_cooldown(now, own.unit, settings.cooldown));
+    let mut projection =
+        Projection { summary, view, own_load: summary.load, other_loads: summary.loads.clone() };
     let mut chosen: Vec<UnitId> = Vec::new();
-    for own in free.iter().filter(|own| homeward.contains(&own.unit)).take(left) {
-        outlook.apply(own);
+    for own in free.iter().filter(|own| returning.contains(&own.unit)).take(left) {
+        projection.apply(own);
         chosen.push(own.unit);
     }
     left -= chosen.len();
-    for own in outlook.fill(settings, &free, left) {
+    for own in projection.fill_deficits(settings, &free, left) {
         chosen.push(own.unit);
         left -= 1;
     }
-    if survey.hot(settings) {
+    if summary.overloaded(settings) {
         free.retain(|own| !chosen.contains(&own.unit));
-        chosen.extend(outlook.relieve(settings, free, left));
+        chosen.extend(projection.reduce_load(settings, free, left));
     }
-    let whole = |unit: &UnitId| survey.own.iter().find(|own| own.unit == *unit);
-    let units =
-        |unit: UnitId| whole(&unit).map_or_else(|| vec![unit], |own| own.units(view, &survey.own));
+    let entry = |unit: &UnitId| summary.movable.iter().find(|own| own.unit == *unit);
+    let units = |unit: UnitId| {
+        entry(&unit).map_or_else(|| vec![unit], |own| own.units(view, &summary.movable))
+    };
     chosen.into_iter().flat_map(units).collect()
 }
 
 /// Returns how many units may move now.
-fn allowance(now: Time, settings: &BalanceSettings, survey: &Survey, history: &History) -> usize {
+fn allowance(now: Time, settings: &BalanceSettings, summary: &Summary, history: &History) -> usize {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a share of a u32")]
-    let share = (survey.fair * settings.move_share) as usize;
+    let share = (summary.fair * settings.move_share) as usize;
     let units = share.max(settings.min_moves).saturating_sub(history.own_moves(now));
     // A block counts by its slots.
-    let blocks = survey.own.iter().filter(|own| own.block.is_some()).count();
-    let slots = survey.owned.div_ceil(blocks.max(1)).max(1);
+    let blocks = summary.movable.iter().filter(|own| own.block.is_some()).count();
+    let slots = summary.owned.div_ceil(blocks.max(1)).max(1);
     if blocks > 0 { units.div_ceil(slots) } else { units }
 }
 
-impl Outlook<'_> {
+impl Projection<'_> {
     /// Moves units until no move is worth its cost, the best gain per cost first.
-    fn relieve(
+    fn reduce_load(
         &mut self,
         settings: &BalanceSettings,
-        mut free: Vec<OwnUnit>,
+        mut free: Vec<OwnedUnit>,
         left: usize,
     ) -> Vec<UnitId> {
         let mut chosen = Vec::new();
         while chosen.len() < left {
-            let values = free.iter().map(|own| self.value(own));
+            let values = free.iter().map(|own| self.gain_per_cost(own));
             let best = values.enumerate().max_by(|(_, a), (_, b)| a.total_cmp(b));
             let Some((index, value)) = best else { break };
             if value <= settings.min_gain {
@@ -87,14 +89,19 @@
     ///
     /// Units of middling heat go first, and none that would bring the newcomer above the mean: reports
     /// lag, and many give at once.
-    fn fill(&mut self, settings: &BalanceSettings, free: &[OwnUnit], left: usize) -> Vec<OwnUnit> {
+    fn fill_deficits(
+        &mut self,
+        settings: &BalanceSettings,
+        free: &[OwnedUnit],
+        left: usize,
+    ) -> Vec<OwnedUnit> {
         let mut chosen = Vec::new();
-        let slots = self.survey.owned.div_ceil(self.survey.own.len().max(1)).max(1);
-        for (member, quota) in quotas::fills(self.view, settings, self.survey) {
+        let slots = self.summary.owned.div_ceil(self.summary.movable.len().max(1)).max(1);
+        for (member, quota) in quotas::transfer_quotas(self.view, settings, self.summary) {
             let quota = if self.view.service.founded { quota / slots } else { quota };
-            let typical = self.survey.mean / self.survey.fair;
+            let typical = self.summary.mean / self.summary.fair;
             let mut units: Vec<_> = free.iter().filter(|own| own.standby == member).collect();
-            let distance = |own: &OwnUnit| (self.load_at(member, own.rate) - typical).abs();
+            let distance = |own: &OwnedUnit| (self.load_at(member, own.rate) - typical).abs();
             let service = self.view.service;
             if service.founded {
                 let members = self.view.members.len();
@@ -103,8 +110,8 @@
                 units.sort_by(|a, b| distance(a).total_cmp(&distance(b)).then(a.unit.cmp(&b.unit)));
             }
             for own in units.into_iter().take(quota) {
-                let Some(load) = self.others.get(&member) else { break };
-                if chosen.len() >= left || load + self.load_at(member, own.rate) > self.survey.mean
+                let Some(load) = self.other_loads.get(&member) else { break };
+                if chosen.len() >= left || load + self.load_at(member, own.rate) > self.summary.mean
                 {
                     break;
                 }
@@ -116,37 +123,42 @@
     }
 
     /// Returns the gain per cost of a move, zero or less when it should not be made.
-    fn value(&self, own: &OwnUnit) -> f64 {
-        let Some(theirs) = self.others.get(&own.standby) else { return 0.0 };
+    fn gain_per_cost(&self, own: &OwnedUnit) -> f64 {
+        let Some(theirs) = self.other_loads.get(&own.standby) else { return 0.0 };
         let Some(load) = self.view.members.get(&own.standby).and_then(|member| member.load) else {
             return 0.0;
         };
-        let cost = self.survey.costs.relative(own.unit, own.rate);
+        let cost = self.summary.costs.relative(own.unit, own.rate);
         // The limit starts moves and the goal ends them, so that a load near either causes none.
-        if self.survey.load <= self.survey.limit(cost) || self.own <= self.survey.goal(cost) {
+        if self.summary.load <= self.summary.limit(cost)
+            || self.own_load <= self.summary.target(cost)
+        {
             return 0.0;
         }
-        let mine = self.own - own.rate * self.survey.per_rate;
+        let mine = self.own_load - own.rate * self.summary.rate_factor;
         let after = theirs + self.load_at(own.standby, own.rate);
         // The receiver must end neither hot nor above the giver. Else the unit would soon come back, and
         // callers would see it swapped to and fro.
-        if load.saturated() || after > self.survey.goal(0.0) || after > mine.max(self.survey.mean) {
+        if load.saturated()
+            || after > self.summary.target(0.0)
+            || after > mine.max(self.summary.mean)
+        {
             return 0.0;
         }
-        let gain = self.own.max(*theirs) - mine.max(after);
-        gain / self.survey.mean / self.survey.costs.of(own.unit, own.rate)
+        let gain = self.own_load.max(*theirs) - mine.max(after);
+        gain / self.summary.mean / self.summary.costs.of(own.unit, own.rate)
     }
 
     /// Returns the load that `rate` requests a second are at a member.
     fn load_at(&self, member: MemberId, rate: f64) -> f64 {
         let load = self.view.members.get(&member).and_then(|candidate| candidate.load);
-        rate / load.map_or(1.0, |load| load.power())
+        rate / load.map_or(1.0, |load| load.effective_slots())
     }
 
-    fn apply(&mut self, own: &OwnUnit) {
+    fn apply(&mut self, own: &OwnedUnit) {
         let arriving = self.load_at(own.standby, own.rate);
-        self.own -= own.rate * self.survey.per_rate;
-        if let Some(load) = self.others.get_mut(&own.standby) {
+        self.own_load -= own.rate * self.summary.rate_factor;
+        if let Some(load) = self.other_loads.get_mut(&own.standby) {
             *load += arriving;
         }
     }
--- a/acaciaring_core/src/balance/quotas.rs
+++ b/acaciaring_core/src/balance/quotas.rs
@@ -6,7 +6,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::summary::{Count, Survey};
+use super::summary::{SlotCount, Summary};
 use super::{BalanceSettings, View};
 use crate::id::{MemberId, UnitId};
 
@@ -15,7 +15,7 @@
 
 /// Member that has something to give.
 #[derive(Debug, Clone, Copy)]
-struct Giver {
+struct Donor {
     id: MemberId,
     /// What it has.
     count: u32,
@@ -24,21 +24,21 @@
 }
 
 /// Returns to whom the planning member gives how many of its own units.
-pub(super) fn fills(
+pub(super) fn transfer_quotas(
     view: &View<'_>,
     settings: &BalanceSettings,
-    survey: &Survey,
+    summary: &Summary,
 ) -> Vec<(MemberId, usize)> {
-    let short = short(settings, survey, survey.fair, |count| count.owned);
+    let deficits = deficits(settings, summary, summary.fair, |count| count.owned);
     let open = |member: &MemberId| {
         let load = view.members[member].load;
         load.is_some_and(|load| !load.saturated())
     };
-    let quotas = short.into_iter().filter(|(member, _)| open(member)).map(|(member, wanted)| {
+    let quotas = deficits.into_iter().filter(|(member, _)| open(member)).map(|(member, wanted)| {
         let available = available(view, member);
-        let givers =
-            givers(survey, |count| count.owned, |id| available.get(&id).copied().unwrap_or(0));
-        (member, quota(view.local, member, &givers, wanted, floor(settings, survey.fair)))
+        let donors =
+            donors(summary, |count| count.owned, |id| available.get(&id).copied().unwrap_or(0));
+        (member, quota(view.local, member, &donors, wanted, floor(settings, summary.fair)))
     });
     quotas.filter(|(_, quota)| *quota > 0).collect()
 }
@@ -47,46 +47,47 @@
 pub(super) fn handoffs(
     view: &View<'_>,
     settings: &BalanceSettings,
-    survey: &Survey,
+    summary: &Summary,
 ) -> Vec<(UnitId, MemberId)> {
-    let backed: u32 = survey.counts.values().map(|count| count.backed).sum();
-    let members = u32::try_from(survey.counts.len()).unwrap_or(u32::MAX);
-    let fair = f64::from(backed) / f64::from(members);
+    let standbys: u32 = summary.counts.values().map(|count| count.standbys).sum();
+    let members = u32::try_from(summary.counts.len()).unwrap_or(u32::MAX);
+    let fair = f64::from(standbys) / f64::from(members);
     let mut given = Vec::new();
-    for (member, wanted) in short(settings, survey, fair, |count| count.backed) {
-        let givers = givers(survey, |count| count.backed, |_| u32::MAX);
-        let quota = quota(view.local, member, &givers, wanted, floor(settings, fair));
-        let mut roles = roles(view, member);
-        roles.retain(|unit| given.iter().all(|(other, _)| other != unit));
+    for (member, wanted) in deficits(settings, summary, fair, |count| count.standbys) {
+        let donors = donors(summary, |count| count.standbys, |_| u32::MAX);
+        let quota = quota(view.local, member, &donors, wanted, floor(settings, fair));
+        let mut transferable = transferable(view, member);
+        transferable.retain(|unit| given.iter().all(|(other, _)| other != unit));
         let block = |unit: &UnitId| view.service.block(unit.slot, view.members.len());
-        roles.sort_by_key(|unit| (order(u64::from(block(unit)), member.0), unit.slot));
+        transferable
+            .sort_by_key(|unit| (rendezvous_hash(u64::from(block(unit)), member.0), unit.slot));
         let left = settings.max_handoffs - given.len();
-        given.extend(roles.into_iter().take(quota.min(left)).map(|unit| (unit, member)));
+        given.extend(transferable.into_iter().take(quota.min(left)).map(|unit| (unit, member)));
     }
     given
 }
 
 /// Returns members that fall short of the fair count, and by how much.
-fn short(
+fn deficits(
     settings: &BalanceSettings,
-    survey: &Survey,
+    summary: &Summary,
     fair: f64,
-    of: impl Fn(&Count) -> u32,
+    of: impl Fn(&SlotCount) -> u32,
 ) -> Vec<(MemberId, u32)> {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a share of a u32")]
     let level = (fair * (1.0 - settings.max_deficit)) as u32;
-    let short = survey.counts.iter().filter(|(_, count)| of(count) < level);
-    short.map(|(id, count)| (*id, level - of(count))).collect()
+    let deficits = summary.counts.iter().filter(|(_, count)| of(count) < level);
+    deficits.map(|(id, count)| (*id, level - of(count))).collect()
 }
 
-fn givers(
-    survey: &Survey,
-    of: impl Fn(&Count) -> u32,
+fn donors(
+    summary: &Summary,
+    of: impl Fn(&SlotCount) -> u32,
     available: impl Fn(MemberId) -> u32,
-) -> Vec<Giver> {
-    let givers = survey.counts.iter();
-    givers
-        .map(|(id, count)| Giver { id: *id, count: of(count), available: available(*id) })
+) -> Vec<Donor> {
+    let donors = summary.counts.iter();
+    donors
+        .map(|(id, count)| Donor { id: *id, count: of(count), available: available(*id) })
         .collect()
 }
 
@@ -102,11 +103,13 @@
 }
 
 /// Returns the slots for which the planning member may pass the standby role to `member`.
-fn roles(view: &View<'_>, member: MemberId) -> Vec<UnitId> {
+fn transferable(view: &View<'_>, member: MemberId) -> Vec<UnitId> {
     let slots = (0..).zip(&view.service.slots);
     let fits = slots.filter(|(_, assignment)| {
         let Some(owner) = assignment.owner else { return false };
-        assignment.standby == Some(view.local) && owner != member && view.apart(owner, member)
+        assignment.standby == Some(view.local)
+            && owner != member
+            && view.allows_standby(owner, member)
     });
     fits.map(|(slot, _)| UnitId::slot(slot)).collect()
 }
@@ -122,31 +125,32 @@
 }
 
 /// Returns how much of `wanted` falls to one giver: those that have most give until they are level.
-fn quota(me: MemberId, receiver: MemberId, givers: &[Giver], wanted: u32, floor: u32) -> usize {
-    let above = |giver: &Giver, level: u32| giver.count.saturating_sub(level).min(giver.available);
-    let sum = |level: u32| givers.iter().map(|giver| u64::from(above(giver, level))).sum::<u64>();
-    let most = givers.iter().map(|giver| giver.count).max().unwrap_or(0);
-    let Some(me) = givers.iter().find(|giver| giver.id == me) else { return 0 };
+fn quota(local: MemberId, receiver: MemberId, donors: &[Donor], wanted: u32, floor: u32) -> usize {
+    let surplus =
+        |donor: &Donor, level: u32| donor.count.saturating_sub(level).min(donor.available);
+    let sum = |level: u32| donors.iter().map(|donor| u64::from(surplus(donor, level))).sum::<u64>();
+    let max_count = donors.iter().map(|donor| donor.count).max().unwrap_or(0);
+    let Some(local) = donors.iter().find(|donor| donor.id == local) else { return 0 };
     // The lowest level at which the givers together do not give too much.
     let mut low = floor;
-    let mut high = most.max(floor);
+    let mut high = max_count.max(floor);
     while low < high {
         let level = u32::midpoint(low, high);
         if sum(level) <= u64::from(wanted) { high = level } else { low = level + 1 }
     }
-    let whole = above(me, low);
-    let more = low > floor && above(me, low - 1) > whole;
+    let base = surplus(local, low);
+    let eligible = low > floor && surplus(local, low - 1) > base;
     let rest = u64::from(wanted).saturating_sub(sum(low));
     // One level lower would be too much, so only some of those that could give one more do.
-    let turn = |giver: &Giver| order(giver.id.0, receiver.0);
-    let could =
-        givers.iter().filter(|giver| low > floor && above(giver, low - 1) > above(giver, low));
-    let before = could.filter(|giver| turn(giver) < turn(me)).count();
-    let extra = more && u64::try_from(before).is_ok_and(|before| before < rest);
-    usize::try_from(whole).unwrap_or(usize::MAX) + usize::from(extra)
+    let priority = |donor: &Donor| rendezvous_hash(donor.id.0, receiver.0);
+    let candidates =
+        donors.iter().filter(|donor| low > floor && surplus(donor, low - 1) > surplus(donor, low));
+    let before = candidates.filter(|donor| priority(donor) < priority(local)).count();
+    let extra = eligible && u64::try_from(before).is_ok_and(|before| before < rest);
+    usize::try_from(base).unwrap_or(usize::MAX) + usize::from(extra)
 }
 
 /// Returns a number that orders one id for another one, alike at every member.
-fn order(one: u64, other: u64) -> u64 {
+fn rendezvous_hash(one: u64, other: u64) -> u64 {
     xxh3_64_with_seed(&one.to_le_bytes(), other)
 }
--- a/acaciaring_core/src/balance/summary.rs
+++ b/acaciaring_core/src/balance/summary.rs
@@ -9,14 +9,14 @@
 
 /// Slots of a member.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Count {
+pub(super) struct SlotCount {
     pub(super) owned: u32,
-    pub(super) backed: u32,
+    pub(super) standbys: u32,
 }
 
 /// Own unit that has a standby, or a block of neighbouring slots that has one standby.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct OwnUnit {
+pub(super) struct OwnedUnit {
     /// The unit, or the first slot of the block.
     pub(super) unit: UnitId,
     /// Block of which all own slots with this standby move together.
@@ -28,10 +28,10 @@
 
 /// Counts and loads as seen by the planning member.
 #[derive(Debug)]
-pub(super) struct Survey {
+pub(super) struct Summary {
     /// Slots of each candidate.
-    pub(super) counts: BTreeMap<MemberId, Count>,
-    pub(super) own: Vec<OwnUnit>,
+    pub(super) counts: BTreeMap<MemberId, SlotCount>,
+    pub(super) movable: Vec<OwnedUnit>,
     /// Own units, those of blocks counted one by one.
     pub(super) owned: usize,
     /// Fair count of slots per member.
@@ -39,7 +39,7 @@
     /// Own load.
     pub(super) load: f64,
     /// Own load that one request a second makes up.
-    pub(super) per_rate: f64,
+    pub(super) rate_factor: f64,
     /// Mean of the known loads.
     pub(super) mean: f64,
     /// Loads of other members with what they have received since they reported.
@@ -49,19 +49,19 @@
     pub(super) costs: Costs,
 }
 
-impl Survey {
+impl Summary {
     pub(super) fn new(
         now: Time,
         view: &View<'_>,
         settings: &BalanceSettings,
         history: &History,
     ) -> Self {
-        let (counts, own, owned) = count(now, view);
+        let (counts, movable, owned) = count(now, view);
         let fair = fair(view, counts.len());
         let costs = Costs::new(view, settings, fair);
-        let ample = ample(view);
-        let (load, per_rate) = own_load(now, view, ample);
-        let mut known: HashMap<_, _> = reported(view, ample).collect();
+        let unsaturated_mean = unsaturated_mean(view);
+        let (load, rate_factor) = own_load(now, view, unsaturated_mean);
+        let mut known: HashMap<_, _> = reported(view, unsaturated_mean).collect();
         let all: f64 = known.values().sum::<f64>() + load;
         let members = u32::try_from(known.len() + 1).map_or(1.0, f64::from);
         let mean = all / members;
@@ -70,12 +70,23 @@
             let received = history.received_since(*member, report);
             let received = u32::try_from(received).map_or(0.0, f64::from);
             *load += received * mean / fair;
-            if history.heated(now, *member, settings.settle_time) {
+            if history.hot_received(now, *member, settings.settle_time) {
                 *load = load.max(mean);
             }
         }
         let tolerance = settings.tolerance;
-        Self { counts, own, owned, fair, load, per_rate, mean, loads: known, tolerance, costs }
+        Self {
+            counts,
+            movable,
+            owned,
+            fair,
+            load,
+            rate_factor,
+            mean,
+            loads: known,
+            tolerance,
+            costs,
+        }
     }
 
     /// Returns the load from which a move at this cost is worth it, as [`Costs::relative`] gives it.
@@ -84,25 +95,25 @@
     }
 
     /// Returns the load that a member comes down to once it is above the limit; half of the way to the mean.
-    pub(super) fn goal(&self, cost: f64) -> f64 {
+    pub(super) fn target(&self, cost: f64) -> f64 {
         f64::midpoint(self.limit(cost), self.mean)
     }
 
     /// Returns true when this member should give load away, if only at no cost.
-    pub(super) fn hot(&self, settings: &BalanceSettings) -> bool {
+    pub(super) fn overloaded(&self, settings: &BalanceSettings) -> bool {
         self.load > self.limit(0.0) && self.load > settings.min_load
     }
 }
 
-fn count(now: Time, view: &View<'_>) -> (BTreeMap<MemberId, Count>, Vec<OwnUnit>, usize) {
-    let mut index: HashMap<MemberId, Count> =
-        view.members.keys().map(|id| (*id, Count::default())).collect();
+fn count(now: Time, view: &View<'_>) -> (BTreeMap<MemberId, SlotCount>, Vec<OwnedUnit>, usize) {
+    let mut index: HashMap<MemberId, SlotCount> =
+        view.members.keys().map(|id| (*id, SlotCount::default())).collect();
     let mut own = Vec::new();
     for (unit, assignment) in view.service.units() {
         if let (Some(owner), Some(standby)) = (assignment.owner, assignment.standby)
             && owner == view.local
         {
-            own.push(OwnUnit { unit, block: None, standby, rate: view.rates.rate(now, unit) });
+            own.push(OwnedUnit { unit, block: None, standby, rate: view.rates.rate(now, unit) });
         }
         if unit.key.is_some() {
             continue;
@@ -111,11 +122,11 @@
             count.owned += 1;
         }
         if let Some(count) = assignment.standby.and_then(|id| index.get_mut(&id)) {
-            count.backed += 1;
+            count.standbys += 1;
         }
     }
     let owned = own.len();
-    let own = if view.service.founded { join_blocks(view, &own) } else { own };
+    let own = if view.service.founded { group_blocks(view, &own) } else { own };
     (index.into_iter().collect(), own, owned)
 }
 
@@ -124,32 +135,32 @@
 /// Guards against an upstream that holds more separate ranges than its grants have room for:
 /// what has no room is served by nobody. A slot that makes up most of its block stays apart,
 /// so that it can be parted from its neighbours.
-fn join_blocks(view: &View<'_>, own: &[OwnUnit]) -> Vec<OwnUnit> {
+fn group_blocks(view: &View<'_>, own: &[OwnedUnit]) -> Vec<OwnedUnit> {
     let members = view.members.len();
-    let mut blocks: BTreeMap<(u32, MemberId), OwnUnit> = BTreeMap::new();
+    let mut blocks: BTreeMap<(u32, MemberId), OwnedUnit> = BTreeMap::new();
     for unit in own {
         let block = view.service.block(unit.unit.slot, members);
-        let whole = OwnUnit { block: Some(block), rate: 0.0, ..*unit };
-        blocks.entry((block, unit.standby)).or_insert(whole).rate += unit.rate;
+        let group = OwnedUnit { block: Some(block), rate: 0.0, ..*unit };
+        blocks.entry((block, unit.standby)).or_insert(group).rate += unit.rate;
     }
-    let mut apart = Vec::new();
+    let mut separate = Vec::new();
     for unit in own {
         let block = view.service.block(unit.unit.slot, members);
-        let Some(whole) = blocks.get_mut(&(block, unit.standby)) else { continue };
-        if whole.unit != unit.unit && unit.rate > whole.rate / 2.0 {
-            whole.part(unit.rate);
-            apart.push(*unit);
+        let Some(group) = blocks.get_mut(&(block, unit.standby)) else { continue };
+        if group.unit != unit.unit && unit.rate > group.rate / 2.0 {
+            group.subtract_rate(unit.rate);
+            separate.push(*unit);
         }
     }
-    blocks.into_values().chain(apart).collect()
+    blocks.into_values().chain(separate).collect()
 }
 
-impl OwnUnit {
+impl OwnedUnit {
     /// Takes the rate of a unit that moves by itself off that of its block.
     ///
     /// Guards against a rest below zero: the rates were added up in another order than they are
     /// taken off, and a rate below zero has no time to drain.
-    fn part(&mut self, rate: f64) {
+    fn subtract_rate(&mut self, rate: f64) {
         self.rate = (self.rate - rate).max(0.0);
     }
 
@@ -157,12 +168,12 @@
     pub(super) fn units(&self, view: &View<'_>, others: &[Self]) -> Vec<UnitId> {
         let Some(block) = self.block else { return vec![self.unit] };
         let members = view.members.len();
-        let apart = |unit: UnitId| others.iter().any(|o| o.block.is_none() && o.unit == unit);
+        let separate = |unit: UnitId| others.iter().any(|o| o.block.is_none() && o.unit == unit);
         let slots = view.service.units().filter(|(unit, assignment)| {
             let mine = assignment.owner == Some(view.local);
             let same = assignment.standby == Some(self.standby);
             let slot = unit.key.is_none() && view.service.block(unit.slot, members) == block;
-            mine && same && slot && !apart(*unit)
+            mine && same && slot && !separate(*unit)
         });
         slots.map(|(unit, _)| unit).collect()
     }
@@ -175,10 +186,10 @@
 }
 
 /// Returns the mean load of members with free slots.
-fn ample(view: &View<'_>) -> f64 {
+fn unsaturated_mean(view: &View<'_>) -> f64 {
     let loads = view.members.values().filter_map(|candidate| candidate.load);
     let densities: Vec<_> =
-        loads.filter(|load| !load.saturated()).map(|load| load.density()).collect();
+        loads.filter(|load| !load.saturated()).map(|load| load.load_per_slot()).collect();
     let count = u32::try_from(densities.len()).map_or(1.0, f64::from);
     densities.iter().sum::<f64>() / count.max(1.0)
 }
@@ -187,21 +198,26 @@
 ///
 /// A saturated member counts as at least as loaded as those with free slots, times what it would need.
 /// A slow upstream gets its fair count of requests and claims health; only what piles up shows it.
-fn load_of(load: &Load, ample: f64) -> f64 {
-    if load.saturated() { load.density().max(ample) * load.excess() } else { load.density() }
+fn load_of(load: &Load, unsaturated_mean: f64) -> f64 {
+    if load.saturated() {
+        load.load_per_slot().max(unsaturated_mean) * load.overload()
+    } else {
+        load.load_per_slot()
+    }
 }
 
 /// Returns the own load, and the part of it that one request a second makes up.
-fn own_load(now: Time, view: &View<'_>, ample: f64) -> (f64, f64) {
+fn own_load(now: Time, view: &View<'_>, unsaturated_mean: f64) -> (f64, f64) {
     let Some(load) = view.members[&view.local].load else { return (0.0, 0.0) };
     let rate = view.rates.total(now);
-    let own = load_of(&Load { rate, ..load }, ample);
+    let own = load_of(&Load { rate, ..load }, unsaturated_mean);
     if rate > 0.0 { (own, own / rate) } else { (0.0, 0.0) }
 }
 
-fn reported(view: &View<'_>, ample: f64) -> impl Iterator<Item = (MemberId, f64)> {
+fn reported(view: &View<'_>, unsaturated_mean: f64) -> impl Iterator<Item = (MemberId, f64)> {
     let others = view.members.iter().filter(|(id, _)| **id != view.local);
-    others.filter_map(move |(id, candidate)| Some((*id, load_of(&candidate.load?, ample))))
+    others
+        .filter_map(move |(id, candidate)| Some((*id, load_of(&candidate.load?, unsaturated_mean))))
 }
 
 #[cfg(test)]
