--- a/acaciaring_core/src/balance/cost.rs
+++ b/acaciaring_core/src/balance/cost.rs
@@ -1,14 +1,14 @@
-//! What a move costs the tenant.
+//! Cost of a move to the tenant.
 
 use std::time::Duration;
 
 use super::{BalanceSettings, View};
 use crate::id::UnitId;
 
-/// Cost of moves; a fair count of slots whose moves cost 1 each make 1 in all.
+/// Cost model of moves; a fair number of slots whose moves cost 1 each add up to 1.
 ///
-/// The weights of a tenant count relative to each other: with churn alone a change of owner costs 1,
-/// with downtime alone a drain of the usual length does.
+/// Only the ratio of the tenant's weights matters: with churn alone a change of owner costs 1, with
+/// downtime alone a drain of the reference time does.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Costs {
     churn: f64,
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Returns the cost of moving a unit with `rate` requests a second.
+    /// Returns the cost of moving a unit with `rate` requests per second.
     pub(super) fn of(&self, unit: UnitId, rate: f64) -> f64 {
         self.relative(unit, rate) / self.fair
     }
 
-    /// Returns the cost of moving a unit where a slot costs up to about 1.
+    /// Returns the cost of moving a unit, on a scale where a slot costs about 1.
     pub(super) fn relative(&self, unit: UnitId, rate: f64) -> f64 {
         let keys = if unit.key.is_some() { self.key } else { 1.0 };
         keys * self.slot(rate)
@@ -51,9 +51,9 @@
         self.churn + self.downtime * drain
     }
 
-    /// Returns the time for which a unit is not served during a move.
+    /// Returns the expected time for which a unit is not served during a move.
     ///
-    /// The owner waits for requests in flight; the chance that there is one follows from Poisson arrivals.
+    /// The owner waits for requests in flight; arrivals are modelled as a Poisson process.
     fn expected_drain(&self, rate: f64) -> Duration {
         let in_flight = 1.0 - (-rate * self.service.as_secs_f64()).exp();
         self.transfer + self.service.mul_f64(in_flight)
--- a/acaciaring_core/src/balance/history.rs
+++ b/acaciaring_core/src/balance/history.rs
@@ -1,4 +1,4 @@
-//! What a member remembers of moves.
+//! Recent moves that a member has proposed or seen.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -7,26 +7,26 @@
 use crate::id::{KeyHash, MemberId, UnitId};
 use crate::time::Time;
 
-/// Span over which own moves are bounded.
+/// Window in which own moves are limited.
 const RATE_WINDOW: Duration = Duration::from_mins(1);
 
-/// Moves that a member has proposed or seen.
+/// Recent moves that a member has proposed or seen.
 #[derive(Debug, Default)]
 pub struct History {
     moved: HashMap<UnitId, Time>,
-    /// Own moves, oldest first.
+    /// Times of own moves, oldest first.
     move_times: VecDeque<Time>,
-    /// Units that members have received, oldest first.
+    /// Times at which members received units, oldest first.
     received: BTreeMap<MemberId, VecDeque<Time>>,
-    /// When members last received a hot key.
+    /// Times at which members last received a hot key.
     hot_received: HashMap<MemberId, Time>,
     cold_since: HashMap<KeyHash, Time>,
-    /// Hot keys whose standby role this member has handed over.
+    /// Times at which this member handed over the standby role of hot keys.
     handed_off: HashMap<KeyHash, Time>,
 }
 
 impl History {
-    /// Notes that a plan has been proposed.
+    /// Records a proposed plan.
     pub fn record_plan(&mut self, now: Time, plan: &Plan) {
         for unit in &plan.switchovers {
             self.moved.insert(*unit, now);
@@ -35,7 +35,7 @@
         self.handed_off.extend(plan.handoffs.iter().filter_map(|(unit, _)| Some((unit.key?, now))));
     }
 
-    /// Notes a switchover that was folded, whoever proposed it.
+    /// Records a folded switchover, whichever member proposed it.
     pub fn record_switchover(&mut self, now: Time, unit: UnitId, owner: MemberId) {
         self.moved.insert(unit, now);
         self.received.entry(owner).or_default().push_back(now);
@@ -44,28 +44,28 @@
         }
     }
 
-    /// Returns true when a unit has moved so lately that it stays.
+    /// Returns true when a unit has moved within the cooldown.
     pub(super) fn in_cooldown(&self, now: Time, unit: UnitId, cooldown: Duration) -> bool {
         self.moved.get(&unit).is_some_and(|at| now.since(*at) < cooldown)
     }
 
-    /// Returns true when this member has handed over the standby role of a hot key in the last minute.
+    /// Returns true when this member has recently handed over the standby role of a hot key.
     pub(super) fn handed_off(&self, now: Time, key: KeyHash) -> bool {
         self.handed_off.get(&key).is_some_and(|at| now.since(*at) < RATE_WINDOW)
     }
 
-    /// Returns the count of own moves in the last minute.
+    /// Returns the number of own moves in the last minute.
     pub(super) fn own_moves(&self, now: Time) -> usize {
         self.move_times.iter().filter(|at| now.since(**at) < RATE_WINDOW).count()
     }
 
-    /// Returns the count of units that a member has received since it reported its load.
+    /// Returns the number of units that a member has received since it reported its load.
     pub(super) fn received_since(&self, member: MemberId, report: Time) -> usize {
         let times = self.received.get(&member).into_iter().flatten();
         times.filter(|at| **at >= report).count()
     }
 
-    /// Returns true when a member has received a hot key so lately that its reports may not show it.
+    /// Returns true when a member received a hot key so recently that its reports may not show it.
     pub(super) fn hot_received(&self, now: Time, member: MemberId, settle_time: Duration) -> bool {
         self.hot_received.get(&member).is_some_and(|at| now.since(*at) < settle_time)
     }
@@ -94,7 +94,7 @@
         });
         self.hot_received.retain(|_, at| now.since(*at) < settings.settle_time);
         self.handed_off.retain(|_, at| now.since(*at) < RATE_WINDOW);
-        // A key that was merged is never asked for again.
+        // Keys that were merged are never queried again, so their entries must expire.
         let longest = settings.merge_after * 4;
         self.cold_since.retain(|_, since| now.since(*since) < longest);
     }
--- a/acaciaring_core/src/balance/keys.rs
+++ b/acaciaring_core/src/balance/keys.rs
@@ -1,4 +1,4 @@
-//! Which keys become units of their own, and which return to their slots.
+//! Decisions to split hot keys out of their slots and to merge cold ones back.
 
 use super::summary::Summary;
 use super::{BalanceSettings, History, View};
@@ -6,17 +6,17 @@
 use crate::rates::HotKeyRate;
 use crate::time::Time;
 
-/// Members among which a hot key chooses its next standby.
+/// Number of least loaded members among which the next standby of a hot key is chosen.
 const COOL_CANDIDATES: usize = 4;
 
-/// Decisions on keys.
+/// Decisions on hot keys.
 #[derive(Debug, Default)]
 pub(super) struct KeyMoves {
     pub(super) splits: Vec<UnitId>,
     pub(super) merges: Vec<UnitId>,
-    /// Cold keys on their way to the owner of their slot; once there they can be merged.
+    /// Cold keys to move to their slot's owner, which can then merge them.
     pub(super) returning: Vec<UnitId>,
-    /// Hot keys whose standby role goes to a cooler member.
+    /// Hot keys whose standby role goes to a less loaded member or to the slot's owner.
     pub(super) handoffs: Vec<(UnitId, MemberId)>,
 }
 
@@ -45,15 +45,15 @@
         if slot.is_some_and(|slot| slot.owner == Some(view.local)) {
             moves.merges.push(unit);
         } else {
-            // A standby that does not own the slot does not know that the key is cold. This member, once
-            // it has become standby in its place, hands the role to the slot's owner.
+            // A standby that does not own the slot does not know that the key is cold. After the
+            // switchover this member is standby and hands the role to the slot's owner.
             moves.returning.push(unit);
         }
     }
     moves
 }
 
-/// Returns the keys to split out: hot ones that make up most of their slot, at a member that is hot.
+/// Returns the keys to split out: those that dominate their slot, at an overloaded member.
 fn splits(
     now: Time,
     view: &View<'_>,
@@ -74,10 +74,10 @@
         .collect()
 }
 
-/// Returns hot keys whose standby role this member hands over because it is not cool itself.
+/// Returns hot keys whose standby role this member hands over because of its own load.
 ///
-/// A unit moves only to its standby. With a standby that is warm too, a hot key would stay where it is.
-/// Keys choose among the coolest members by hash, so that they do not all go to one.
+/// A unit moves only to its standby, so a hot key with a loaded standby would stay where it is. The
+/// new standby is chosen by hash among the least loaded members, so that keys spread over them.
 fn cooler_handoffs(
     now: Time,
     view: &View<'_>,
@@ -107,7 +107,7 @@
     .collect()
 }
 
-/// Returns keys that were cold when this member owned them, whose standby role goes to the slot's owner.
+/// Returns standby roles of keys, cold when this member owned them, to hand to the slot's owner.
 fn return_handoffs(view: &View<'_>, history: &History) -> Vec<(UnitId, MemberId)> {
     let cold =
         view.service.hot.iter().filter(|(key, hot)| {
--- a/acaciaring_core/src/balance/mod.rs
+++ b/acaciaring_core/src/balance/mod.rs
@@ -1,7 +1,8 @@
-//! Balance: which units an owner moves, which keys it splits out, which standby roles it hands over.
+//! Load balancing: which units an owner moves, which keys it splits out and which standby roles it
+//! hands over.
 //!
-//! Each member decides for itself from the folded state and from loads that it has been told of.
-//! A unit moves only to its standby, which serves as soon as the owner releases.
+//! Each member plans for itself from the folded state and the reported loads. A unit moves only to
+//! its standby, which serves as soon as the owner releases it.
 
 mod cost;
 mod history;
@@ -24,27 +25,27 @@
 use crate::state::Service;
 use crate::time::Time;
 
-/// Least and greatest speed that is believed; beyond them something else is wrong.
+/// Bounds within which a reported speed is used; values beyond them are not plausible.
 const MIN_SPEED: f64 = 0.1;
 const MAX_SPEED: f64 = 10.0;
 
-/// Load of a member as it was reported.
+/// Reported load of a member.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests in flight and waiting.
+    /// Requests in flight or waiting.
     pub busy: u32,
-    /// Requests that may run at once.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Requests that a slot runs in the time in which that of a typical member runs one.
+    /// Throughput of a slot relative to that of a typical member.
     pub speed: f64,
-    /// When this process got the report.
+    /// Time at which this process received the report.
     pub at: Time,
 }
 
 impl Load {
-    /// Returns true when more requests are there than may run at once.
+    /// Returns true when requests exceed the concurrency limit.
     #[must_use]
     pub fn saturated(&self) -> bool {
         self.busy > self.capacity
@@ -54,17 +55,17 @@
         f64::from(self.capacity.max(1))
     }
 
-    /// Returns the count of typical slots that run as much as this member's.
+    /// Returns the number of typical slots with the same throughput as this member's.
     fn effective_slots(&self) -> f64 {
         self.slots() * self.speed.clamp(MIN_SPEED, MAX_SPEED)
     }
 
-    /// Returns requests a second for each typical slot.
+    /// Returns requests per second per typical slot.
     fn load_per_slot(&self) -> f64 {
         self.rate / self.effective_slots()
     }
 
-    /// Returns how many times its slots a saturated member would need, 1 for any other.
+    /// Returns the ratio of requests to slots of a saturated member, 1 for any other.
     fn overload(&self) -> f64 {
         (f64::from(self.busy) / self.slots()).max(1.0)
     }
@@ -79,43 +80,44 @@
     pub load: Option<Load>,
 }
 
-/// What a member knows when it plans.
+/// Input of [`plan`].
 #[derive(Debug)]
 pub struct View<'a> {
-    /// The member that plans.
+    /// The planning member.
     pub local: MemberId,
     /// Assignments of the service.
     pub service: &'a Service,
-    /// Members that are alive and attached to the service, the planning one included.
+    /// Members that are alive and attached to the service, including the planning one.
     pub members: &'a BTreeMap<MemberId, Candidate>,
-    /// Heat of the units that this member owns.
+    /// Request rates of the units that this member owns.
     pub rates: &'a RequestRates,
     /// The tenant's weights.
     pub weights: Weights,
-    /// Typical time that a request takes at this member's upstream.
+    /// Typical service time at this member's upstream.
     pub service_time: Duration,
 }
 
 impl View<'_> {
-    /// Returns true when `member` may take the standby role from the planning one.
+    /// Returns true when `member` may take over the standby role from the planning member.
     ///
-    /// The new standby is not in the owner's data centre, unless the planning member is.
+    /// The new standby must be in another data centre than the owner, unless the planning member is
+    /// in the owner's as well.
     fn allows_standby(&self, owner: MemberId, member: MemberId) -> bool {
         let place = |id: MemberId| self.members.get(&id).map(|candidate| &candidate.data_centre);
         place(owner) != place(member) || place(owner) == place(self.local)
     }
 }
 
-/// What a member should propose now.
+/// Changes that a member should propose now.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Plan {
-    /// Own units that should change roles with their standby.
+    /// Own units that should swap roles with their standby.
     pub switchovers: Vec<UnitId>,
-    /// Own keys that should become units of their own.
+    /// Own keys that should become separate units.
     pub splits: Vec<UnitId>,
     /// Own hot keys that should return to their slot.
     pub merges: Vec<UnitId>,
-    /// Units for which this member stands by, and who should do so instead.
+    /// Units for which this member is standby, and the members that should replace it.
     pub handoffs: Vec<(UnitId, MemberId)>,
 }
 
@@ -132,7 +134,7 @@
 
 /// Decides what to propose now.
 ///
-/// The caller tells `history` what it has proposed and which switchovers it has folded.
+/// The caller records in `history` the plans it has proposed and the switchovers it has folded.
 #[must_use]
 pub fn plan(now: Time, view: &View<'_>, settings: &BalanceSettings, history: &mut History) -> Plan {
     if !view.members.contains_key(&view.local) {
--- a/acaciaring_core/src/balance/moves.rs
+++ b/acaciaring_core/src/balance/moves.rs
@@ -1,4 +1,4 @@
-//! Which own units change roles with their standbys.
+//! Selection of the own units that swap roles with their standbys.
 
 use std::collections::HashMap;
 
@@ -51,19 +51,19 @@
     chosen.into_iter().flat_map(units).collect()
 }
 
-/// Returns how many units may move now.
+/// Returns the number of units or blocks that may move now.
 fn allowance(now: Time, settings: &BalanceSettings, summary: &Summary, history: &History) -> usize {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a share of a u32")]
     let share = (summary.fair * settings.move_share) as usize;
     let units = share.max(settings.min_moves).saturating_sub(history.own_moves(now));
-    // A block counts by its slots.
+    // A block counts as many moves as it has slots.
     let blocks = summary.movable.iter().filter(|own| own.block.is_some()).count();
     let slots = summary.owned.div_ceil(blocks.max(1)).max(1);
     if blocks > 0 { units.div_ceil(slots) } else { units }
 }
 
 impl Projection<'_> {
-    /// Moves units until no move is worth its cost, the best gain per cost first.
+    /// Moves units in order of gain per cost until no move is worth its cost.
     fn reduce_load(
         &mut self,
         settings: &BalanceSettings,
@@ -85,10 +85,10 @@
         chosen
     }
 
-    /// Gives members that are short of units this member's share of what they lack.
+    /// Moves this member's quota of units to members that own too few.
     ///
-    /// Units of middling heat go first, and none that would bring the newcomer above the mean: reports
-    /// lag, and many give at once.
+    /// Units of typical rate go first, and none that would raise the receiver above the mean:
+    /// reports lag, and several donors give at once.
     fn fill_deficits(
         &mut self,
         settings: &BalanceSettings,
@@ -129,7 +129,8 @@
             return 0.0;
         };
         let cost = self.summary.costs.relative(own.unit, own.rate);
-        // The limit starts moves and the goal ends them, so that a load near either causes none.
+        // Hysteresis: the limit starts moves and the target ends them, so a load near either is
+        // stable.
         if self.summary.load <= self.summary.limit(cost)
             || self.own_load <= self.summary.target(cost)
         {
@@ -137,8 +138,8 @@
         }
         let mine = self.own_load - own.rate * self.summary.rate_factor;
         let after = theirs + self.load_at(own.standby, own.rate);
-        // The receiver must end neither hot nor above the giver. Else the unit would soon come back, and
-        // callers would see it swapped to and fro.
+        // The receiver must end neither overloaded nor above the donor, or the unit would soon move
+        // back and oscillate between the two.
         if load.saturated()
             || after > self.summary.target(0.0)
             || after > mine.max(self.summary.mean)
@@ -149,7 +150,7 @@
         gain / self.summary.mean / self.summary.costs.of(own.unit, own.rate)
     }
 
-    /// Returns the load that `rate` requests a second are at a member.
+    /// Returns the load that `rate` requests per second cause at a member.
     fn load_at(&self, member: MemberId, rate: f64) -> f64 {
         let load = self.view.members.get(&member).and_then(|candidate| candidate.load);
         rate / load.map_or(1.0, |load| load.effective_slots())
--- a/acaciaring_core/src/balance/quotas.rs
+++ b/acaciaring_core/src/balance/quotas.rs
@@ -1,6 +1,6 @@
-//! Shares of givers, so that members who give without asking each other do not give too much together.
+//! Transfer quotas, so that members that give independently do not give too much in total.
 //!
-//! All givers derive the same shares from the same folded state.
+//! All donors derive the same quotas from the same folded state.
 
 use std::collections::BTreeMap;
 
@@ -13,17 +13,17 @@
 #[cfg(test)]
 mod tests;
 
-/// Member that has something to give.
+/// Member that has units or roles to give.
 #[derive(Debug, Clone, Copy)]
 struct Donor {
     id: MemberId,
-    /// What it has.
+    /// Number of units or roles that it holds.
     count: u32,
-    /// What it could give to this receiver.
+    /// Number that it could give to this receiver.
     available: u32,
 }
 
-/// Returns to whom the planning member gives how many of its own units.
+/// Returns the members that receive own units of the planning member, and how many each.
 pub(super) fn transfer_quotas(
     view: &View<'_>,
     settings: &BalanceSettings,
@@ -43,7 +43,7 @@
     quotas.filter(|(_, quota)| *quota > 0).collect()
 }
 
-/// Returns which standby roles the planning member hands over to whom.
+/// Returns the standby roles that the planning member hands over, and to which member.
 pub(super) fn handoffs(
     view: &View<'_>,
     settings: &BalanceSettings,
@@ -67,7 +67,7 @@
     given
 }
 
-/// Returns members that fall short of the fair count, and by how much.
+/// Returns the members that hold too few, and how many they lack.
 fn deficits(
     settings: &BalanceSettings,
     summary: &Summary,
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// Returns how many slots each owner has for which `member` stands by.
+/// Returns how many slots each owner has for which `member` is standby.
 fn available(view: &View<'_>, member: MemberId) -> BTreeMap<MemberId, u32> {
     let mut available = BTreeMap::new();
     for assignment in view.service.slots.iter().filter(|a| a.standby == Some(member)) {
@@ -102,7 +102,7 @@
     available
 }
 
-/// Returns the slots for which the planning member may pass the standby role to `member`.
+/// Returns the slots for which the planning member may hand the standby role to `member`.
 fn transferable(view: &View<'_>, member: MemberId) -> Vec<UnitId> {
     let slots = (0..).zip(&view.service.slots);
     let fits = slots.filter(|(_, assignment)| {
@@ -114,24 +114,25 @@
     fits.map(|(slot, _)| UnitId::slot(slot)).collect()
 }
 
-/// Returns the count down to which members give.
+/// Returns the number down to which donors give.
 ///
-/// It is a little below the fair count. Some that have more may own nothing for which the receiver may
-/// stand by, as they are in its data centre; the others make up for them.
+/// It is slightly below the fair number: some donors may hold nothing that the receiver may be
+/// standby of, as they are in its data centre, and the others make up for them.
 fn floor(settings: &BalanceSettings, fair: f64) -> u32 {
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a share of a u32")]
     let floor = (fair * (1.0 - settings.max_deficit / 2.0)) as u32;
     floor
 }
 
-/// Returns how much of `wanted` falls to one giver: those that have most give until they are level.
+/// Returns how many of `wanted` the local member gives: the largest donors give until they are
+/// level.
 fn quota(local: MemberId, receiver: MemberId, donors: &[Donor], wanted: u32, floor: u32) -> usize {
     let surplus =
         |donor: &Donor, level: u32| donor.count.saturating_sub(level).min(donor.available);
     let sum = |level: u32| donors.iter().map(|donor| u64::from(surplus(donor, level))).sum::<u64>();
     let max_count = donors.iter().map(|donor| donor.count).max().unwrap_or(0);
     let Some(local) = donors.iter().find(|donor| donor.id == local) else { return 0 };
-    // The lowest level at which the givers together do not give too much.
+    // Finds the lowest level at which all donors together do not give too much.
     let mut low = floor;
     let mut high = max_count.max(floor);
     while low < high {
@@ -141,7 +142,7 @@
     let base = surplus(local, low);
     let eligible = low > floor && surplus(local, low - 1) > base;
     let rest = u64::from(wanted).saturating_sub(sum(low));
-    // One level lower would be too much, so only some of those that could give one more do.
+    // The next lower level would give too much, so only some of the eligible donors give one more.
     let priority = |donor: &Donor| rendezvous_hash(donor.id.0, receiver.0);
     let candidates =
         donors.iter().filter(|donor| low > floor && surplus(donor, low - 1) > surplus(donor, low));
@@ -150,7 +151,7 @@
     usize::try_from(base).unwrap_or(usize::MAX) + usize::from(extra)
 }
 
-/// Returns a number that orders one id for another one, alike at every member.
+/// Returns the hash of a pair of ids, the same at every member, for rendezvous ordering.
 fn rendezvous_hash(one: u64, other: u64) -> u64 {
     xxh3_64_with_seed(&one.to_le_bytes(), other)
 }
--- a/acaciaring_core/src/balance/quotas/tests.rs
+++ b/acaciaring_core/src/balance/quotas/tests.rs
@@ -11,8 +11,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Givers decide without asking each other. Together they give what is wanted, or all they can, and
-    // never more; and none gives while another keeps two more than it.
+    // Donors decide independently. Together they must give exactly what is wanted or all they can,
+    // and end level to within one.
     #[test]
     fn donors_together_give_exactly_the_wanted_number(
         counts in prop::collection::vec((0u32..200, 0u32..60), 1..40),
--- a/acaciaring_core/src/balance/settings.rs
+++ b/acaciaring_core/src/balance/settings.rs
@@ -1,51 +1,52 @@
-//! Settings of balance.
+//! Settings of load balancing.
 
 use std::time::Duration;
 
-/// Settings of balance.
+/// Settings of load balancing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BalanceSettings {
-    /// Share by which a member's load may exceed the mean when moves cost nothing.
+    /// Fraction by which a member's load may exceed the mean before free moves are worthwhile.
     ///
     /// The cost of a move to the tenant widens it for that move.
     pub tolerance: f64,
-    /// Load in requests a second per slot below which nothing is moved for its heat.
+    /// Load in requests per second per slot below which no unit is moved for its load.
     pub min_load: f64,
-    /// Least gain per cost of a move; 1 is the gain of a slot of mean heat at a cost of 1.
+    /// Minimum gain per cost of a move; 1 is the gain of a slot of mean load at a cost of 1.
     pub min_gain: f64,
-    /// Share of its fair count of units by which a member may fall short.
+    /// Fraction of its fair number of units by which a member may fall short.
     pub max_deficit: f64,
-    /// Own units that may move in a minute whatever the fair count.
+    /// Number of own units that may always move per minute.
     pub min_moves: usize,
-    /// Own units that may move in a minute, as a share of the fair count.
+    /// Own units that may move per minute, as a fraction of the fair number.
     pub move_share: f64,
-    /// Time for which a unit that has moved stays where it is.
+    /// Time for which a unit stays where it is after a move.
     pub cooldown: Duration,
-    /// Time for which a member that has received a hot key gets no other units for their heat.
+    /// Time for which a member that has received a hot key gets no other units for their load.
     ///
-    /// Its reports are smoothed and lag, so it looks cool while keys from all sides make it the hottest.
+    /// Its smoothed reports lag, so it would look lightly loaded while every other member sends it
+    /// keys.
     pub settle_time: Duration,
-    /// Drain that weighs as much as the change of owner.
+    /// Drain time that costs as much as the change of owner itself.
     pub reference_drain: Duration,
-    /// Time that a move takes without any request in flight.
+    /// Duration of a move without any request in flight.
     pub transfer_time: Duration,
     /// Cost of moving a hot key relative to a slot.
     pub key_cost: f64,
-    /// Share of a slot's heat from which a key is split out.
+    /// Minimum fraction of its slot's rate at which a key is split out.
     pub split_share: f64,
-    /// Least heat of a key that is split out, as a share of the mean load.
+    /// Minimum load of a key that is split out, as a fraction of the mean load.
     pub split_load: f64,
-    /// Share of the mean load below which a hot key is cold.
+    /// Load below which a hot key counts as cold, as a fraction of the mean load.
     pub merge_load: f64,
-    /// Share of the mean load below which a member may become standby of a hot key for its coolness.
+    /// Load below which a member may become standby of a hot key, as a fraction of the mean load.
     pub cool_load: f64,
-    /// Time for which a hot key has to be cold before it returns to its slot.
+    /// Time for which a hot key must be cold before it returns to its slot.
     pub merge_after: Duration,
-    /// Hot keys of a service at most.
+    /// Maximum number of hot keys of a service.
     pub hot_keys: usize,
-    /// Keys that are split out in one plan at most.
+    /// Maximum number of keys split out in one plan.
     pub max_splits: usize,
-    /// Standby roles that are handed over in one plan at most.
+    /// Maximum number of standby roles handed over in one plan.
     pub max_handoffs: usize,
 }
 
--- a/acaciaring_core/src/balance/summary.rs
+++ b/acaciaring_core/src/balance/summary.rs
@@ -1,4 +1,4 @@
-//! Survey of the service that all parts of a plan share.
+//! Counts and loads that all parts of a plan share.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,44 +7,45 @@
 use crate::id::{MemberId, UnitId};
 use crate::time::Time;
 
-/// Slots of a member.
+/// Number of slots that a member owns and is standby of.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct SlotCount {
     pub(super) owned: u32,
     pub(super) standbys: u32,
 }
 
-/// Own unit that has a standby, or a block of neighbouring slots that has one standby.
+/// Own unit with a standby, or a block of neighbouring slots with a common standby.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OwnedUnit {
     /// The unit, or the first slot of the block.
     pub(super) unit: UnitId,
-    /// Block of which all own slots with this standby move together.
+    /// Block whose own slots with this standby move together.
     pub(super) block: Option<u32>,
     pub(super) standby: MemberId,
-    /// Requests a second.
+    /// Requests per second.
     pub(super) rate: f64,
 }
 
-/// Counts and loads as seen by the planning member.
+/// Counts and loads as the planning member knows them.
 #[derive(Debug)]
 pub(super) struct Summary {
     /// Slots of each candidate.
     pub(super) counts: BTreeMap<MemberId, SlotCount>,
+    /// Own units that may move, grouped into blocks in a founded service.
     pub(super) movable: Vec<OwnedUnit>,
-    /// Own units, those of blocks counted one by one.
+    /// Number of own units with a standby, not grouped into blocks.
     pub(super) owned: usize,
-    /// Fair count of slots per member.
+    /// Fair number of slots per member.
     pub(super) fair: f64,
     /// Own load.
     pub(super) load: f64,
-    /// Own load that one request a second makes up.
+    /// Own load per request per second.
     pub(super) rate_factor: f64,
     /// Mean of the known loads.
     pub(super) mean: f64,
-    /// Loads of other members with what they have received since they reported.
+    /// Loads of other members, including what they have received since their reports.
     pub(super) loads: HashMap<MemberId, f64>,
-    /// Share by which the load of a member may exceed the mean when moves cost nothing.
+    /// Fraction by which a load may exceed the mean before free moves are worthwhile.
     tolerance: f64,
     pub(super) costs: Costs,
 }
@@ -89,17 +90,17 @@
         }
     }
 
-    /// Returns the load from which a move at this cost is worth it, as [`Costs::relative`] gives it.
+    /// Returns the load above which moves at this cost, as of [`Costs::relative`], are worthwhile.
     pub(super) fn limit(&self, cost: f64) -> f64 {
         self.mean * (1.0 + self.tolerance * (1.0 + cost))
     }
 
-    /// Returns the load that a member comes down to once it is above the limit; half of the way to the mean.
+    /// Returns the load at which moves end: halfway from the limit to the mean.
     pub(super) fn target(&self, cost: f64) -> f64 {
         f64::midpoint(self.limit(cost), self.mean)
     }
 
-    /// Returns true when this member should give load away, if only at no cost.
+    /// Returns true when this member should move load away, at least where that is free.
     pub(super) fn overloaded(&self, settings: &BalanceSettings) -> bool {
         self.load > self.limit(0.0) && self.load > settings.min_load
     }
@@ -130,11 +131,11 @@
     (index.into_iter().collect(), own, owned)
 }
 
-/// Joins the own slots of each block that have the same standby.
+/// Groups the own slots of each block that have the same standby.
 ///
-/// Guards against an upstream that holds more separate ranges than its grants have room for:
-/// what has no room is served by nobody. A slot that makes up most of its block stays apart,
-/// so that it can be parted from its neighbours.
+/// Guards against fragmenting ownership into more separate ranges than an upstream's grants can
+/// hold, which would leave slots unserved. A slot that makes up most of its block's rate stays
+/// separate, so that it can move without its neighbours.
 fn group_blocks(view: &View<'_>, own: &[OwnedUnit]) -> Vec<OwnedUnit> {
     let members = view.members.len();
     let mut blocks: BTreeMap<(u32, MemberId), OwnedUnit> = BTreeMap::new();
@@ -156,10 +157,9 @@
 }
 
 impl OwnedUnit {
-    /// Takes the rate of a unit that moves by itself off that of its block.
+    /// Subtracts the rate of a unit that moves separately from its block.
     ///
-    /// Guards against a rest below zero: the rates were added up in another order than they are
-    /// taken off, and a rate below zero has no time to drain.
+    /// Guards against a negative rate from floating-point rounding, for which no drain time exists.
     fn subtract_rate(&mut self, rate: f64) {
         self.rate = (self.rate - rate).max(0.0);
     }
@@ -185,7 +185,7 @@
     slots.max(1.0) / members.max(1.0)
 }
 
-/// Returns the mean load of members with free slots.
+/// Returns the mean load of the members that are not saturated.
 fn unsaturated_mean(view: &View<'_>) -> f64 {
     let loads = view.members.values().filter_map(|candidate| candidate.load);
     let densities: Vec<_> =
@@ -194,10 +194,10 @@
     densities.iter().sum::<f64>() / count.max(1.0)
 }
 
-/// Returns the load of a member: requests a second for each slot.
+/// Returns the load of a member in requests per second per slot.
 ///
-/// A saturated member counts as at least as loaded as those with free slots, times what it would need.
-/// A slow upstream gets its fair count of requests and claims health; only what piles up shows it.
+/// A saturated member counts at least as the mean of the unsaturated ones, times its overload: a
+/// slow upstream receives its fair rate, so only its backlog shows the problem.
 fn load_of(load: &Load, unsaturated_mean: f64) -> f64 {
     if load.saturated() {
         load.load_per_slot().max(unsaturated_mean) * load.overload()
@@ -206,7 +206,7 @@
     }
 }
 
-/// Returns the own load, and the part of it that one request a second makes up.
+/// Returns the own load, and the load per request per second.
 fn own_load(now: Time, view: &View<'_>, unsaturated_mean: f64) -> (f64, f64) {
     let Some(load) = view.members[&view.local].load else { return (0.0, 0.0) };
     let rate = view.rates.total(now);
--- a/acaciaring_core/src/balance/summary/tests.rs
+++ b/acaciaring_core/src/balance/summary/tests.rs
@@ -1,11 +1,10 @@
-//! Tests of what a member knows of its own units.
+//! Tests of the summary of own units.
 
 use super::OwnedUnit;
 use crate::id::{MemberId, UnitId};
 
-// A block of two busy slots is taken apart. Added and taken off in another order, their rates leave
-// -2.8e-17 requests a second; the time that such a block takes to drain cannot be stated, and the
-// control thread of a member ended over it.
+// Subtracting rates in another order than they were added leaves a tiny negative sum through
+// rounding; computing a drain time from it would panic the control thread.
 #[test]
 fn a_block_split_into_its_units_keeps_no_negative_rate() {
     let rates = [0.1, 0.2, 0.3];
