--- a/acaciaring_core/src/selector.rs
+++ b/acaciaring_core/src/selector.rs
@@ -19,7 +19,7 @@
 use crate::time::Time;
 
 /// Draws before all candidates are looked through.
-const DRAWS: usize = 8;
+const MAX_DRAWS: usize = 8;
 
 /// Settings of the choice among members.
 #[derive(Debug, Clone, PartialEq)]
@@ -102,7 +102,7 @@
 
     /// Notes that a member asks to be left alone for `retry`.
     pub fn shed(&mut self, now: Time, member: MemberId, retry: Duration) {
-        self.peer(now, member).leave_alone(now + retry);
+        self.peer(now, member).back_off_until(now + retry);
     }
 
     /// Notes that a request goes to a member.
@@ -111,11 +111,11 @@
     }
 
     /// Notes how a request ended; to be called once for each [`Selector::sent`].
-    pub fn done(&mut self, now: Time, member: MemberId, sent: Outcome) {
-        let typical = self.latency;
+    pub fn done(&mut self, now: Time, member: MemberId, outcome: Outcome) {
+        let mean_latency = self.latency;
         let Some(peer) = self.peers.get_mut(&member) else { return };
-        peer.done(now, sent, &self.settings, typical);
-        if let Outcome::Answered(took) = sent {
+        peer.done(now, outcome, &self.settings, mean_latency);
+        if let Outcome::Answered(took) = outcome {
             self.latency += (took.as_secs_f64() - self.latency) / 32.0;
         }
     }
@@ -131,13 +131,13 @@
         candidates: &[MemberId],
         exclude: &[MemberId],
     ) -> Option<MemberId> {
-        let open = |id: &MemberId| !exclude.contains(id) && self.open(now, *id);
-        let first = pick(rng, candidates, open);
+        let available = |id: &MemberId| !exclude.contains(id) && self.available(now, *id);
+        let first = pick(rng, candidates, available);
         let Some(first) = first else {
             let usable = |id: &MemberId| !exclude.contains(id) && !self.shedding(now, *id);
             return pick(rng, candidates, usable);
         };
-        let second = pick(rng, candidates, |id| *id != first && open(id));
+        let second = pick(rng, candidates, |id| *id != first && available(id));
         match second {
             Some(second) if self.prefers(now, second, first) => Some(second),
             _ => Some(first),
@@ -146,22 +146,24 @@
 
     /// Returns true when a member is to get the next request rather than another one.
     fn prefers(&self, now: Time, one: MemberId, other: MemberId) -> bool {
-        match (self.due(now, one), self.due(now, other)) {
+        match (self.probe_due(now, one), self.probe_due(now, other)) {
             (true, false) => true,
             (false, true) => false,
             _ => self.cost(now, one) < self.cost(now, other),
         }
     }
 
-    fn due(&self, now: Time, member: MemberId) -> bool {
-        self.peers.get(&member).is_some_and(|peer| peer.due(now, &self.settings, self.latency))
+    fn probe_due(&self, now: Time, member: MemberId) -> bool {
+        self.peers
+            .get(&member)
+            .is_some_and(|peer| peer.probe_due(now, &self.settings, self.latency))
     }
 
     /// Returns when the first of the candidates that ask to be left alone may be tried again.
     #[must_use]
     pub fn retry_after(&self, now: Time, candidates: &[MemberId]) -> Option<Duration> {
         let peers = candidates.iter().filter_map(|id| self.peers.get(id));
-        peers.filter_map(|peer| peer.opening(now)).min()
+        peers.filter_map(|peer| peer.retry_after(now)).min()
     }
 
     /// Returns the expected cost of one more request at a member; only its order has a meaning.
@@ -172,8 +174,8 @@
         }
     }
 
-    fn open(&self, now: Time, member: MemberId) -> bool {
-        self.peers.get(&member).is_none_or(|peer| peer.open(now))
+    fn available(&self, now: Time, member: MemberId) -> bool {
+        self.peers.get(&member).is_none_or(|peer| peer.available(now))
     }
 
     fn shedding(&self, now: Time, member: MemberId) -> bool {
@@ -195,7 +197,7 @@
     if candidates.is_empty() {
         return None;
     }
-    for _ in 0..DRAWS {
+    for _ in 0..MAX_DRAWS {
         let id = candidates[rng.random_range(0..candidates.len())];
         if passes(&id) {
             return Some(id);
--- a/acaciaring_core/src/selector/near.rs
+++ b/acaciaring_core/src/selector/near.rs
@@ -7,10 +7,10 @@
 use crate::time::Time;
 
 /// Part of its capacity up to which a member that is near is preferred whatever others have free.
-const ROOM: f64 = 0.5;
+const NEAR_LOAD_LIMIT: f64 = 0.5;
 
 /// Times the latency over all members that a member may have and still be preferred.
-const SLOW: f64 = 2.0;
+const MAX_LATENCY_RATIO: f64 = 2.0;
 
 /// The member of the choosing process itself, and its load as its gate counts it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 
 /// What one more request means for a member.
 #[derive(Debug, Clone, Copy)]
-struct Weight {
+struct Estimate {
     /// Part of its capacity that is in use.
     load: f64,
     cost: f64,
@@ -55,33 +55,34 @@
         exclude: &[MemberId],
     ) -> Option<MemberId> {
         let any = self.choose(now, rng, candidates, exclude)?;
-        if !self.is_fast(now, any) && self.due(now, any) {
+        if !self.is_fast(now, any) && self.probe_due(now, any) {
             // Nothing else would show that it has become fast.
             return Some(any);
         }
-        let most = self.weigh(now, any).cost;
-        let fits = |id: MemberId, weight: Weight| {
-            let roomy = weight.load < ROOM || weight.cost <= most;
-            let open = !exclude.contains(&id) && self.open(now, id);
-            roomy && open && (self.is_fast(now, id) || self.due(now, id))
+        let max_cost = self.estimate(now, any).cost;
+        let fits = |id: MemberId, estimate: Estimate| {
+            let has_capacity = estimate.load < NEAR_LOAD_LIMIT || estimate.cost <= max_cost;
+            let available = !exclude.contains(&id) && self.available(now, id);
+            has_capacity && available && (self.is_fast(now, id) || self.probe_due(now, id))
         };
-        if let Some(own) = near.local.filter(|own| fits(own.member, self.weigh_own(now, *own))) {
+        if let Some(own) = near.local.filter(|own| fits(own.member, self.estimate_local(now, *own)))
+        {
             return Some(own.member);
         }
-        let passes = |id: &MemberId| fits(*id, self.weigh(now, *id));
+        let passes = |id: &MemberId| fits(*id, self.estimate(now, *id));
         let Some(first) = pick(rng, near.others, passes) else { return Some(any) };
         let second = pick(rng, near.others, |id| *id != first && passes(id));
         Some(second.filter(|second| self.prefers(now, *second, first)).unwrap_or(first))
     }
 
-    fn weigh(&self, now: Time, member: MemberId) -> Weight {
+    fn estimate(&self, now: Time, member: MemberId) -> Estimate {
         let load = self.peers.get(&member).map_or(0.0, |peer| peer.load(now, &self.settings));
-        Weight { load, cost: self.cost(now, member) }
+        Estimate { load, cost: self.cost(now, member) }
     }
 
-    fn weigh_own(&self, now: Time, own: LocalMember) -> Weight {
+    fn estimate_local(&self, now: Time, own: LocalMember) -> Estimate {
         let (busy, capacity) = (f64::from(own.busy), f64::from(own.capacity));
-        Weight {
+        Estimate {
             load: busy / capacity,
             cost: self.latency(now, own.member) * (busy + 1.0) / capacity,
         }
@@ -89,7 +90,7 @@
 
     /// Returns false for a member that is slower than others by far.
     fn is_fast(&self, now: Time, member: MemberId) -> bool {
-        self.latency(now, member) <= self.latency * SLOW
+        self.latency(now, member) <= self.latency * MAX_LATENCY_RATIO
     }
 
     fn latency(&self, now: Time, member: MemberId) -> f64 {
--- a/acaciaring_core/src/selector/peer.rs
+++ b/acaciaring_core/src/selector/peer.rs
@@ -12,10 +12,10 @@
 ///
 /// A try at a slow member costs one caller its latency, so that an entry spends a sixteenth of one
 /// caller's time on it at most, however slow it is.
-const TRY_AGAIN: u32 = 16;
+const PROBE_INTERVAL_LATENCIES: u32 = 16;
 
 /// Most doublings of the quarantine.
-const DOUBLINGS: u32 = 10;
+const MAX_DOUBLINGS: u32 = 10;
 
 #[derive(Debug)]
 pub(super) struct Peer {
@@ -24,17 +24,17 @@
     capacity: f64,
     reported: Time,
     /// Own requests sent since the report.
-    since: f64,
+    sent_since: f64,
     /// Own requests in flight.
-    flying: f64,
+    in_flight: f64,
     /// Smoothed latency in seconds, none before the first answer.
     latency: Option<f64>,
-    measured: Time,
+    sampled: Time,
     /// When a request was last sent there.
-    tried: Time,
-    cold: Option<Time>,
-    alone: Time,
-    quarantine: Time,
+    last_sent: Time,
+    cold_since: Option<Time>,
+    backoff_until: Time,
+    ejected_until: Time,
     failures: u32,
 }
 
@@ -44,14 +44,14 @@
             busy: 0.0,
             capacity: f64::from(settings.slots),
             reported: now,
-            since: 0.0,
-            flying: 0.0,
+            sent_since: 0.0,
+            in_flight: 0.0,
             latency: None,
-            measured: now,
-            tried: now,
-            cold: cold.then_some(now),
-            alone: Time::ZERO,
-            quarantine: Time::ZERO,
+            sampled: now,
+            last_sent: now,
+            cold_since: cold.then_some(now),
+            backoff_until: Time::ZERO,
+            ejected_until: Time::ZERO,
             failures: 0,
         }
     }
@@ -60,117 +60,124 @@
         self.busy = f64::from(busy);
         self.capacity = f64::from(capacity.max(1));
         self.reported = now;
-        self.since = 0.0;
+        self.sent_since = 0.0;
     }
 
-    pub(super) fn leave_alone(&mut self, until: Time) {
-        self.alone = self.alone.max(until);
+    pub(super) fn back_off_until(&mut self, until: Time) {
+        self.backoff_until = self.backoff_until.max(until);
     }
 
     pub(super) fn sent(&mut self, now: Time) {
-        self.tried = now;
-        self.since += 1.0;
-        self.flying += 1.0;
+        self.last_sent = now;
+        self.sent_since += 1.0;
+        self.in_flight += 1.0;
     }
 
     pub(super) fn done(
         &mut self,
         now: Time,
-        sent: Outcome,
+        outcome: Outcome,
         settings: &SelectorSettings,
-        typical: f64,
+        mean_latency: f64,
     ) {
-        self.flying = (self.flying - 1.0).max(0.0);
-        self.since = (self.since - 1.0).max(0.0);
-        match sent {
+        self.in_flight = (self.in_flight - 1.0).max(0.0);
+        self.sent_since = (self.sent_since - 1.0).max(0.0);
+        match outcome {
             Outcome::Answered(took) => {
                 self.failures = 0;
-                self.sample(now, took.as_secs_f64(), settings, typical);
+                self.sample(now, took.as_secs_f64(), settings, mean_latency);
             }
-            Outcome::Refused(retry) => self.leave_alone(now + retry.unwrap_or_default()),
+            Outcome::Refused(retry) => self.back_off_until(now + retry.unwrap_or_default()),
             Outcome::Failed => self.fail(now, settings),
             Outcome::Cancelled(took) => {
                 let took = took.as_secs_f64();
-                if took > self.latency(now, settings, typical) {
-                    self.sample(now, took, settings, typical);
+                if took > self.latency(now, settings, mean_latency) {
+                    self.sample(now, took, settings, mean_latency);
                 }
             }
         }
     }
 
-    fn sample(&mut self, now: Time, took: f64, settings: &SelectorSettings, typical: f64) {
+    fn sample(&mut self, now: Time, took: f64, settings: &SelectorSettings, mean_latency: f64) {
         // The new sample joins what is left of the old value. Joined to the old value itself, the one
         // request that tries a member again would bring back the slowness that had faded.
-        let latency = self.latency(now, settings, typical);
+        let latency = self.latency(now, settings, mean_latency);
         // Seldom tried, a member that was cold would look slow long after it has become warm.
-        let age = now.since(self.measured);
-        let share = LATENCY_WEIGHT.max(1.0 - weight(age, settings.half_life));
+        let age = now.since(self.sampled);
+        let share = LATENCY_WEIGHT.max(1.0 - decay(age, settings.half_life));
         self.latency = Some(latency + share * (took - latency));
-        self.measured = now;
+        self.sampled = now;
     }
 
     /// Returns true when the member was not tried for so long that it is to be tried again.
     ///
     /// Guards against a newcomer that was slow while its caches were cold: as long as the others
     /// carry the load nothing is sent there, so nothing shows that it has become fast.
-    pub(super) fn due(&self, now: Time, settings: &SelectorSettings, typical: f64) -> bool {
-        let latency = Duration::from_secs_f64(self.latency(now, settings, typical));
-        now.since(self.tried) >= latency * TRY_AGAIN
+    pub(super) fn probe_due(
+        &self,
+        now: Time,
+        settings: &SelectorSettings,
+        mean_latency: f64,
+    ) -> bool {
+        let latency = Duration::from_secs_f64(self.latency(now, settings, mean_latency));
+        now.since(self.last_sent) >= latency * PROBE_INTERVAL_LATENCIES
     }
 
     /// Returns the smoothed latency in seconds.
     ///
     /// A latency nobody confirms fades. Else a member that was slow once would never be tried again.
-    pub(super) fn latency(&self, now: Time, settings: &SelectorSettings, typical: f64) -> f64 {
-        let known = self.latency.unwrap_or(typical);
-        typical + (known - typical) * weight(now.since(self.measured), settings.half_life * 4)
+    pub(super) fn latency(&self, now: Time, settings: &SelectorSettings, mean_latency: f64) -> f64 {
+        let known = self.latency.unwrap_or(mean_latency);
+        mean_latency
+            + (known - mean_latency) * decay(now.since(self.sampled), settings.half_life * 4)
     }
 
     fn fail(&mut self, now: Time, settings: &SelectorSettings) {
-        let doublings = self.failures.min(DOUBLINGS);
+        let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
         let pause =
             settings.base_ejection.saturating_mul(1 << doublings).min(settings.max_ejection);
-        self.quarantine = self.quarantine.max(now + pause);
+        self.ejected_until = self.ejected_until.max(now + pause);
     }
 
-    pub(super) fn open(&self, now: Time) -> bool {
-        !self.shedding(now) && self.quarantine <= now
+    pub(super) fn available(&self, now: Time) -> bool {
+        !self.shedding(now) && self.ejected_until <= now
     }
 
     pub(super) fn shedding(&self, now: Time) -> bool {
-        now < self.alone
+        now < self.backoff_until
     }
 
-    pub(super) fn opening(&self, now: Time) -> Option<Duration> {
-        self.shedding(now).then(|| self.alone.since(now))
+    pub(super) fn retry_after(&self, now: Time) -> Option<Duration> {
+        self.shedding(now).then(|| self.backoff_until.since(now))
     }
 
-    pub(super) fn cost(&self, now: Time, settings: &SelectorSettings, typical: f64) -> f64 {
-        let latency = self.latency(now, settings, typical);
-        latency * (self.busy(now, settings) + 1.0) / (self.capacity * self.warmth(now, settings))
+    pub(super) fn cost(&self, now: Time, settings: &SelectorSettings, mean_latency: f64) -> f64 {
+        let latency = self.latency(now, settings, mean_latency);
+        latency * (self.busy(now, settings) + 1.0)
+            / (self.capacity * self.ramp_share(now, settings))
     }
 
     /// Returns the part of its capacity that is in use.
     pub(super) fn load(&self, now: Time, settings: &SelectorSettings) -> f64 {
-        self.busy(now, settings) / (self.capacity * self.warmth(now, settings))
+        self.busy(now, settings) / (self.capacity * self.ramp_share(now, settings))
     }
 
     fn busy(&self, now: Time, settings: &SelectorSettings) -> f64 {
-        let fresh = weight(now.since(self.reported), settings.half_life);
+        let fresh = decay(now.since(self.reported), settings.half_life);
         // A request that this process has in flight counts, also when reports say nothing of it.
-        (self.busy * fresh + self.since).max(self.flying)
+        (self.busy * fresh + self.sent_since).max(self.in_flight)
     }
 
     /// Returns the share of its capacity that a member may be counted with while it is cold.
-    fn warmth(&self, now: Time, settings: &SelectorSettings) -> f64 {
-        let Some(since) = self.cold else { return 1.0 };
+    fn ramp_share(&self, now: Time, settings: &SelectorSettings) -> f64 {
+        let Some(since) = self.cold_since else { return 1.0 };
         let grown = now.since(since).as_secs_f64() / settings.ramp.as_secs_f64();
         (settings.initial_share + (1.0 - settings.initial_share) * grown).min(1.0)
     }
 }
 
 /// Returns the weight that is left of a value of this age.
-fn weight(age: Duration, half_life: Duration) -> f64 {
+fn decay(age: Duration, half_life: Duration) -> f64 {
     (-age.as_secs_f64() / half_life.as_secs_f64()).exp2()
 }
