--- a/acaciaring_core/src/selector.rs
+++ b/acaciaring_core/src/selector.rs
@@ -1,9 +1,10 @@
-//! Choice of a member for a request of a service that is not divided by key.
+//! Selection of a member for a request of a service that is not partitioned by key.
 //!
-//! Of two members drawn at random the one with the lower expected cost is taken: load times latency.
-//! Load comes from reports of the process beside the upstream, which lag, so requests sent since the
-//! report are added. One that was not tried for long is tried whatever it costs. Health and load
-//! endpoints of upstreams play no part, they mislead. What is near goes first while it has room.
+//! Power of two choices: of two members drawn at random, the one with the lower expected cost, load
+//! times latency, is selected. Load reports lag, so requests sent since the report are added. A
+//! member that was not tried for long is probed whatever its cost. Health endpoints of upstreams
+//! are not used because they can report healthy while requests fail. Nearby members are preferred
+//! while they have capacity.
 
 mod near;
 mod peer;
@@ -18,25 +19,25 @@
 use crate::id::MemberId;
 use crate::time::Time;
 
-/// Draws before all candidates are looked through.
+/// Random draws before all candidates are scanned.
 const MAX_DRAWS: usize = 8;
 
-/// Settings of the choice among members.
+/// Settings of member selection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SelectorSettings {
-    /// Slots that are assumed before the first report.
+    /// Concurrency limit assumed before the first report.
     pub slots: u32,
-    /// Latency that is assumed before the first answer.
+    /// Latency assumed before the first answer.
     pub latency: Duration,
-    /// Time in which a report, or a latency that is not confirmed, loses half of its weight.
+    /// Time in which a report or an unconfirmed latency loses half of its weight.
     pub half_life: Duration,
-    /// Time in which a cold member comes to its full share.
+    /// Time in which a cold member reaches its full share.
     pub ramp: Duration,
-    /// Share with which a cold member starts.
+    /// Initial share of a cold member.
     pub initial_share: f64,
-    /// Time for which a member is left alone after a failure; it doubles with each further one.
+    /// Time for which a member is ejected after a failure; it doubles with each consecutive one.
     pub base_ejection: Duration,
-    /// Longest time for which a member is left alone after failures.
+    /// Maximum ejection time.
     pub max_ejection: Duration,
 }
 
@@ -57,17 +58,17 @@
 /// How a request that was sent to a member ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Whole answer after this time.
+    /// Complete answer after this time.
     Answered(Duration),
-    /// Refused as not run, with the time after which to come back where the member named one.
+    /// Refused without running, with the retry delay that the member gave.
     Refused(Option<Duration>),
-    /// No whole answer, or no connection.
+    /// No complete answer, or no connection.
     Failed,
-    /// Given up by the caller; says nothing about the member but that it took at least this long.
+    /// Cancelled by the caller after this time, which is a lower bound of the latency.
     Cancelled(Duration),
 }
 
-/// What is known of the members that may answer for one service.
+/// Load and latency of the members of one service, and the selection among them.
 #[derive(Debug)]
 pub struct Selector {
     settings: SelectorSettings,
@@ -77,40 +78,40 @@
 }
 
 impl Selector {
-    /// Returns a choice that knows no member.
+    /// Returns a selector without members.
     #[must_use]
     pub fn new(settings: SelectorSettings) -> Self {
         let latency = settings.latency.as_secs_f64();
         Self { settings, peers: HashMap::new(), latency }
     }
 
-    /// Notes a new member; a cold one gets little at first.
+    /// Adds a member; a cold one ramps up from a small share.
     pub fn join(&mut self, now: Time, member: MemberId, cold: bool) {
         let peer = Peer::new(now, &self.settings, cold);
         self.peers.entry(member).or_insert(peer);
     }
 
-    /// Forgets a member that is gone.
+    /// Removes a member.
     pub fn leave(&mut self, member: MemberId) {
         self.peers.remove(&member);
     }
 
-    /// Notes what a member reports: requests in flight and waiting, and how many may run at once.
+    /// Records a load report: requests in flight or waiting, and the concurrency limit.
     pub fn report(&mut self, now: Time, member: MemberId, busy: u32, capacity: u32) {
         self.peer(now, member).report(now, busy, capacity);
     }
 
-    /// Notes that a member asks to be left alone for `retry`.
+    /// Notes that a member sheds load for `retry`.
     pub fn shed(&mut self, now: Time, member: MemberId, retry: Duration) {
         self.peer(now, member).back_off_until(now + retry);
     }
 
-    /// Notes that a request goes to a member.
+    /// Records that a request is sent to a member.
     pub fn sent(&mut self, now: Time, member: MemberId) {
         self.peer(now, member).sent(now);
     }
 
-    /// Notes how a request ended; to be called once for each [`Selector::sent`].
+    /// Records how a request ended; must be called once for each [`Selector::sent`].
     pub fn done(&mut self, now: Time, member: MemberId, outcome: Outcome) {
         let mean_latency = self.latency;
         let Some(peer) = self.peers.get_mut(&member) else { return };
@@ -120,10 +121,10 @@
         }
     }
 
-    /// Chooses a member; `None` when each candidate is excluded or asks to be left alone.
+    /// Selects a member; `None` when each candidate is excluded or sheds load.
     ///
-    /// When failures have put all others into quarantine, one of those is taken all the same: the
-    /// failures may be this process's own, and callers would see an outage that is none.
+    /// If all others are ejected, one of those is selected all the same: the failures may be local
+    /// to this process, and ejecting every member would turn them into an outage.
     pub fn choose(
         &self,
         now: Time,
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Returns true when a member is to get the next request rather than another one.
+    /// Returns true when `one` is to get the next request rather than `other`.
     fn prefers(&self, now: Time, one: MemberId, other: MemberId) -> bool {
         match (self.probe_due(now, one), self.probe_due(now, other)) {
             (true, false) => true,
@@ -159,14 +160,14 @@
             .is_some_and(|peer| peer.probe_due(now, &self.settings, self.latency))
     }
 
-    /// Returns when the first of the candidates that ask to be left alone may be tried again.
+    /// Returns the time until the first of the candidates that shed load may be tried again.
     #[must_use]
     pub fn retry_after(&self, now: Time, candidates: &[MemberId]) -> Option<Duration> {
         let peers = candidates.iter().filter_map(|id| self.peers.get(id));
         peers.filter_map(|peer| peer.retry_after(now)).min()
     }
 
-    /// Returns the expected cost of one more request at a member; only its order has a meaning.
+    /// Returns the expected cost of one more request at a member, for comparison only.
     fn cost(&self, now: Time, member: MemberId) -> f64 {
         match self.peers.get(&member) {
             Some(peer) => peer.cost(now, &self.settings, self.latency),
@@ -188,7 +189,7 @@
     }
 }
 
-/// Draws a candidate that passes; looks through all of them only when a few draws fail.
+/// Draws a candidate that passes; scans all of them only after several failed draws.
 fn pick(
     rng: &mut impl Rng,
     candidates: &[MemberId],
--- a/acaciaring_core/src/selector/near.rs
+++ b/acaciaring_core/src/selector/near.rs
@@ -1,4 +1,4 @@
-//! Members that cost less to reach than others, and take a request as long as they have room.
+//! Preference for members that cost less to reach while they have capacity.
 
 use rand::Rng;
 
@@ -6,46 +6,46 @@
 use crate::id::MemberId;
 use crate::time::Time;
 
-/// Part of its capacity up to which a member that is near is preferred whatever others have free.
+/// Load, as a fraction of capacity, below which a nearby member is preferred whatever its cost.
 const NEAR_LOAD_LIMIT: f64 = 0.5;
 
-/// Times the latency over all members that a member may have and still be preferred.
+/// Maximum ratio of a preferred member's latency to the mean latency.
 const MAX_LATENCY_RATIO: f64 = 2.0;
 
-/// The member of the choosing process itself, and its load as its gate counts it.
+/// The member of this process, with the load that its admission control counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalMember {
-    /// Its identity.
+    /// Id of the member.
     pub member: MemberId,
-    /// Requests at the upstream or waiting for it.
+    /// Requests in flight or waiting.
     pub busy: u32,
-    /// Requests that may run at once; 0 while the upstream asks to be left alone.
+    /// Concurrency limit; 0 while the upstream sheds load.
     pub capacity: u32,
 }
 
-/// Candidates that are near the choosing process.
+/// Candidates that are near this process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NearbyMembers<'a> {
-    /// The process's own member, where it serves the service.
+    /// Member of this process, if it serves the service.
     pub local: Option<LocalMember>,
     /// Members of the same data centre.
     pub others: &'a [MemberId],
 }
 
-/// What one more request means for a member.
+/// Estimated load of a member and cost of one more request.
 #[derive(Debug, Clone, Copy)]
 struct Estimate {
-    /// Part of its capacity that is in use.
+    /// Load as a fraction of capacity.
     load: f64,
     cost: f64,
 }
 
 impl Selector {
-    /// Chooses among all like [`Selector::choose`], but prefers what is near as long as it has room.
+    /// Selects among all like [`Selector::choose`], but prefers nearby members with capacity.
     ///
-    /// A request that stays needs no second process, and one that goes to a neighbour no bytes
-    /// between data centres. Beyond a part of the capacity only the cost counts: else a newcomer
-    /// elsewhere would idle while those before it are nearly full.
+    /// A local request saves a network hop, one within the data centre saves traffic between data
+    /// centres. Above a fraction of the capacity only the cost counts, so that new members
+    /// elsewhere do not idle while the nearby ones are nearly full.
     pub fn choose_near(
         &self,
         now: Time,
@@ -56,7 +56,7 @@
     ) -> Option<MemberId> {
         let any = self.choose(now, rng, candidates, exclude)?;
         if !self.is_fast(now, any) && self.probe_due(now, any) {
-            // Nothing else would show that it has become fast.
+            // Only a probe shows that a slow member has become fast.
             return Some(any);
         }
         let max_cost = self.estimate(now, any).cost;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns false for a member that is slower than others by far.
+    /// Returns false for a member that is far slower than the mean.
     fn is_fast(&self, now: Time, member: MemberId) -> bool {
         self.latency(now, member) <= self.latency * MAX_LATENCY_RATIO
     }
--- a/acaciaring_core/src/selector/peer.rs
+++ b/acaciaring_core/src/selector/peer.rs
@@ -1,36 +1,35 @@
-//! What is known of one member.
+//! Load, latency and failures of one member.
 
 use std::time::Duration;
 
 use super::{Outcome, SelectorSettings};
 use crate::time::Time;
 
-/// Weight of a new latency in the smoothed one.
+/// Weight of a new sample in the smoothed latency.
 const LATENCY_WEIGHT: f64 = 1.0 / 8.0;
 
-/// Time without a try after which a member is tried whatever it costs, in its latencies.
+/// Idle time after which a member is probed whatever its cost, as a multiple of its latency.
 ///
-/// A try at a slow member costs one caller its latency, so that an entry spends a sixteenth of one
-/// caller's time on it at most, however slow it is.
+/// The multiple bounds the fraction of one caller's time that probes of a slow member cost.
 const PROBE_INTERVAL_LATENCIES: u32 = 16;
 
-/// Most doublings of the quarantine.
+/// Maximum number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 10;
 
 #[derive(Debug)]
 pub(super) struct Peer {
-    /// Requests in flight and waiting as last reported.
+    /// Requests in flight or waiting, as last reported.
     busy: f64,
     capacity: f64,
     reported: Time,
-    /// Own requests sent since the report.
+    /// Own requests sent since the report, less those that have ended since.
     sent_since: f64,
     /// Own requests in flight.
     in_flight: f64,
-    /// Smoothed latency in seconds, none before the first answer.
+    /// Smoothed latency in seconds, `None` before the first answer.
     latency: Option<f64>,
     sampled: Time,
-    /// When a request was last sent there.
+    /// Time at which a request was last sent.
     last_sent: Time,
     cold_since: Option<Time>,
     backoff_until: Time,
@@ -99,20 +98,21 @@
     }
 
     fn sample(&mut self, now: Time, took: f64, settings: &SelectorSettings, mean_latency: f64) {
-        // The new sample joins what is left of the old value. Joined to the old value itself, the one
-        // request that tries a member again would bring back the slowness that had faded.
+        // The sample is added to the decayed latency; otherwise a single probe would restore an old
+        // high latency that had decayed.
         let latency = self.latency(now, settings, mean_latency);
-        // Seldom tried, a member that was cold would look slow long after it has become warm.
+        // A sample after a long gap weighs more; otherwise a rarely probed member would look slow
+        // long after it has warmed up.
         let age = now.since(self.sampled);
         let share = LATENCY_WEIGHT.max(1.0 - decay(age, settings.half_life));
         self.latency = Some(latency + share * (took - latency));
         self.sampled = now;
     }
 
-    /// Returns true when the member was not tried for so long that it is to be tried again.
+    /// Returns true when the member was idle for so long that it should be probed.
     ///
-    /// Guards against a newcomer that was slow while its caches were cold: as long as the others
-    /// carry the load nothing is sent there, so nothing shows that it has become fast.
+    /// Guards against a new member that was slow while its caches were cold: while the others carry
+    /// the load it gets no requests, so its latency would never be corrected.
     pub(super) fn probe_due(
         &self,
         now: Time,
@@ -125,7 +125,8 @@
 
     /// Returns the smoothed latency in seconds.
     ///
-    /// A latency nobody confirms fades. Else a member that was slow once would never be tried again.
+    /// An unconfirmed latency decays towards the mean, so that a member that was slow once is tried
+    /// again.
     pub(super) fn latency(&self, now: Time, settings: &SelectorSettings, mean_latency: f64) -> f64 {
         let known = self.latency.unwrap_or(mean_latency);
         mean_latency
@@ -158,18 +159,18 @@
             / (self.capacity * self.ramp_share(now, settings))
     }
 
-    /// Returns the part of its capacity that is in use.
+    /// Returns the load as a fraction of capacity.
     pub(super) fn load(&self, now: Time, settings: &SelectorSettings) -> f64 {
         self.busy(now, settings) / (self.capacity * self.ramp_share(now, settings))
     }
 
     fn busy(&self, now: Time, settings: &SelectorSettings) -> f64 {
         let fresh = decay(now.since(self.reported), settings.half_life);
-        // A request that this process has in flight counts, also when reports say nothing of it.
+        // Own requests in flight count even if no report includes them.
         (self.busy * fresh + self.sent_since).max(self.in_flight)
     }
 
-    /// Returns the share of its capacity that a member may be counted with while it is cold.
+    /// Returns the fraction of its capacity that a cold member is given.
     fn ramp_share(&self, now: Time, settings: &SelectorSettings) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
         let grown = now.since(since).as_secs_f64() / settings.ramp.as_secs_f64();
@@ -177,7 +178,7 @@
     }
 }
 
-/// Returns the weight that is left of a value of this age.
+/// Returns the remaining weight of a value of this age.
 fn decay(age: Duration, half_life: Duration) -> f64 {
     (-age.as_secs_f64() / half_life.as_secs_f64()).exp2()
 }
