--- a/acaciaring_core/src/dedup.rs
+++ b/acaciaring_core/src/dedup.rs
@@ -82,18 +82,18 @@
 ///
 /// Up to `blind`, requests may have run of which this memory knows nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Duty {
+enum Role {
     /// Runs requests.
-    Owner { blind: Time },
+    Owner { gap_end: Time },
     /// Notes what the owner runs since `version`; `blind` is none before the first sync.
-    Standby { version: Offset, blind: Option<Time> },
+    Standby { version: Offset, gap_end: Option<Time> },
 }
 
 /// Memory of requests that may run at most once, for one service.
 #[derive(Debug)]
 pub struct DedupTable<A> {
     settings: DedupSettings,
-    duties: HashMap<UnitId, Duty>,
+    roles: HashMap<UnitId, Role>,
     table: Table<A>,
 }
 
@@ -102,7 +102,7 @@
     #[must_use]
     pub fn new(settings: DedupSettings) -> Self {
         let table = Table::new(&settings);
-        Self { settings, duties: HashMap::new(), table }
+        Self { settings, roles: HashMap::new(), table }
     }
 
     /// Returns the count of requests that are remembered.
@@ -125,7 +125,7 @@
 
     /// Becomes owner of a unit that never had an owner before, so that nothing can have run.
     pub fn become_first_owner(&mut self, unit: UnitId) {
-        self.duties.insert(unit, Duty::Owner { blind: Time::ZERO });
+        self.roles.insert(unit, Role::Owner { gap_end: Time::ZERO });
     }
 
     /// Becomes owner of a unit that its former owner has released, with what that one remembers.
@@ -137,14 +137,14 @@
         now: Time,
         unit: UnitId,
         entries: Vec<DedupEntry<A>>,
-        blind: Duration,
+        gap: Duration,
     ) {
-        let told = entries.iter().map(|entry| entry.id).collect();
-        self.table.drop_noted(unit, &told);
-        let whole = self.import(now, entries);
-        let blind = if whole { blind } else { self.settings.window };
-        self.table.give_up_noted(now, unit);
-        self.duties.insert(unit, Duty::Owner { blind: now + blind });
+        let reported = entries.iter().map(|entry| entry.id).collect();
+        self.table.drop_noted(unit, &reported);
+        let complete = self.import(now, entries);
+        let gap = if complete { gap } else { self.settings.window };
+        self.table.mark_noted_unknown(now, unit);
+        self.roles.insert(unit, Role::Owner { gap_end: now + gap });
     }
 
     /// Becomes standby of a unit under the assignment's version.
@@ -152,12 +152,12 @@
     /// A standby whose unit only changes its version stays synced. So does the former owner after a
     /// planned move: it remembers all that ran before, and is told of all that runs after.
     pub fn become_standby(&mut self, unit: UnitId, version: Offset) {
-        let blind = match self.duties.get(&unit) {
-            Some(Duty::Owner { blind }) => Some(*blind),
-            Some(Duty::Standby { blind, .. }) => *blind,
+        let gap_end = match self.roles.get(&unit) {
+            Some(Role::Owner { gap_end }) => Some(*gap_end),
+            Some(Role::Standby { gap_end, .. }) => *gap_end,
             None => None,
         };
-        self.duties.insert(unit, Duty::Standby { version, blind });
+        self.roles.insert(unit, Role::Standby { version, gap_end });
     }
 
     /// Takes over a unit whose owner is lost. No intent for the unit is accepted from now on.
@@ -165,67 +165,68 @@
     /// What was noted may have run and becomes unknown. A standby that was never synced knows nothing of
     /// what ran before, so for a whole window each request that it does not know is answered as unknown.
     pub fn take_over(&mut self, now: Time, unit: UnitId) {
-        let blind = match self.duties.get(&unit) {
-            Some(Duty::Owner { .. }) => return,
-            Some(Duty::Standby { blind: Some(blind), .. }) => *blind,
-            Some(Duty::Standby { blind: None, .. }) | None => now + self.settings.window,
+        let gap_end = match self.roles.get(&unit) {
+            Some(Role::Owner { .. }) => return,
+            Some(Role::Standby { gap_end: Some(gap_end), .. }) => *gap_end,
+            Some(Role::Standby { gap_end: None, .. }) | None => now + self.settings.window,
         };
-        self.duties.insert(unit, Duty::Owner { blind });
-        self.table.give_up_noted(now, unit);
+        self.roles.insert(unit, Role::Owner { gap_end });
+        self.table.mark_noted_unknown(now, unit);
     }
 
     /// Gives up a unit altogether; what is remembered for it fades with time.
     pub fn drop_unit(&mut self, unit: UnitId) {
-        self.duties.remove(&unit);
+        self.roles.remove(&unit);
     }
 
     /// Gives a key that is split out of its slot the same duty as the slot.
     pub fn split(&mut self, unit: UnitId) {
-        if let Some(duty) = self.duties.get(&UnitId::slot(unit.slot)).copied() {
-            self.duties.insert(unit, duty);
+        if let Some(role) = self.roles.get(&UnitId::slot(unit.slot)).copied() {
+            self.roles.insert(unit, role);
         }
     }
 
     /// Returns a hot key to its slot, of which no more is known than of both.
     pub fn merge(&mut self, unit: UnitId) {
         let slot = UnitId::slot(unit.slot);
-        let key = self.duties.remove(&unit);
-        let merged = match (key, self.duties.get(&slot)) {
-            (Some(Duty::Owner { blind: a }), Some(Duty::Owner { blind: b })) => {
-                Duty::Owner { blind: a.max(*b) }
+        let key = self.roles.remove(&unit);
+        let merged = match (key, self.roles.get(&slot)) {
+            (Some(Role::Owner { gap_end: a }), Some(Role::Owner { gap_end: b })) => {
+                Role::Owner { gap_end: a.max(*b) }
             }
-            (Some(Duty::Standby { blind: a, .. }), Some(Duty::Standby { version, blind: b })) => {
-                Duty::Standby { version: *version, blind: a.zip(*b).map(|(a, b)| a.max(b)) }
+            (
+                Some(Role::Standby { gap_end: a, .. }),
+                Some(Role::Standby { version, gap_end: b }),
+            ) => Role::Standby { version: *version, gap_end: a.zip(*b).map(|(a, b)| a.max(b)) },
+            (_, Some(Role::Standby { version, .. })) => {
+                Role::Standby { version: *version, gap_end: None }
             }
-            (_, Some(Duty::Standby { version, .. })) => {
-                Duty::Standby { version: *version, blind: None }
-            }
-            (_, Some(Duty::Owner { .. }) | None) => return,
+            (_, Some(Role::Owner { .. }) | None) => return,
         };
-        self.duties.insert(slot, merged);
+        self.roles.insert(slot, merged);
     }
 
     /// Returns true when this member stands by for the unit and was told what ran before.
     #[must_use]
     pub fn synced(&self, unit: UnitId) -> bool {
-        matches!(self.duties.get(&unit), Some(Duty::Standby { blind: Some(_), .. }))
+        matches!(self.roles.get(&unit), Some(Role::Standby { gap_end: Some(_), .. }))
     }
 
     /// Returns for how long requests that are not known here may yet have run, zero for a whole memory.
     #[must_use]
     pub fn gap(&self, now: Time, unit: UnitId) -> Duration {
-        match self.duties.get(&unit) {
-            Some(Duty::Owner { blind } | Duty::Standby { blind: Some(blind), .. }) => {
-                blind.since(now)
+        match self.roles.get(&unit) {
+            Some(Role::Owner { gap_end } | Role::Standby { gap_end: Some(gap_end), .. }) => {
+                gap_end.since(now)
             }
-            Some(Duty::Standby { blind: None, .. }) | None => self.settings.window,
+            Some(Role::Standby { gap_end: None, .. }) | None => self.settings.window,
         }
     }
 
     /// Decides, at the owner, about a request that is about to run.
     pub fn begin(&mut self, now: Time, id: RequestId, unit: UnitId) -> Begin<A> {
         self.expire(now);
-        let Some(Duty::Owner { blind }) = self.duties.get(&unit) else {
+        let Some(Role::Owner { gap_end }) = self.roles.get(&unit) else {
             return Begin::Refused(Refusal::not_run(Reason::NotOwner));
         };
         match self.table.get(unit.slot, id) {
@@ -235,7 +236,7 @@
             None => {}
         }
         // The former owner may have run this very request; its memory was lost with its VM.
-        if now < *blind {
+        if now < *gap_end {
             return Begin::Unknown(Reason::DedupLost);
         }
         if self.table.insert(now, unit, id, RequestState::Running) {
@@ -272,10 +273,10 @@
     /// accepted: the owner is one, and asks again when it missed the first reply.
     pub fn intent(&mut self, now: Time, id: RequestId, unit: UnitId, version: Offset) -> bool {
         self.expire(now);
-        let Some(Duty::Standby { version: since, .. }) = self.duties.get(&unit) else {
+        let Some(Role::Standby { version: current, .. }) = self.roles.get(&unit) else {
             return false;
         };
-        if version < *since {
+        if version < *current {
             return false;
         }
         match self.table.get(unit.slot, id) {
@@ -291,9 +292,9 @@
     ///
     /// The message may come before a delayed intent or after a takeover; both are harmless.
     pub fn outcome(&mut self, now: Time, id: RequestId, unit: UnitId, answer: Option<(A, usize)>) {
-        let memory = answer
+        let state = answer
             .map_or(RequestState::Unknown, |(answer, bytes)| RequestState::Done { answer, bytes });
-        self.table.merge(now, unit, id, memory);
+        self.table.merge(now, unit, id, state);
     }
 
     /// Returns all that is remembered of a unit's slot, for a release or to sync a standby.
@@ -320,15 +321,15 @@
         now: Time,
         unit: UnitId,
         entries: Vec<DedupEntry<A>>,
-        blind: Duration,
+        gap: Duration,
     ) -> bool {
-        let whole = self.import(now, entries);
-        if let Some(Duty::Standby { blind: known, .. }) = self.duties.get_mut(&unit)
-            && whole
+        let complete = self.import(now, entries);
+        if let Some(Role::Standby { gap_end: known, .. }) = self.roles.get_mut(&unit)
+            && complete
         {
-            *known = Some(now + blind);
+            *known = Some(now + gap);
         }
-        whole && self.synced(unit)
+        complete && self.synced(unit)
     }
 
     /// Forgets requests that ended a window ago.
@@ -338,7 +339,7 @@
 
     /// Returns the time until the next request is forgotten.
     fn next_expiry(&self, now: Time) -> Duration {
-        let due = self.table.next_due().unwrap_or(now);
-        due.since(now).max(Duration::from_millis(1))
+        let expiry = self.table.next_expiry().unwrap_or(now);
+        expiry.since(now).max(Duration::from_millis(1))
     }
 }
--- a/acaciaring_core/src/dedup/table.rs
+++ b/acaciaring_core/src/dedup/table.rs
@@ -14,7 +14,7 @@
 type Key = (Slot, RequestId);
 
 /// Time at which something is due, then the key.
-type Due = (Time, Key);
+type TimedKey = (Time, Key);
 
 #[derive(Debug)]
 struct Entry<A> {
@@ -26,25 +26,25 @@
 /// Entries, by key, by slot and by age.
 #[derive(Debug)]
 pub(super) struct Table<A> {
-    bound: usize,
+    max_bytes: usize,
     window: Duration,
     bytes: usize,
     entries: HashMap<Key, Entry<A>>,
     /// When entries are forgotten; a request that runs here is not among them.
-    dues: BTreeSet<Due>,
+    expiries: BTreeSet<TimedKey>,
     /// Entries with answers, oldest first.
-    answers: BTreeSet<Due>,
+    answers: BTreeSet<TimedKey>,
     slots: HashMap<Slot, BTreeSet<RequestId>>,
 }
 
 impl<A: Clone> Table<A> {
     pub(super) fn new(settings: &DedupSettings) -> Self {
         Self {
-            bound: settings.max_bytes,
+            max_bytes: settings.max_bytes,
             window: settings.window,
             bytes: 0,
             entries: HashMap::new(),
-            dues: BTreeSet::new(),
+            expiries: BTreeSet::new(),
             answers: BTreeSet::new(),
             slots: HashMap::new(),
         }
@@ -63,8 +63,8 @@
     }
 
     /// Returns when the next entry is forgotten.
-    pub(super) fn next_due(&self) -> Option<Time> {
-        self.dues.first().map(|(due, _)| *due)
+    pub(super) fn next_expiry(&self) -> Option<Time> {
+        self.expiries.first().map(|(expiry, _)| *expiry)
     }
 
     /// Adds an entry that is not there; false when there is no room for one more id.
@@ -75,26 +75,20 @@
         at: Time,
         unit: UnitId,
         id: RequestId,
-        memory: RequestState<A>,
+        state: RequestState<A>,
     ) -> bool {
-        if (self.entries.len() + 1) * ENTRY_BYTES > self.bound {
+        if (self.entries.len() + 1) * ENTRY_BYTES > self.max_bytes {
             return false;
         }
-        self.put(at, unit, id, memory);
+        self.put(at, unit, id, state);
         self.evict_answers();
         true
     }
 
     /// Replaces what is known of an entry that is there.
-    pub(super) fn update(
-        &mut self,
-        at: Time,
-        unit: UnitId,
-        id: RequestId,
-        memory: RequestState<A>,
-    ) {
+    pub(super) fn update(&mut self, at: Time, unit: UnitId, id: RequestId, state: RequestState<A>) {
         if self.remove(unit.slot, id) {
-            self.put(at, unit, id, memory);
+            self.put(at, unit, id, state);
             self.evict_answers();
         }
     }
@@ -105,16 +99,16 @@
         at: Time,
         unit: UnitId,
         id: RequestId,
-        memory: RequestState<A>,
+        state: RequestState<A>,
     ) -> bool {
         // What runs there does not run here.
-        let memory =
-            if matches!(memory, RequestState::Running) { RequestState::Noted } else { memory };
+        let state =
+            if matches!(state, RequestState::Running) { RequestState::Noted } else { state };
         let Some(known) = self.get(unit.slot, id) else {
-            return self.insert(at, unit, id, memory);
+            return self.insert(at, unit, id, state);
         };
-        if certainty(&memory) > certainty(known) {
-            self.update(at, unit, id, memory);
+        if certainty(&state) > certainty(known) {
+            self.update(at, unit, id, state);
         }
         true
     }
@@ -124,8 +118,8 @@
         let Some(entry) = self.entries.remove(&key) else { return false };
         self.bytes -= size(&entry.state);
         self.answers.remove(&(entry.changed, key));
-        if let Some(due) = self.due(&entry.state, entry.changed) {
-            self.dues.remove(&(due, key));
+        if let Some(expiry) = self.expiry(&entry.state, entry.changed) {
+            self.expiries.remove(&(expiry, key));
         }
         if let Some(ids) = self.slots.get_mut(&slot) {
             ids.remove(&id);
@@ -137,9 +131,9 @@
     }
 
     /// Forgets what was noted under a unit and is not among `told`.
-    pub(super) fn drop_noted(&mut self, unit: UnitId, told: &HashSet<RequestId>) {
-        let untold = self.noted(unit).into_iter().filter(|id| !told.contains(id));
-        for id in untold.collect::<Vec<_>>() {
+    pub(super) fn drop_noted(&mut self, unit: UnitId, reported: &HashSet<RequestId>) {
+        let unreported = self.noted(unit).into_iter().filter(|id| !reported.contains(id));
+        for id in unreported.collect::<Vec<_>>() {
             self.remove(unit.slot, id);
         }
     }
@@ -148,7 +142,7 @@
     ///
     /// A key that was split out may have been noted under its slot, so all of the slot is turned when
     /// either is taken over. An entry of the other unit loses nothing: its outcome still counts.
-    pub(super) fn give_up_noted(&mut self, now: Time, unit: UnitId) {
+    pub(super) fn mark_noted_unknown(&mut self, now: Time, unit: UnitId) {
         let units: HashSet<_> = [unit, UnitId::slot(unit.slot)].into();
         for unit in units {
             for id in self.noted(unit) {
@@ -169,8 +163,8 @@
     }
 
     pub(super) fn expire(&mut self, now: Time) {
-        while let Some((due, (slot, id))) = self.dues.first().copied()
-            && due <= now
+        while let Some((expiry, (slot, id))) = self.expiries.first().copied()
+            && expiry <= now
         {
             self.remove(slot, id);
         }
@@ -185,25 +179,25 @@
         noted.copied().collect()
     }
 
-    fn put(&mut self, changed: Time, unit: UnitId, id: RequestId, memory: RequestState<A>) {
+    fn put(&mut self, changed: Time, unit: UnitId, id: RequestId, state: RequestState<A>) {
         let key = (unit.slot, id);
-        self.bytes += size(&memory);
-        if let Some(due) = self.due(&memory, changed) {
-            self.dues.insert((due, key));
+        self.bytes += size(&state);
+        if let Some(expiry) = self.expiry(&state, changed) {
+            self.expiries.insert((expiry, key));
         }
-        if matches!(memory, RequestState::Done { .. }) {
+        if matches!(state, RequestState::Done { .. }) {
             self.answers.insert((changed, key));
         }
         self.slots.entry(unit.slot).or_default().insert(id);
-        self.entries.insert(key, Entry { unit, state: memory, changed });
+        self.entries.insert(key, Entry { unit, state, changed });
     }
 
     /// Returns when an entry is forgotten.
     ///
     /// A noted request has twice the time. Its outcome may be lost on the way, so it must be forgotten
     /// some day; but its owner may have ended it, and counted the window, long after it was noted.
-    fn due(&self, memory: &RequestState<A>, changed: Time) -> Option<Time> {
-        match memory {
+    fn expiry(&self, state: &RequestState<A>, changed: Time) -> Option<Time> {
+        match state {
             RequestState::Running => None,
             RequestState::Noted => Some(changed + 2 * self.window),
             RequestState::Done { .. } | RequestState::Unknown => Some(changed + self.window),
@@ -212,7 +206,7 @@
 
     /// Forgets the oldest answers, not their ids, until the bound is kept.
     fn evict_answers(&mut self) {
-        while self.bytes > self.bound {
+        while self.bytes > self.max_bytes {
             let Some((changed, (slot, id))) = self.answers.first().copied() else { return };
             let unit = self.entries.get(&(slot, id)).map_or(UnitId::slot(slot), |entry| entry.unit);
             self.remove(slot, id);
@@ -221,16 +215,16 @@
     }
 }
 
-fn size<A>(memory: &RequestState<A>) -> usize {
-    match memory {
+fn size<A>(state: &RequestState<A>) -> usize {
+    match state {
         RequestState::Done { bytes, .. } => ENTRY_BYTES + bytes,
         RequestState::Running | RequestState::Noted | RequestState::Unknown => ENTRY_BYTES,
     }
 }
 
 /// Orders what two members know of one request.
-fn certainty<A>(memory: &RequestState<A>) -> u8 {
-    match memory {
+fn certainty<A>(state: &RequestState<A>) -> u8 {
+    match state {
         RequestState::Noted => 0,
         RequestState::Unknown => 1,
         RequestState::Running => 2,
