--- a/acaciaring_core/src/dedup.rs
+++ b/acaciaring_core/src/dedup.rs
@@ -1,11 +1,12 @@
-//! Memory of requests that may run at most once, at the owner and at the standby.
+//! Deduplication of requests that may run at most once, at the owner and at the standby.
 //!
-//! One table per service. The owner asks [`DedupTable::begin`] before a run and tells the standby; the
-//! standby notes [`DedupTable::intent`] and [`DedupTable::outcome`]. What the standby noted without an
-//! outcome becomes unknown when it takes over.
+//! There is one table per service. The owner calls [`DedupTable::begin`] before a run and sends the
+//! standby an intent; the standby records it with [`DedupTable::intent`] and the result with
+//! [`DedupTable::outcome`]. An intent without an outcome becomes unknown when the standby takes
+//! over.
 //!
-//! Entries belong to a slot, not to a unit: a key that is split out of its slot, or merged back, finds
-//! what its slot remembered.
+//! Entries belong to a slot, not to a unit, so that a key split out of its slot, or merged back,
+//! finds the slot's entries.
 
 mod table;
 
@@ -17,12 +18,12 @@
 use crate::time::Time;
 use crate::verdict::{Reason, Refusal};
 
-/// Settings of the memory of requests.
+/// Settings of deduplication.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DedupSettings {
-    /// Time for which a request is remembered after it has ended.
+    /// Time for which a request is kept after it has ended.
     pub window: Duration,
-    /// Bound on the size of ids and answers, in bytes.
+    /// Maximum size of ids and answers, in bytes.
     pub max_bytes: usize,
 }
 
@@ -32,64 +33,64 @@
     }
 }
 
-/// What to do with a request that may run at most once.
+/// Result of [`DedupTable::begin`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Begin<A> {
-    /// Run it; it is remembered from now on.
+    /// Run it; the table has recorded it as running.
     Run,
-    /// An earlier try is running.
+    /// An earlier attempt is running.
     Running,
-    /// An earlier try was answered so.
+    /// An earlier attempt was answered with this.
     Done(A),
-    /// An earlier try may have run and its answer is not known.
+    /// An earlier attempt may have run and its answer is not known.
     Unknown(Reason),
-    /// It did not run: this member does not own the unit, or cannot remember more requests.
+    /// It did not run: this member does not own the unit, or the table is full.
     Refused(Refusal),
 }
 
-/// What is remembered of one request.
+/// Recorded state of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestState<A> {
     /// It is running here.
     Running,
-    /// Its owner, another member, runs it or has run it.
+    /// Its owner, another member, is running it or has run it.
     Noted,
-    /// It was answered so.
+    /// It was answered.
     Done {
-        /// Answer.
+        /// The answer.
         answer: A,
         /// Size of the answer in bytes.
         bytes: usize,
     },
-    /// It may have run; there is no answer.
+    /// It may have run, and its answer is not known.
     Unknown,
 }
 
-/// Entry on its way to another member.
+/// Entry as transferred between members.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DedupEntry<A> {
     /// Unit under which the request was begun.
     pub unit: UnitId,
-    /// Identity of the request.
+    /// Id of the request.
     pub id: RequestId,
-    /// What is remembered.
+    /// Its state.
     pub state: RequestState<A>,
-    /// Time since the request ended, or since it was noted; zero while it runs.
+    /// Time since the request ended or was noted; zero while it runs.
     pub age: Duration,
 }
 
-/// What this member does for a unit.
+/// Role of this member for a unit.
 ///
-/// Up to `blind`, requests may have run of which this memory knows nothing.
+/// Until `gap_end`, requests that are missing from the table may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Role {
     /// Runs requests.
     Owner { gap_end: Time },
-    /// Notes what the owner runs since `version`; `blind` is none before the first sync.
+    /// Records what the owner runs since `version`; `gap_end` is `None` before the first sync.
     Standby { version: Offset, gap_end: Option<Time> },
 }
 
-/// Memory of requests that may run at most once, for one service.
+/// Table of the requests of one service that may run at most once.
 #[derive(Debug)]
 pub struct DedupTable<A> {
     settings: DedupSettings,
@@ -98,20 +99,20 @@
 }
 
 impl<A: Clone> DedupTable<A> {
-    /// Returns an empty memory without units.
+    /// Returns an empty table without units.
     #[must_use]
     pub fn new(settings: DedupSettings) -> Self {
         let table = Table::new(&settings);
         Self { settings, roles: HashMap::new(), table }
     }
 
-    /// Returns the count of requests that are remembered.
+    /// Returns the number of recorded requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Returns true when no request is remembered.
+    /// Returns true when no request is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -123,15 +124,15 @@
         self.table.bytes()
     }
 
-    /// Becomes owner of a unit that never had an owner before, so that nothing can have run.
+    /// Becomes owner of a unit that had no owner before, so that no request can have run.
     pub fn become_first_owner(&mut self, unit: UnitId) {
         self.roles.insert(unit, Role::Owner { gap_end: Time::ZERO });
     }
 
-    /// Becomes owner of a unit that its former owner has released, with what that one remembers.
+    /// Becomes owner of a unit that its former owner has released, with that owner's entries.
     ///
-    /// `blind` is the former owner's [`DedupTable::gap`]. The former owner has nothing in flight, so what
-    /// was noted here and is not among its entries did not run.
+    /// `gap` is the former owner's [`DedupTable::gap`]. The former owner has nothing in flight, so
+    /// a request that is noted here but missing from its entries did not run.
     pub fn become_owner(
         &mut self,
         now: Time,
@@ -147,10 +148,10 @@
         self.roles.insert(unit, Role::Owner { gap_end: now + gap });
     }
 
-    /// Becomes standby of a unit under the assignment's version.
+    /// Becomes standby of a unit under this version of the assignment.
     ///
-    /// A standby whose unit only changes its version stays synced. So does the former owner after a
-    /// planned move: it remembers all that ran before, and is told of all that runs after.
+    /// A standby stays synced when only the version changes. So does the former owner after a
+    /// planned move: it has recorded all earlier requests and is sent all later ones.
     pub fn become_standby(&mut self, unit: UnitId, version: Offset) {
         let gap_end = match self.roles.get(&unit) {
             Some(Role::Owner { gap_end }) => Some(*gap_end),
@@ -160,10 +161,11 @@
         self.roles.insert(unit, Role::Standby { version, gap_end });
     }
 
-    /// Takes over a unit whose owner is lost. No intent for the unit is accepted from now on.
+    /// Takes over a unit whose owner is lost; rejects all further intents for the unit.
     ///
-    /// What was noted may have run and becomes unknown. A standby that was never synced knows nothing of
-    /// what ran before, so for a whole window each request that it does not know is answered as unknown.
+    /// Noted requests may have run and become unknown. A standby that was never synced does not
+    /// know what ran before, so for one window each request missing from the table is answered as
+    /// unknown.
     pub fn take_over(&mut self, now: Time, unit: UnitId) {
         let gap_end = match self.roles.get(&unit) {
             Some(Role::Owner { .. }) => return,
@@ -174,19 +176,19 @@
         self.table.mark_noted_unknown(now, unit);
     }
 
-    /// Gives up a unit altogether; what is remembered for it fades with time.
+    /// Removes a unit; its entries expire normally.
     pub fn drop_unit(&mut self, unit: UnitId) {
         self.roles.remove(&unit);
     }
 
-    /// Gives a key that is split out of its slot the same duty as the slot.
+    /// Gives a key that is split out of its slot the role of the slot.
     pub fn split(&mut self, unit: UnitId) {
         if let Some(role) = self.roles.get(&UnitId::slot(unit.slot)).copied() {
             self.roles.insert(unit, role);
         }
     }
 
-    /// Returns a hot key to its slot, of which no more is known than of both.
+    /// Returns a hot key to its slot, whose gap becomes the longer of both.
     pub fn merge(&mut self, unit: UnitId) {
         let slot = UnitId::slot(unit.slot);
         let key = self.roles.remove(&unit);
@@ -206,13 +208,13 @@
         self.roles.insert(slot, merged);
     }
 
-    /// Returns true when this member stands by for the unit and was told what ran before.
+    /// Returns true when this member is standby of the unit and has synced the owner's entries.
     #[must_use]
     pub fn synced(&self, unit: UnitId) -> bool {
         matches!(self.roles.get(&unit), Some(Role::Standby { gap_end: Some(_), .. }))
     }
 
-    /// Returns for how long requests that are not known here may yet have run, zero for a whole memory.
+    /// Returns for how long requests missing from the table may have run; zero without a gap.
     #[must_use]
     pub fn gap(&self, now: Time, unit: UnitId) -> Duration {
         match self.roles.get(&unit) {
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Decides, at the owner, about a request that is about to run.
+    /// Decides, at the owner, whether a request may run, and records it.
     pub fn begin(&mut self, now: Time, id: RequestId, unit: UnitId) -> Begin<A> {
         self.expire(now);
         let Some(Role::Owner { gap_end }) = self.roles.get(&unit) else {
@@ -235,7 +237,7 @@
             Some(RequestState::Unknown) => return Begin::Unknown(Reason::LostAnswer),
             None => {}
         }
-        // The former owner may have run this very request; its memory was lost with its VM.
+        // The former owner may have run this request and lost its table with its VM.
         if now < *gap_end {
             return Begin::Unknown(Reason::DedupLost);
         }
@@ -246,31 +248,31 @@
         }
     }
 
-    /// Notes, at the owner, the whole answer of a request that ran.
+    /// Records, at the owner, the complete answer of a request that ran.
     pub fn finish(&mut self, now: Time, id: RequestId, unit: UnitId, answer: A, bytes: usize) {
         self.table.update(now, unit, id, RequestState::Done { answer, bytes });
     }
 
-    /// Notes, at the owner, that a request may have run and has no whole answer.
+    /// Records, at the owner, that a request may have run without a complete answer.
     pub fn unknown(&mut self, now: Time, id: RequestId, unit: UnitId) {
         self.table.update(now, unit, id, RequestState::Unknown);
     }
 
-    /// Notes, at the owner, that a request which was begun did not run and never will under this try.
+    /// Records, at the owner, that a begun request did not run and this attempt never will.
     ///
-    /// Only the owner forgets. The standby is not told: the message could pass a later intent for the
-    /// same request on the way, and the standby would forget a request that runs.
+    /// The standby is not told: the message could overtake a later intent for the same request, and
+    /// the standby would drop a request that runs.
     pub fn not_run(&mut self, id: RequestId, unit: UnitId) {
         if matches!(self.table.get(unit.slot, id), Some(RequestState::Running)) {
             self.table.remove(unit.slot, id);
         }
     }
 
-    /// Notes, at the standby, that the owner is about to run a request; false forbids the run.
+    /// Records, at the standby, that the owner is about to run a request; false forbids the run.
     ///
-    /// It is forbidden once this member has taken over, for an owner under an older version, when the
-    /// request is known to have run, and when no more requests can be remembered. A repeated intent is
-    /// accepted: the owner is one, and asks again when it missed the first reply.
+    /// It is forbidden after a takeover, for an owner under an older version, when the request is
+    /// known to have run, and when the table is full. A repeated intent is accepted, because the
+    /// single owner repeats it when it has missed the first reply.
     pub fn intent(&mut self, now: Time, id: RequestId, unit: UnitId, version: Offset) -> bool {
         self.expire(now);
         let Some(Role::Standby { version: current, .. }) = self.roles.get(&unit) else {
@@ -288,24 +290,24 @@
         }
     }
 
-    /// Notes, at the standby, how a request ended; `None` when its answer is not known.
+    /// Records, at the standby, how a request ended; `None` when its answer is not known.
     ///
-    /// The message may come before a delayed intent or after a takeover; both are harmless.
+    /// The message may arrive before a delayed intent or after a takeover; both are harmless.
     pub fn outcome(&mut self, now: Time, id: RequestId, unit: UnitId, answer: Option<(A, usize)>) {
         let state = answer
             .map_or(RequestState::Unknown, |(answer, bytes)| RequestState::Done { answer, bytes });
         self.table.merge(now, unit, id, state);
     }
 
-    /// Returns all that is remembered of a unit's slot, for a release or to sync a standby.
+    /// Returns all entries of a unit's slot, for a release or to sync a standby.
     #[must_use]
     pub fn export(&self, now: Time, unit: UnitId) -> Vec<DedupEntry<A>> {
         self.table.export(now, unit.slot)
     }
 
-    /// Takes in what another member remembers; false when not all of it fits.
+    /// Merges another member's entries; false when not all of them fit.
     ///
-    /// What is known better here is kept.
+    /// Of two states of a request the more certain one is kept.
     pub fn import(&mut self, now: Time, entries: Vec<DedupEntry<A>>) -> bool {
         self.expire(now);
         let mut all = true;
@@ -315,7 +317,7 @@
         all
     }
 
-    /// Takes in what the owner of a unit remembers of it and its [`DedupTable::gap`]; true when all fits.
+    /// Merges the entries of a unit's owner and its [`DedupTable::gap`]; true when all fit.
     pub fn sync(
         &mut self,
         now: Time,
@@ -332,12 +334,12 @@
         complete && self.synced(unit)
     }
 
-    /// Forgets requests that ended a window ago.
+    /// Removes requests that ended more than a window ago.
     pub fn expire(&mut self, now: Time) {
         self.table.expire(now);
     }
 
-    /// Returns the time until the next request is forgotten.
+    /// Returns the time until the next entry expires.
     fn next_expiry(&self, now: Time) -> Duration {
         let expiry = self.table.next_expiry().unwrap_or(now);
         expiry.since(now).max(Duration::from_millis(1))
--- a/acaciaring_core/src/dedup/table.rs
+++ b/acaciaring_core/src/dedup/table.rs
@@ -1,4 +1,4 @@
-//! Entries of the memory of requests, bounded in bytes.
+//! Entries of deduplication, bounded in bytes.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -7,13 +7,13 @@
 use crate::id::{RequestId, Slot, UnitId};
 use crate::time::Time;
 
-/// Size that an entry without answer counts as, in bytes: its share of the four indexes.
+/// Estimated size of an entry without its answer, including the indexes, in bytes.
 const ENTRY_BYTES: usize = 256;
 
-/// The same idempotency key under another resource may fall into another slot; it is another request.
+/// Slot and id: the same idempotency key under a resource in another slot is another request.
 type Key = (Slot, RequestId);
 
-/// Time at which something is due, then the key.
+/// Time of change or expiry, then the key.
 type TimedKey = (Time, Key);
 
 #[derive(Debug)]
@@ -23,14 +23,14 @@
     changed: Time,
 }
 
-/// Entries, by key, by slot and by age.
+/// Entries by key, by slot and by time.
 #[derive(Debug)]
 pub(super) struct Table<A> {
     max_bytes: usize,
     window: Duration,
     bytes: usize,
     entries: HashMap<Key, Entry<A>>,
-    /// When entries are forgotten; a request that runs here is not among them.
+    /// Expiry times; requests that run here have none.
     expiries: BTreeSet<TimedKey>,
     /// Entries with answers, oldest first.
     answers: BTreeSet<TimedKey>,
@@ -62,14 +62,15 @@
         self.entries.get(&(slot, id)).map(|entry| &entry.state)
     }
 
-    /// Returns when the next entry is forgotten.
+    /// Returns the time at which the next entry expires.
     pub(super) fn next_expiry(&self) -> Option<Time> {
         self.expiries.first().map(|(expiry, _)| *expiry)
     }
 
-    /// Adds an entry that is not there; false when there is no room for one more id.
+    /// Adds a missing entry; false when there is no room for one more id.
     ///
-    /// Answers make room for ids, ids never for ids: a forgotten id would let its request run again.
+    /// Answers are evicted to make room for ids, but ids never: a request whose id is lost could
+    /// run twice.
     pub(super) fn insert(
         &mut self,
         at: Time,
@@ -85,7 +86,7 @@
         true
     }
 
-    /// Replaces what is known of an entry that is there.
+    /// Replaces the state of an existing entry.
     pub(super) fn update(&mut self, at: Time, unit: UnitId, id: RequestId, state: RequestState<A>) {
         if self.remove(unit.slot, id) {
             self.put(at, unit, id, state);
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Takes in what another member knows, the more certain is kept; false when there is no room.
+    /// Merges another member's state, of which the more certain is kept; false when there is no
+    /// room.
     pub(super) fn merge(
         &mut self,
         at: Time,
@@ -101,7 +103,7 @@
         id: RequestId,
         state: RequestState<A>,
     ) -> bool {
-        // What runs there does not run here.
+        // A request that runs at the other member does not run here.
         let state =
             if matches!(state, RequestState::Running) { RequestState::Noted } else { state };
         let Some(known) = self.get(unit.slot, id) else {
@@ -130,7 +132,7 @@
         true
     }
 
-    /// Forgets what was noted under a unit and is not among `told`.
+    /// Removes the noted requests of a unit that are not among `reported`.
     pub(super) fn drop_noted(&mut self, unit: UnitId, reported: &HashSet<RequestId>) {
         let unreported = self.noted(unit).into_iter().filter(|id| !reported.contains(id));
         for id in unreported.collect::<Vec<_>>() {
@@ -138,10 +140,11 @@
         }
     }
 
-    /// Turns what was noted under a unit into unknown.
+    /// Marks the noted requests of a unit as unknown.
     ///
-    /// A key that was split out may have been noted under its slot, so all of the slot is turned when
-    /// either is taken over. An entry of the other unit loses nothing: its outcome still counts.
+    /// A key that was split out may have been noted under its slot, so the slot's requests are
+    /// marked as well. This is harmless for other units of the slot, because a later outcome still
+    /// replaces the state.
     pub(super) fn mark_noted_unknown(&mut self, now: Time, unit: UnitId) {
         let units: HashSet<_> = [unit, UnitId::slot(unit.slot)].into();
         for unit in units {
@@ -192,10 +195,10 @@
         self.entries.insert(key, Entry { unit, state, changed });
     }
 
-    /// Returns when an entry is forgotten.
+    /// Returns the time at which an entry expires; `None` while the request runs.
     ///
-    /// A noted request has twice the time. Its outcome may be lost on the way, so it must be forgotten
-    /// some day; but its owner may have ended it, and counted the window, long after it was noted.
+    /// A noted request is kept for two windows: its outcome may be lost, so it must expire, but the
+    /// owner may have ended it, and started its own window, long after it was noted.
     fn expiry(&self, state: &RequestState<A>, changed: Time) -> Option<Time> {
         match state {
             RequestState::Running => None,
@@ -204,7 +207,7 @@
         }
     }
 
-    /// Forgets the oldest answers, not their ids, until the bound is kept.
+    /// Drops the oldest answers, but not their ids, until the size limit is met.
     fn evict_answers(&mut self) {
         while self.bytes > self.max_bytes {
             let Some((changed, (slot, id))) = self.answers.first().copied() else { return };
@@ -222,7 +225,7 @@
     }
 }
 
-/// Orders what two members know of one request.
+/// Ranks states by certainty, to merge what two members know of one request.
 fn certainty<A>(state: &RequestState<A>) -> u8 {
     match state {
         RequestState::Noted => 0,
