--- a/acaciaring_core/src/lag.rs
+++ b/acaciaring_core/src/lag.rs
@@ -16,10 +16,10 @@
 /// Delays of the messages of one process.
 #[derive(Debug, Clone, Default)]
 pub struct DelayEstimator {
-    start: Time,
+    window_start: Time,
     /// Smallest difference in this window and the one before, in microseconds.
-    least: Option<i64>,
-    before: Option<i64>,
+    current_min: Option<i64>,
+    previous_min: Option<i64>,
 }
 
 impl DelayEstimator {
@@ -30,13 +30,13 @@
     /// as fast.
     pub fn delay(&mut self, now: Time, stamp: Duration) -> Duration {
         let difference = micros(now.since_start()).saturating_sub(micros(stamp));
-        if now.since(self.start) >= WINDOW {
-            self.start = now;
-            self.before = self.least.take();
+        if now.since(self.window_start) >= WINDOW {
+            self.window_start = now;
+            self.previous_min = self.current_min.take();
         }
-        let least = self.least.map_or(difference, |least| least.min(difference));
-        self.least = Some(least);
-        let base = self.before.map_or(least, |before| before.min(least));
+        let min = self.current_min.map_or(difference, |min| min.min(difference));
+        self.current_min = Some(min);
+        let base = self.previous_min.map_or(min, |previous| previous.min(min));
         Duration::from_micros(u64::try_from(difference.saturating_sub(base)).unwrap_or(0))
     }
 }
--- a/acaciaring_core/src/pace.rs
+++ b/acaciaring_core/src/pace.rs
@@ -6,7 +6,7 @@
 use crate::time::Time;
 
 /// Longest rest between two reads, however many members there are.
-const LONGEST: Duration = Duration::from_secs(1);
+const MAX_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Pace at which one member reads the log, so that the reads of all keep to a common rate.
 ///
@@ -18,10 +18,10 @@
     /// Offset of the next record to read.
     next: Offset,
     /// Offset behind the last record that something waits for.
-    needed: Offset,
-    rest: Duration,
+    required: Offset,
+    interval: Duration,
     /// When the last read was answered.
-    read: Time,
+    last_read: Time,
 }
 
 impl ReadPacer {
@@ -39,7 +39,7 @@
 
     /// Notes that a read was answered.
     pub const fn answered(&mut self, now: Time) {
-        self.read = now;
+        self.last_read = now;
     }
 
     /// Notes how far the log is folded.
@@ -50,13 +50,13 @@
     /// Notes how many members read, and how often all together may each second.
     pub fn set_rate(&mut self, members: usize, rate: u32) {
         let members = u32::try_from(members).unwrap_or(u32::MAX);
-        let rest = Duration::from_secs(1).saturating_mul(members) / rate.max(1);
-        self.rest = rest.min(LONGEST);
+        let interval = Duration::from_secs(1).saturating_mul(members) / rate.max(1);
+        self.interval = interval.min(MAX_INTERVAL);
     }
 
     /// Notes that something here waits for all records before an offset.
     pub fn require(&mut self, end: Offset) {
-        self.needed = self.needed.max(end);
+        self.required = self.required.max(end);
     }
 
     /// Notes that a record may stand in the log for which something here waits.
@@ -67,15 +67,15 @@
     /// Returns the rest between two reads.
     #[must_use]
     pub const fn interval(&self) -> Duration {
-        self.rest
+        self.interval
     }
 
     /// Returns for how long the next read has to wait, zero when it may begin.
     #[must_use]
     pub fn remaining(&self, now: Time) -> Duration {
-        if self.next < self.needed {
+        if self.next < self.required {
             return Duration::ZERO;
         }
-        (self.read + self.rest).since(now)
+        (self.last_read + self.interval).since(now)
     }
 }
--- a/acaciaring_core/src/rates.rs
+++ b/acaciaring_core/src/rates.rs
@@ -13,10 +13,10 @@
 use crate::time::Time;
 
 /// Half-lives after which weights are brought back to small numbers.
-const LONGEST: f64 = 64.0;
+const REBASE_HALF_LIVES: f64 = 64.0;
 
 /// Rate below which a unit is forgotten, in requests a second.
-const FORGOTTEN: f64 = 1e-3;
+const MIN_RATE: f64 = 1e-3;
 
 /// Settings of the measurement of heat.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -67,7 +67,7 @@
     /// Notes a request.
     pub fn record(&mut self, now: Time, unit: UnitId, key: KeyHash) {
         let mut weight = self.weight(now);
-        if weight > LONGEST.exp2() {
+        if weight > REBASE_HALF_LIVES.exp2() {
             self.rebase(now);
             weight = 1.0;
         }
@@ -96,14 +96,14 @@
 
     /// Returns the keys with at least `least` requests a second, hottest first.
     #[must_use]
-    pub fn hot_keys(&self, now: Time, least: f64) -> Vec<HotKeyRate> {
+    pub fn hot_keys(&self, now: Time, min_rate: f64) -> Vec<HotKeyRate> {
         let scale = self.scale(now);
         let rates = self.sketch.counts().map(|(unit, key, count)| HotKeyRate {
             unit,
             key,
             rate: count * scale,
         });
-        let mut hot: Vec<_> = rates.filter(|hot| hot.rate >= least && hot.rate > 0.0).collect();
+        let mut hot: Vec<_> = rates.filter(|hot| hot.rate >= min_rate && hot.rate > 0.0).collect();
         hot.sort_by(|a, b| b.rate.total_cmp(&a.rate).then(a.key.cmp(&b.key)));
         hot
     }
@@ -117,10 +117,10 @@
     }
 
     fn weight(&self, now: Time) -> f64 {
-        self.lives(now.since(self.base)).exp2()
+        self.half_lives(now.since(self.base)).exp2()
     }
 
-    fn lives(&self, span: Duration) -> f64 {
+    fn half_lives(&self, span: Duration) -> f64 {
         span.as_secs_f64() / self.settings.half_life.as_secs_f64()
     }
 
@@ -132,14 +132,14 @@
     ///
     /// Soon after the start little time has been watched, so each event says more.
     fn scale(&self, now: Time) -> f64 {
-        let watched = 1.0 - (-self.lives(now.since(self.start))).exp2();
+        let coverage = 1.0 - (-self.half_lives(now.since(self.start))).exp2();
         let seconds = self.settings.half_life.as_secs_f64() / std::f64::consts::LN_2;
-        1.0 / (self.weight(now) * seconds * watched.max(0.05))
+        1.0 / (self.weight(now) * seconds * coverage.max(0.05))
     }
 
     fn rebase(&mut self, now: Time) {
         let scale = self.scale(now);
-        self.units.retain(|_, count| *count * scale > FORGOTTEN);
+        self.units.retain(|_, count| *count * scale > MIN_RATE);
         let factor = 1.0 / self.weight(now);
         self.total *= factor;
         self.units.values_mut().for_each(|count| *count *= factor);
--- a/acaciaring_core/src/rates/sketch.rs
+++ b/acaciaring_core/src/rates/sketch.rs
@@ -12,13 +12,13 @@
     /// Part of the count that may be other keys'.
     error: f64,
     /// Position in the heap.
-    place: usize,
+    position: usize,
 }
 
 /// Bounded set of counters; each key with more than 1 / bound of all weight has one.
 #[derive(Debug)]
 pub(super) struct Sketch {
-    bound: usize,
+    capacity: usize,
     counters: Vec<Counter>,
     /// Indexes of counters, a heap with the smallest count on top.
     heap: Vec<usize>,
@@ -26,9 +26,14 @@
 }
 
 impl Sketch {
-    pub(super) fn new(bound: usize) -> Self {
-        let bound = bound.max(1);
-        Self { bound, counters: Vec::new(), heap: Vec::new(), keys: HashMap::with_capacity(bound) }
+    pub(super) fn new(capacity: usize) -> Self {
+        let capacity = capacity.max(1);
+        Self {
+            capacity,
+            counters: Vec::new(),
+            heap: Vec::new(),
+            keys: HashMap::with_capacity(capacity),
+        }
     }
 
     pub(super) fn add(&mut self, unit: UnitId, key: KeyHash, weight: f64) {
@@ -36,10 +41,16 @@
             let counter = &mut self.counters[index];
             counter.count += weight;
             counter.unit = unit;
-            let place = counter.place;
-            self.sink(place);
-        } else if self.counters.len() < self.bound {
-            self.grow(Counter { unit, key, count: weight, error: 0.0, place: self.heap.len() });
+            let position = counter.position;
+            self.sift_down(position);
+        } else if self.counters.len() < self.capacity {
+            self.insert(Counter {
+                unit,
+                key,
+                count: weight,
+                error: 0.0,
+                position: self.heap.len(),
+            });
         } else {
             self.replace(unit, key, weight);
         }
@@ -64,16 +75,16 @@
         self.heap.clear();
         self.keys.clear();
         for counter in kept {
-            self.grow(Counter { place: self.heap.len(), ..counter });
+            self.insert(Counter { position: self.heap.len(), ..counter });
         }
     }
 
-    fn grow(&mut self, counter: Counter) {
+    fn insert(&mut self, counter: Counter) {
         let index = self.counters.len();
         self.keys.insert(counter.key, index);
         self.heap.push(index);
         self.counters.push(counter);
-        self.rise(index);
+        self.sift_up(index);
     }
 
     /// Gives the smallest counter to a new key, which may have had as much.
@@ -83,40 +94,40 @@
         self.keys.remove(&counter.key);
         self.keys.insert(key, index);
         *counter =
-            Counter { unit, key, count: counter.count + weight, error: counter.count, place: 0 };
-        self.sink(0);
+            Counter { unit, key, count: counter.count + weight, error: counter.count, position: 0 };
+        self.sift_down(0);
     }
 
-    fn rise(&mut self, index: usize) {
-        let mut place = self.counters[index].place;
-        while place > 0 && self.count(place) < self.count((place - 1) / 2) {
-            self.swap(place, (place - 1) / 2);
-            place = (place - 1) / 2;
+    fn sift_up(&mut self, index: usize) {
+        let mut position = self.counters[index].position;
+        while position > 0 && self.count(position) < self.count((position - 1) / 2) {
+            self.swap(position, (position - 1) / 2);
+            position = (position - 1) / 2;
         }
     }
 
-    fn sink(&mut self, mut place: usize) {
+    fn sift_down(&mut self, mut position: usize) {
         loop {
             let children =
-                [2 * place + 1, 2 * place + 2].into_iter().filter(|c| *c < self.heap.len());
-            let least = children.min_by(|a, b| self.count(*a).total_cmp(&self.count(*b)));
-            match least {
-                Some(child) if self.count(child) < self.count(place) => {
-                    self.swap(place, child);
-                    place = child;
+                [2 * position + 1, 2 * position + 2].into_iter().filter(|c| *c < self.heap.len());
+            let smallest = children.min_by(|a, b| self.count(*a).total_cmp(&self.count(*b)));
+            match smallest {
+                Some(child) if self.count(child) < self.count(position) => {
+                    self.swap(position, child);
+                    position = child;
                 }
                 _ => return,
             }
         }
     }
 
-    fn count(&self, place: usize) -> f64 {
-        self.counters[self.heap[place]].count
+    fn count(&self, position: usize) -> f64 {
+        self.counters[self.heap[position]].count
     }
 
     fn swap(&mut self, a: usize, b: usize) {
         self.heap.swap(a, b);
-        self.counters[self.heap[a]].place = a;
-        self.counters[self.heap[b]].place = b;
+        self.counters[self.heap[a]].position = a;
+        self.counters[self.heap[b]].position = b;
     }
 }
--- a/acaciaring_core/src/refusal_cache.rs
+++ b/acaciaring_core/src/refusal_cache.rs
@@ -15,7 +15,7 @@
 ///
 /// The time is once to twice what the queue takes to empty. With a sixteenth at most an eighth of the
 /// queue is served until the next request is sent there, so that the upstream never runs dry for it.
-const HOLDS: u32 = 16;
+const HOLD_DIVISOR: u32 = 16;
 
 /// Time that a request has, as the queue beside an upstream looks at it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 
 /// Refusal that holds for others.
 #[derive(Debug, Clone, Copy)]
-struct Refused {
+struct CachedRefusal {
     until: Time,
     slack: Slack,
     /// When the refused caller may come back, from then on.
@@ -47,29 +47,29 @@
 /// What members refused lately because their queues were full.
 #[derive(Debug, Default)]
 pub struct RefusalCache {
-    refused: HashMap<(MemberId, Rank), Refused>,
+    refusals: HashMap<(MemberId, Rank), CachedRefusal>,
 }
 
 impl RefusalCache {
     /// Notes that a member refused a request, and when its caller may come back.
     pub fn record(&mut self, now: Time, member: MemberId, slack: Slack, retry: Duration) {
-        self.refused.retain(|_, refused| now < refused.until);
-        let refused = Refused { until: now + retry / HOLDS, slack, retry };
-        self.refused.insert((member, slack.rank), refused);
+        self.refusals.retain(|_, refusal| now < refusal.until);
+        let refusal = CachedRefusal { until: now + retry / HOLD_DIVISOR, slack, retry };
+        self.refusals.insert((member, slack.rank), refusal);
     }
 
     /// Returns when to come back if the member would refuse the request, `None` if it may take it.
     #[must_use]
     pub fn retry_after(&self, now: Time, member: MemberId, slack: Slack) -> Option<Duration> {
-        let refused = self.refused.get(&(member, slack.rank))?;
-        let holds = now < refused.until && slack.within(refused.slack);
-        holds.then_some(refused.retry)
+        let refusal = self.refusals.get(&(member, slack.rank))?;
+        let valid = now < refusal.until && slack.within(refusal.slack);
+        valid.then_some(refusal.retry)
     }
 
     /// Takes those out of `members` that would refuse the request; returns when to come back to them.
     pub fn retain(&self, now: Time, members: &mut Vec<MemberId>, slack: Slack) -> Option<Duration> {
         let mut soonest: Option<Duration> = None;
-        if self.refused.is_empty() {
+        if self.refusals.is_empty() {
             return soonest;
         }
         members.retain(|member| {
--- a/acaciaring_core/src/retry.rs
+++ b/acaciaring_core/src/retry.rs
@@ -44,7 +44,7 @@
 /// Members that are asked for free after the first one, when they are full.
 ///
 /// Each costs a hop, and in a flood most members are full.
-const BUSY_REDIRECTS: u32 = 1;
+const MAX_BUSY_REDIRECTS: u32 = 1;
 
 /// A try that gave no answer from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,14 +87,14 @@
 pub struct RetryBudget {
     settings: RetrySettings,
     tokens: f64,
-    filled: Time,
+    refilled: Time,
 }
 
 impl RetryBudget {
     /// Returns a budget that is full.
     #[must_use]
     pub fn new(now: Time, settings: RetrySettings) -> Self {
-        Self { tokens: settings.burst, settings, filled: now }
+        Self { tokens: settings.burst, settings, refilled: now }
     }
 
     /// Bounds what is saved up and what is earned without first tries, never above the settings.
@@ -102,10 +102,10 @@
     /// Guards against many processes that each spend a full budget on one upstream that is in
     /// trouble: `burst` retries in each `window` are this process's part of a bound for all. A
     /// full bucket and what it earns in one window are half of that part each.
-    pub fn limit(&mut self, burst: f64, window: Duration, usual: &RetrySettings) {
+    pub fn limit(&mut self, burst: f64, window: Duration, defaults: &RetrySettings) {
         let half = burst / 2.0;
-        self.settings.burst = usual.burst.min(half.max(1.0));
-        self.settings.min_rate = usual.min_rate.min(half / window.as_secs_f64());
+        self.settings.burst = defaults.burst.min(half.max(1.0));
+        self.settings.min_rate = defaults.min_rate.min(half / window.as_secs_f64());
         self.tokens = self.tokens.min(self.settings.burst);
     }
 
@@ -118,15 +118,15 @@
     /// Decides what to do after a failed try.
     pub fn decide(&mut self, now: Time, rng: &mut impl Rng, failure: &Failure) -> RetryDecision {
         self.refill(now);
-        if !may_repeat(failure) {
+        if !may_retry(failure) {
             return RetryDecision::GiveUp;
         }
         if self.is_free_redirect(failure) {
-            return within(failure.time_left, Duration::ZERO);
+            return retry_within(failure.time_left, Duration::ZERO);
         }
-        let after = self.pause(rng, failure);
-        let late = after >= failure.time_left;
-        if late || failure.attempts >= self.most(failure) || self.tokens < 1.0 {
+        let after = self.backoff(rng, failure);
+        let expired = after >= failure.time_left;
+        if expired || failure.attempts >= self.max_attempts(failure) || self.tokens < 1.0 {
             return RetryDecision::GiveUp;
         }
         self.tokens -= 1.0;
@@ -134,7 +134,7 @@
     }
 
     /// Returns how many tries a request has in all.
-    fn most(&self, failure: &Failure) -> u32 {
+    fn max_attempts(&self, failure: &Failure) -> u32 {
         if failure.max_attempts > 0 {
             failure.max_attempts.min(self.settings.max_attempts)
         } else {
@@ -150,14 +150,14 @@
         match failure.refusal.reason {
             Reason::NotOwner => failure.redirects <= self.settings.max_redirects,
             Reason::Busy if failure.has_alternative && !failure.reached_upstream => {
-                failure.redirects <= BUSY_REDIRECTS
+                failure.redirects <= MAX_BUSY_REDIRECTS
             }
             _ => false,
         }
     }
 
     /// Returns the pause: none towards a member not tried yet, else random, and no less than was asked for.
-    fn pause(&self, rng: &mut impl Rng, failure: &Failure) -> Duration {
+    fn backoff(&self, rng: &mut impl Rng, failure: &Failure) -> Duration {
         if failure.has_alternative {
             return Duration::ZERO;
         }
@@ -172,27 +172,27 @@
     }
 
     fn refill(&mut self, now: Time) {
-        let earned = now.since(self.filled).as_secs_f64() * self.settings.min_rate;
+        let earned = now.since(self.refilled).as_secs_f64() * self.settings.min_rate;
         self.tokens = (self.tokens + earned).min(self.settings.burst);
-        self.filled = self.filled.max(now);
+        self.refilled = self.refilled.max(now);
     }
 }
 
-fn within(left: Duration, after: Duration) -> RetryDecision {
+fn retry_within(left: Duration, after: Duration) -> RetryDecision {
     if after < left { RetryDecision::Retry { after } } else { RetryDecision::GiveUp }
 }
 
 /// Returns true when a further try cannot run the request twice against the rules and may succeed.
-fn may_repeat(failure: &Failure) -> bool {
-    let harmless = match failure.refusal.verdict {
+fn may_retry(failure: &Failure) -> bool {
+    let safe = match failure.refusal.verdict {
         Verdict::NotRun => true,
         Verdict::Answered => false,
         Verdict::Unknown => failure.repeat == Repeat::Idempotent,
     };
-    harmless && may_help(failure.refusal.reason)
+    safe && is_retryable(failure.refusal.reason)
 }
 
-fn may_help(reason: Reason) -> bool {
+fn is_retryable(reason: Reason) -> bool {
     match reason {
         Reason::NotOwner
         | Reason::NoLease
