--- a/acaciaring_core/src/lag.rs
+++ b/acaciaring_core/src/lag.rs
@@ -1,33 +1,33 @@
-//! How much longer than usual messages of another process are under way.
+//! Estimates how much longer than usual messages of another process are in transit.
 //!
-//! The two clocks have nothing in common but their rate. The smallest difference between the
-//! receiver's clock and the sender's stamp belongs to the fastest message; how far another one
-//! lies above it is its delay beyond that.
+//! The two clocks share only their rate. The smallest difference between the receiver's clock and
+//! the sender's time stamp belongs to the fastest message; the excess over it is the delay of
+//! another one.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// Span over which the smallest difference is sought, and twice that at most.
+/// Window of the minimum, which covers one to two windows.
 ///
-/// Clocks that drift by a thousandth move by 30 ms in it.
+/// It is short enough that clock drift within it is small.
 const WINDOW: Duration = Duration::from_secs(30);
 
 /// Delays of the messages of one process.
 #[derive(Debug, Clone, Default)]
 pub struct DelayEstimator {
     window_start: Time,
-    /// Smallest difference in this window and the one before, in microseconds.
+    /// Smallest difference in the current window and in the previous one, in microseconds.
     current_min: Option<i64>,
     previous_min: Option<i64>,
 }
 
 impl DelayEstimator {
-    /// Returns for how long a message was under way beyond the fastest one lately.
+    /// Returns the delay of a message beyond that of the fastest recent one.
     ///
-    /// `stamp` is the sender's clock when it sent, `now` the receiver's when the message is dealt
-    /// with, so time in which the receiver had no processor counts too. The first message counts
-    /// as fast.
+    /// `stamp` is the sender's clock when it sent, `now` the receiver's when it handles the
+    /// message, so time in which the receiver was not scheduled counts too. The first message
+    /// counts as fast.
     pub fn delay(&mut self, now: Time, stamp: Duration) -> Duration {
         let difference = micros(now.since_start()).saturating_sub(micros(stamp));
         if now.since(self.window_start) >= WINDOW {
--- a/acaciaring_core/src/rates.rs
+++ b/acaciaring_core/src/rates.rs
@@ -1,7 +1,7 @@
-//! Request rates by unit, and the hottest keys within them.
+//! Request rates by unit, and the hottest keys among them.
 //!
-//! Rates fade exponentially: an event of age `a` counts `2^(-a / half_life)`. Instead of fading old
-//! counts, new events weigh more as time goes on (forward decay, Cormode et al., 2009).
+//! Rates decay exponentially: an event of age `a` counts `2^(-a / half_life)`. Instead of decaying
+//! old counts, new events weigh more as time goes on (forward decay, Cormode et al., 2009).
 
 mod sketch;
 
@@ -12,18 +12,18 @@
 use crate::id::{KeyHash, UnitId};
 use crate::time::Time;
 
-/// Half-lives after which weights are brought back to small numbers.
+/// Half-lives after which counts are scaled down, so that weights do not overflow.
 const REBASE_HALF_LIVES: f64 = 64.0;
 
-/// Rate below which a unit is forgotten, in requests a second.
+/// Rate in requests per second below which a unit is dropped.
 const MIN_RATE: f64 = 1e-3;
 
-/// Settings of the measurement of heat.
+/// Settings of rate measurement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RateSettings {
     /// Time in which an event loses half of its weight.
     pub half_life: Duration,
-    /// Count of keys that are followed at once.
+    /// Maximum number of keys tracked.
     pub max_keys: usize,
 }
 
@@ -36,11 +36,11 @@
 /// Rate of one key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HotKeyRate {
-    /// Unit that covers the key.
+    /// Unit that contains the key.
     pub unit: UnitId,
-    /// Key.
+    /// Hash of the key.
     pub key: KeyHash,
-    /// Requests a second that are surely the key's.
+    /// Lower bound of the key's rate, in requests per second.
     pub rate: f64,
 }
 
@@ -57,14 +57,14 @@
 }
 
 impl RequestRates {
-    /// Returns a measurement that starts now.
+    /// Starts measuring at `now`.
     #[must_use]
     pub fn new(now: Time, settings: RateSettings) -> Self {
         let sketch = Sketch::new(settings.max_keys);
         Self { settings, start: now, base: now, total: 0.0, units: HashMap::new(), sketch }
     }
 
-    /// Notes a request.
+    /// Records a request.
     pub fn record(&mut self, now: Time, unit: UnitId, key: KeyHash) {
         let mut weight = self.weight(now);
         if weight > REBASE_HALF_LIVES.exp2() {
@@ -76,25 +76,25 @@
         self.sketch.add(unit, key, weight);
     }
 
-    /// Returns the requests a second of all units.
+    /// Returns the rate over all units, in requests per second.
     #[must_use]
     pub fn total(&self, now: Time) -> f64 {
         self.rate_of(now, self.total)
     }
 
-    /// Returns the requests a second of a unit.
+    /// Returns the rate of a unit, in requests per second.
     #[must_use]
     pub fn rate(&self, now: Time, unit: UnitId) -> f64 {
         self.units.get(&unit).map_or(0.0, |count| self.rate_of(now, *count))
     }
 
-    /// Returns the requests a second of each unit that has had any.
+    /// Returns the rate of each recorded unit, in requests per second.
     pub fn rates(&self, now: Time) -> impl Iterator<Item = (UnitId, f64)> {
         let scale = self.scale(now);
         self.units.iter().map(move |(unit, count)| (*unit, count * scale))
     }
 
-    /// Returns the keys with at least `least` requests a second, hottest first.
+    /// Returns the keys with at least `min_rate` requests per second, hottest first.
     #[must_use]
     pub fn hot_keys(&self, now: Time, min_rate: f64) -> Vec<HotKeyRate> {
         let scale = self.scale(now);
@@ -108,7 +108,7 @@
         hot
     }
 
-    /// Forgets a unit that this member no longer owns.
+    /// Drops a unit that this member no longer owns.
     pub fn forget(&mut self, unit: UnitId) {
         if let Some(count) = self.units.remove(&unit) {
             self.total = (self.total - count).max(0.0);
@@ -128,9 +128,10 @@
         count * self.scale(now)
     }
 
-    /// Returns what turns a count into requests a second.
+    /// Returns the factor from a count to requests per second.
     ///
-    /// Soon after the start little time has been watched, so each event says more.
+    /// Shortly after the start it is larger, because the measurement covers less than its full
+    /// window.
     fn scale(&self, now: Time) -> f64 {
         let coverage = 1.0 - (-self.half_lives(now.since(self.start))).exp2();
         let seconds = self.settings.half_life.as_secs_f64() / std::f64::consts::LN_2;
--- a/acaciaring_core/src/rates/sketch.rs
+++ b/acaciaring_core/src/rates/sketch.rs
@@ -1,4 +1,4 @@
-//! Space-Saving sketch of the heaviest keys (Metwally et al., 2005).
+//! Space-Saving sketch of the most frequent keys (Metwally et al., 2005).
 
 use std::collections::HashMap;
 
@@ -9,18 +9,18 @@
     unit: UnitId,
     key: KeyHash,
     count: f64,
-    /// Part of the count that may be other keys'.
+    /// Part of the count that may belong to other keys.
     error: f64,
     /// Position in the heap.
     position: usize,
 }
 
-/// Bounded set of counters; each key with more than 1 / bound of all weight has one.
+/// Bounded set of counters; each key with more than 1 / capacity of the total weight has one.
 #[derive(Debug)]
 pub(super) struct Sketch {
     capacity: usize,
     counters: Vec<Counter>,
-    /// Indexes of counters, a heap with the smallest count on top.
+    /// Indexes of counters, as a min-heap by count.
     heap: Vec<usize>,
     keys: HashMap<KeyHash, usize>,
 }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns unit, key and the count that is surely the key's.
+    /// Returns unit, key and lower bound of the count of each counter.
     pub(super) fn counts(&self) -> impl Iterator<Item = (UnitId, KeyHash, f64)> {
         self.counters.iter().map(|c| (c.unit, c.key, c.count - c.error))
     }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Forgets the keys of a unit.
+    /// Drops the keys of a unit.
     pub(super) fn forget(&mut self, unit: UnitId) {
         let kept: Vec<_> = self.counters.iter().filter(|c| c.unit != unit).copied().collect();
         self.counters.clear();
@@ -87,7 +87,7 @@
         self.sift_up(index);
     }
 
-    /// Gives the smallest counter to a new key, which may have had as much.
+    /// Reassigns the smallest counter to a new key; the old count becomes its error.
     fn replace(&mut self, unit: UnitId, key: KeyHash, weight: f64) {
         let index = self.heap[0];
         let counter = &mut self.counters[index];
--- a/acaciaring_core/src/refusal_cache.rs
+++ b/acaciaring_core/src/refusal_cache.rs
@@ -1,8 +1,9 @@
-//! Queues that were full a moment ago, so that an entry refuses by itself what they would refuse.
+//! Cache of recent refusals by full queues, so that an entry refuses similar requests without a
+//! hop.
 //!
-//! The load that this is for is one far above capacity: most requests are refused, and each refusal
-//! costs a way to the member and back, on machines whose processors the answers need. A queue
-//! that has just refused a request refuses one of the same rank with no more time as well.
+//! Far above capacity most requests are refused, and each refusal would cost a round trip and
+//! processor time that answers need. A queue that has just refused a request also refuses one of
+//! the same rank with no more time left.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,20 +12,20 @@
 use crate::route::Rank;
 use crate::time::Time;
 
-/// Part of the time after which a refused caller may come back for which its refusal holds for others.
+/// Divisor of the retry delay for which a refusal is cached.
 ///
-/// The time is once to twice what the queue takes to empty. With a sixteenth at most an eighth of the
-/// queue is served until the next request is sent there, so that the upstream never runs dry for it.
+/// The delay is one to two times the time in which the queue empties, so the cache entry expires
+/// while most of the queue is still waiting, and the upstream does not run idle.
 const HOLD_DIVISOR: u32 = 16;
 
-/// Time that a request has, as the queue beside an upstream looks at it.
+/// Time that a request has left, as admission of the upstream sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Slack {
     /// Rank of the request's class.
     pub rank: Rank,
-    /// Time within which an answer is in time.
+    /// Time until the deadline by which the answer should arrive.
     pub aim: Duration,
-    /// Time within which an answer is of use.
+    /// Time until the answer becomes useless.
     pub left: Duration,
 }
 
@@ -35,30 +36,30 @@
     }
 }
 
-/// Refusal that holds for others.
+/// Refusal that applies to similar requests.
 #[derive(Debug, Clone, Copy)]
 struct CachedRefusal {
     until: Time,
     slack: Slack,
-    /// When the refused caller may come back, from then on.
+    /// Retry delay given to callers.
     retry: Duration,
 }
 
-/// What members refused lately because their queues were full.
+/// Recent refusals of members whose queues were full.
 #[derive(Debug, Default)]
 pub struct RefusalCache {
     refusals: HashMap<(MemberId, Rank), CachedRefusal>,
 }
 
 impl RefusalCache {
-    /// Notes that a member refused a request, and when its caller may come back.
+    /// Records that a member refused a request with this retry delay.
     pub fn record(&mut self, now: Time, member: MemberId, slack: Slack, retry: Duration) {
         self.refusals.retain(|_, refusal| now < refusal.until);
         let refusal = CachedRefusal { until: now + retry / HOLD_DIVISOR, slack, retry };
         self.refusals.insert((member, slack.rank), refusal);
     }
 
-    /// Returns when to come back if the member would refuse the request, `None` if it may take it.
+    /// Returns the retry delay if the member would refuse the request, `None` if it may accept it.
     #[must_use]
     pub fn retry_after(&self, now: Time, member: MemberId, slack: Slack) -> Option<Duration> {
         let refusal = self.refusals.get(&(member, slack.rank))?;
@@ -66,7 +67,7 @@
         valid.then_some(refusal.retry)
     }
 
-    /// Takes those out of `members` that would refuse the request; returns when to come back to them.
+    /// Removes members that would refuse the request; returns their shortest retry delay.
     pub fn retain(&self, now: Time, members: &mut Vec<MemberId>, slack: Slack) -> Option<Duration> {
         let mut soonest: Option<Duration> = None;
         if self.refusals.is_empty() {
--- a/acaciaring_core/src/retry.rs
+++ b/acaciaring_core/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: which are allowed, when, and how many in all.
+//! Retry policy: which requests are retried, after which backoff, and within which budget.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 /// Settings of retries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetrySettings {
-    /// Retries per first try, over time.
+    /// Retries allowed per first attempt, on average.
     pub ratio: f64,
-    /// Retries a second that are allowed however few first tries there are.
+    /// Retries per second allowed whatever the number of first attempts.
     pub min_rate: f64,
-    /// Retries that may be saved up.
+    /// Capacity of the token bucket, in retries.
     pub burst: f64,
-    /// Tries of one request at most, redirects not counted.
+    /// Maximum number of attempts of one request, redirects excluded.
     pub max_attempts: u32,
-    /// Redirects of one request to another owner at most; further ones count as tries.
+    /// Maximum number of free redirects to another owner; further ones count as attempts.
     pub max_redirects: u32,
-    /// Longest pause before the second try; it doubles with each further try.
+    /// Maximum backoff before the second attempt; it doubles with each further attempt.
     pub base_backoff: Duration,
-    /// Longest pause.
+    /// Upper limit of the backoff.
     pub max_backoff: Duration,
 }
 
@@ -41,48 +41,48 @@
     }
 }
 
-/// Members that are asked for free after the first one, when they are full.
+/// Maximum number of free redirects away from full members.
 ///
-/// Each costs a hop, and in a flood most members are full.
+/// Each costs a hop, and under overload most members are full.
 const MAX_BUSY_REDIRECTS: u32 = 1;
 
-/// A try that gave no answer from an upstream.
+/// Failed attempt, without an answer from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
-    /// How the try ended.
+    /// How the attempt ended.
     pub refusal: Refusal,
     /// How often the request may run.
     pub repeat: Repeat,
-    /// Time that is left for the whole answer.
+    /// Time left for the whole answer.
     pub time_left: Duration,
-    /// Tries so far, this one included, redirects not.
+    /// Attempts so far, including this one but not redirects.
     pub attempts: u32,
-    /// Tries so far that no upstream has seen, this one included.
+    /// Attempts so far that reached no upstream, including this one.
     pub redirects: u32,
-    /// True when an upstream has seen this try.
+    /// True when this attempt reached an upstream.
     pub reached_upstream: bool,
     /// True when a member that was not tried yet may take the request.
     pub has_alternative: bool,
-    /// Tries that the class allows; 0 leaves it to the settings.
+    /// Maximum number of attempts set by the class; 0 uses the settings.
     pub max_attempts: u32,
 }
 
-/// What to do after a failed try.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again after a pause.
+    /// Retry after a backoff.
     Retry {
-        /// Length of the pause.
+        /// Duration of the backoff.
         after: Duration,
     },
-    /// Give the caller the final answer now.
+    /// Return the failure to the caller.
     GiveUp,
 }
 
-/// Budget of retries of one entry process, a token bucket.
+/// Retry budget of one entry process, a token bucket.
 ///
-/// The owner of this value keeps one for each class. With one for all, an overload of interactive
-/// requests would use up the retries that bulk requests need.
+/// The owner keeps one for each class, so that an overload of interactive requests does not use up
+/// the retries of bulk requests.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
@@ -91,17 +91,17 @@
 }
 
 impl RetryBudget {
-    /// Returns a budget that is full.
+    /// Returns a full budget.
     #[must_use]
     pub fn new(now: Time, settings: RetrySettings) -> Self {
         Self { tokens: settings.burst, settings, refilled: now }
     }
 
-    /// Bounds what is saved up and what is earned without first tries, never above the settings.
+    /// Limits the capacity and the minimum rate, never above the default settings.
     ///
-    /// Guards against many processes that each spend a full budget on one upstream that is in
-    /// trouble: `burst` retries in each `window` are this process's part of a bound for all. A
-    /// full bucket and what it earns in one window are half of that part each.
+    /// Guards against many processes that each spend a full budget on one failing upstream: `burst`
+    /// retries per `window` are this process's part of a common limit, half of it as capacity and
+    /// half as refill.
     pub fn limit(&mut self, burst: f64, window: Duration, defaults: &RetrySettings) {
         let half = burst / 2.0;
         self.settings.burst = defaults.burst.min(half.max(1.0));
@@ -109,13 +109,13 @@
         self.tokens = self.tokens.min(self.settings.burst);
     }
 
-    /// Notes a first try, which earns its share of a retry.
+    /// Records a first attempt, which adds its fraction of a token.
     pub fn first_attempt(&mut self, now: Time) {
         self.refill(now);
         self.tokens = (self.tokens + self.settings.ratio).min(self.settings.burst);
     }
 
-    /// Decides what to do after a failed try.
+    /// Decides whether to retry after a failed attempt.
     pub fn decide(&mut self, now: Time, rng: &mut impl Rng, failure: &Failure) -> RetryDecision {
         self.refill(now);
         if !may_retry(failure) {
@@ -133,7 +133,7 @@
         RetryDecision::Retry { after }
     }
 
-    /// Returns how many tries a request has in all.
+    /// Returns the maximum number of attempts of the request.
     fn max_attempts(&self, failure: &Failure) -> u32 {
         if failure.max_attempts > 0 {
             failure.max_attempts.min(self.settings.max_attempts)
@@ -142,10 +142,10 @@
         }
     }
 
-    /// A try that no upstream has seen costs next to nothing, so a few of them are free.
+    /// Returns true for a redirect that takes no token, as it reached no upstream and costs little.
     ///
-    /// Guards against a service of which one member is full: its requests would use up the budget
-    /// that all members share, and then be refused while other members have room.
+    /// Guards against one full member whose requests use up the budget of all members and are then
+    /// refused although other members have capacity.
     fn is_free_redirect(&self, failure: &Failure) -> bool {
         match failure.refusal.reason {
             Reason::NotOwner => failure.redirects <= self.settings.max_redirects,
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Returns the pause: none towards a member not tried yet, else random, and no less than was asked for.
+    /// Returns the backoff: none towards an untried member, else random but at least the requested
+    /// delay.
     fn backoff(&self, rng: &mut impl Rng, failure: &Failure) -> Duration {
         if failure.has_alternative {
             return Duration::ZERO;
@@ -182,7 +183,7 @@
     if after < left { RetryDecision::Retry { after } } else { RetryDecision::GiveUp }
 }
 
-/// Returns true when a further try cannot run the request twice against the rules and may succeed.
+/// Returns true when a retry may succeed and cannot run the request more often than allowed.
 fn may_retry(failure: &Failure) -> bool {
     let safe = match failure.refusal.verdict {
         Verdict::NotRun => true,
