--- a/acaciaring_core/src/admission/mod.rs
+++ b/acaciaring_core/src/admission/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Critical requests start first. Each lower rank that waits is guaranteed a minimum share of the
 //! remaining slot time; beyond that the more important rank starts first, and within a rank the
-//! earliest deadline. A request that would miss its deadline is refused as soon as that can be
-//! predicted.
+//! earliest deadline. A request that would miss its deadline waits behind all others if a late
+//! answer is useful, else it is refused as soon as the miss can be predicted.
 
 mod predict;
 mod queue;
