--- a/acaciaring_core/src/refusal_cache.rs
+++ b/acaciaring_core/src/refusal_cache.rs
@@ -1,5 +1,5 @@
-//! Cache of recent refusals by full queues, so that an entry process refuses similar requests without
-//! a network hop.
+//! Cache of recent refusals by full queues, so that an entry process refuses similar requests
+//! without a network hop.
 //!
 //! Far above capacity most requests are refused, and each refusal would cost a round trip and
 //! processor time that answers need. A queue that has just refused a request also refuses one of
