--- a/acaciaring_core/src/dedup/table.rs
+++ b/acaciaring_core/src/dedup/table.rs
@@ -1,50 +1,50 @@
-//! Entries of the memory of requests, bounded in bytes.
+//! Entries of deduplication, bounded in bytes.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
 
-use super::{DedupEntry, DedupSettings, Memory};
+use super::{DedupEntry, DedupSettings, RequestState};
 use crate::id::{RequestId, Slot, UnitId};
 use crate::time::Time;
 
-/// Size that an entry without answer counts as, in bytes: its share of the four indexes.
+/// Estimated size of an entry without its answer, including the indexes, in bytes.
 const ENTRY_BYTES: usize = 256;
 
-/// The same idempotency key under another resource may fall into another slot; it is another request.
+/// Slot and id: the same idempotency key under a resource in another slot is another request.
 type Key = (Slot, RequestId);
 
-/// Time at which something is due, then the key.
-type Due = (Time, Key);
+/// Time of change or expiry, then the key.
+type TimedKey = (Time, Key);
 
 #[derive(Debug)]
 struct Entry<A> {
     unit: UnitId,
-    memory: Memory<A>,
+    state: RequestState<A>,
     changed: Time,
 }
 
-/// Entries, by key, by slot and by age.
+/// Entries by key, by slot and by time.
 #[derive(Debug)]
 pub(super) struct Table<A> {
-    bound: usize,
+    max_bytes: usize,
     window: Duration,
     bytes: usize,
     entries: HashMap<Key, Entry<A>>,
-    /// When entries are forgotten; a request that runs here is not among them.
-    dues: BTreeSet<Due>,
+    /// Expiry times; requests that run here have none.
+    expiries: BTreeSet<TimedKey>,
     /// Entries with answers, oldest first.
-    answers: BTreeSet<Due>,
+    answers: BTreeSet<TimedKey>,
     slots: HashMap<Slot, BTreeSet<RequestId>>,
 }
 
 impl<A: Clone> Table<A> {
     pub(super) fn new(settings: &DedupSettings) -> Self {
         Self {
-            bound: settings.bytes,
+            max_bytes: settings.max_bytes,
             window: settings.window,
             bytes: 0,
             entries: HashMap::new(),
-            dues: BTreeSet::new(),
+            expiries: BTreeSet::new(),
             answers: BTreeSet::new(),
             slots: HashMap::new(),
         }
@@ -58,56 +58,59 @@
         self.bytes
     }
 
-    pub(super) fn get(&self, slot: Slot, id: RequestId) -> Option<&Memory<A>> {
-        self.entries.get(&(slot, id)).map(|entry| &entry.memory)
+    pub(super) fn get(&self, slot: Slot, id: RequestId) -> Option<&RequestState<A>> {
+        self.entries.get(&(slot, id)).map(|entry| &entry.state)
     }
 
-    /// Returns when the next entry is forgotten.
-    pub(super) fn next_due(&self) -> Option<Time> {
-        self.dues.first().map(|(due, _)| *due)
+    /// Returns the time at which the next entry expires.
+    pub(super) fn next_expiry(&self) -> Option<Time> {
+        self.expiries.first().map(|(expiry, _)| *expiry)
     }
 
-    /// Adds an entry that is not there; false when there is no room for one more id.
+    /// Adds a missing entry; false when there is no room for one more id.
     ///
-    /// Answers make room for ids, ids never for ids: a forgotten id would let its request run again.
+    /// Answers are evicted to make room for ids, but ids never: a request whose id is lost could
+    /// run twice.
     pub(super) fn insert(
         &mut self,
         at: Time,
         unit: UnitId,
         id: RequestId,
-        memory: Memory<A>,
+        state: RequestState<A>,
     ) -> bool {
-        if (self.entries.len() + 1) * ENTRY_BYTES > self.bound {
+        if (self.entries.len() + 1) * ENTRY_BYTES > self.max_bytes {
             return false;
         }
-        self.put(at, unit, id, memory);
+        self.put(at, unit, id, state);
         self.evict_answers();
         true
     }
 
-    /// Replaces what is known of an entry that is there.
-    pub(super) fn update(&mut self, at: Time, unit: UnitId, id: RequestId, memory: Memory<A>) {
+    /// Replaces the state of an existing entry.
+    pub(super) fn update(&mut self, at: Time, unit: UnitId, id: RequestId, state: RequestState<A>) {
         if self.remove(unit.slot, id) {
-            self.put(at, unit, id, memory);
+            self.put(at, unit, id, state);
             self.evict_answers();
         }
     }
 
-    /// Takes in what another member knows, the more certain is kept; false when there is no room.
+    /// Merges another member's state, of which the more certain is kept; false when there is no
+    /// room.
     pub(super) fn merge(
         &mut self,
         at: Time,
         unit: UnitId,
         id: RequestId,
-        memory: Memory<A>,
+        state: RequestState<A>,
     ) -> bool {
-        // What runs there does not run here.
-        let memory = if matches!(memory, Memory::Running) { Memory::Noted } else { memory };
+        // A request that runs at the other member does not run here.
+        let state =
+            if matches!(state, RequestState::Running) { RequestState::Noted } else { state };
         let Some(known) = self.get(unit.slot, id) else {
-            return self.insert(at, unit, id, memory);
+            return self.insert(at, unit, id, state);
         };
-        if certainty(&memory) > certainty(known) {
-            self.update(at, unit, id, memory);
+        if certainty(&state) > certainty(known) {
+            self.update(at, unit, id, state);
         }
         true
     }
@@ -115,10 +118,10 @@
     pub(super) fn remove(&mut self, slot: Slot, id: RequestId) -> bool {
         let key = (slot, id);
         let Some(entry) = self.entries.remove(&key) else { return false };
-        self.bytes -= size(&entry.memory);
+        self.bytes -= size(&entry.state);
         self.answers.remove(&(entry.changed, key));
-        if let Some(due) = self.due(&entry.memory, entry.changed) {
-            self.dues.remove(&(due, key));
+        if let Some(expiry) = self.expiry(&entry.state, entry.changed) {
+            self.expiries.remove(&(expiry, key));
         }
         if let Some(ids) = self.slots.get_mut(&slot) {
             ids.remove(&id);
@@ -129,23 +132,24 @@
         true
     }
 
-    /// Forgets what was noted under a unit and is not among `told`.
-    pub(super) fn drop_noted(&mut self, unit: UnitId, told: &HashSet<RequestId>) {
-        let untold = self.noted(unit).into_iter().filter(|id| !told.contains(id));
-        for id in untold.collect::<Vec<_>>() {
+    /// Removes the noted requests of a unit that are not among `reported`.
+    pub(super) fn drop_noted(&mut self, unit: UnitId, reported: &HashSet<RequestId>) {
+        let unreported = self.noted(unit).into_iter().filter(|id| !reported.contains(id));
+        for id in unreported.collect::<Vec<_>>() {
             self.remove(unit.slot, id);
         }
     }
 
-    /// Turns what was noted under a unit into unknown.
+    /// Marks the noted requests of a unit as unknown.
     ///
-    /// A key that was split out may have been noted under its slot, so all of the slot is turned when
-    /// either is taken over. An entry of the other unit loses nothing: its outcome still counts.
-    pub(super) fn give_up_noted(&mut self, now: Time, unit: UnitId) {
+    /// A key that was split out may have been noted under its slot, so the slot's requests are
+    /// marked as well. This is harmless for other units of the slot, because a later outcome still
+    /// replaces the state.
+    pub(super) fn mark_noted_unknown(&mut self, now: Time, unit: UnitId) {
         let units: HashSet<_> = [unit, UnitId::slot(unit.slot)].into();
         for unit in units {
             for id in self.noted(unit) {
-                self.update(now, unit, id, Memory::Unknown);
+                self.update(now, unit, id, RequestState::Unknown);
             }
         }
     }
@@ -154,16 +158,16 @@
         let ids = self.slots.get(&slot).into_iter().flatten();
         ids.filter_map(|id| {
             let entry = self.entries.get(&(slot, *id))?;
-            let running = matches!(entry.memory, Memory::Running);
+            let running = matches!(entry.state, RequestState::Running);
             let age = if running { Duration::ZERO } else { now.since(entry.changed) };
-            Some(DedupEntry { unit: entry.unit, id: *id, memory: entry.memory.clone(), age })
+            Some(DedupEntry { unit: entry.unit, id: *id, state: entry.state.clone(), age })
         })
         .collect()
     }
 
     pub(super) fn expire(&mut self, now: Time) {
-        while let Some((due, (slot, id))) = self.dues.first().copied()
-            && due <= now
+        while let Some((expiry, (slot, id))) = self.expiries.first().copied()
+            && expiry <= now
         {
             self.remove(slot, id);
         }
@@ -173,60 +177,60 @@
         let ids = self.slots.get(&unit.slot).into_iter().flatten();
         let noted = ids.filter(|id| {
             let entry = self.entries.get(&(unit.slot, **id));
-            entry.is_some_and(|e| e.unit == unit && matches!(e.memory, Memory::Noted))
+            entry.is_some_and(|e| e.unit == unit && matches!(e.state, RequestState::Noted))
         });
         noted.copied().collect()
     }
 
-    fn put(&mut self, changed: Time, unit: UnitId, id: RequestId, memory: Memory<A>) {
+    fn put(&mut self, changed: Time, unit: UnitId, id: RequestId, state: RequestState<A>) {
         let key = (unit.slot, id);
-        self.bytes += size(&memory);
-        if let Some(due) = self.due(&memory, changed) {
-            self.dues.insert((due, key));
+        self.bytes += size(&state);
+        if let Some(expiry) = self.expiry(&state, changed) {
+            self.expiries.insert((expiry, key));
         }
-        if matches!(memory, Memory::Done { .. }) {
+        if matches!(state, RequestState::Done { .. }) {
             self.answers.insert((changed, key));
         }
         self.slots.entry(unit.slot).or_default().insert(id);
-        self.entries.insert(key, Entry { unit, memory, changed });
+        self.entries.insert(key, Entry { unit, state, changed });
     }
 
-    /// Returns when an entry is forgotten.
+    /// Returns the time at which an entry expires; `None` while the request runs.
     ///
-    /// A noted request has twice the time. Its outcome may be lost on the way, so it must be forgotten
-    /// some day; but its owner may have ended it, and counted the window, long after it was noted.
-    fn due(&self, memory: &Memory<A>, changed: Time) -> Option<Time> {
-        match memory {
-            Memory::Running => None,
-            Memory::Noted => Some(changed + 2 * self.window),
-            Memory::Done { .. } | Memory::Unknown => Some(changed + self.window),
+    /// A noted request is kept for two windows: its outcome may be lost, so it must expire, but the
+    /// owner may have ended it, and started its own window, long after it was noted.
+    fn expiry(&self, state: &RequestState<A>, changed: Time) -> Option<Time> {
+        match state {
+            RequestState::Running => None,
+            RequestState::Noted => Some(changed + 2 * self.window),
+            RequestState::Done { .. } | RequestState::Unknown => Some(changed + self.window),
         }
     }
 
-    /// Forgets the oldest answers, not their ids, until the bound is kept.
+    /// Drops the oldest answers, but not their ids, until the size limit is met.
     fn evict_answers(&mut self) {
-        while self.bytes > self.bound {
+        while self.bytes > self.max_bytes {
             let Some((changed, (slot, id))) = self.answers.first().copied() else { return };
             let unit = self.entries.get(&(slot, id)).map_or(UnitId::slot(slot), |entry| entry.unit);
             self.remove(slot, id);
-            self.put(changed, unit, id, Memory::Unknown);
+            self.put(changed, unit, id, RequestState::Unknown);
         }
     }
 }
 
-fn size<A>(memory: &Memory<A>) -> usize {
-    match memory {
-        Memory::Done { bytes, .. } => ENTRY_BYTES + bytes,
-        Memory::Running | Memory::Noted | Memory::Unknown => ENTRY_BYTES,
+fn size<A>(state: &RequestState<A>) -> usize {
+    match state {
+        RequestState::Done { bytes, .. } => ENTRY_BYTES + bytes,
+        RequestState::Running | RequestState::Noted | RequestState::Unknown => ENTRY_BYTES,
     }
 }
 
-/// Orders what two members know of one request.
-fn certainty<A>(memory: &Memory<A>) -> u8 {
-    match memory {
-        Memory::Noted => 0,
-        Memory::Unknown => 1,
-        Memory::Running => 2,
-        Memory::Done { .. } => 3,
+/// Ranks states by certainty, to merge what two members know of one request.
+fn certainty<A>(state: &RequestState<A>) -> u8 {
+    match state {
+        RequestState::Noted => 0,
+        RequestState::Unknown => 1,
+        RequestState::Running => 2,
+        RequestState::Done { .. } => 3,
     }
 }
--- a/acaciaring_core/src/heat.rs
+++ b/acaciaring_core/src/rates.rs
@@ -1,7 +1,7 @@
-//! Request rates by unit, and the hottest keys within them.
+//! Request rates by unit, and the hottest keys among them.
 //!
-//! Rates fade exponentially: an event of age `a` counts `2^(-a / half_life)`. Instead of fading old
-//! counts, new events weigh more as time goes on (forward decay, Cormode et al., 2009).
+//! Rates decay exponentially: an event of age `a` counts `2^(-a / half_life)`. Instead of decaying
+//! old counts, new events weigh more as time goes on (forward decay, Cormode et al., 2009).
 
 mod sketch;
 
@@ -12,42 +12,42 @@
 use crate::id::{KeyHash, UnitId};
 use crate::time::Time;
 
-/// Half-lives after which weights are brought back to small numbers.
-const LONGEST: f64 = 64.0;
+/// Half-lives after which counts are scaled down, so that weights do not overflow.
+const REBASE_HALF_LIVES: f64 = 64.0;
 
-/// Rate below which a unit is forgotten, in requests a second.
-const FORGOTTEN: f64 = 1e-3;
+/// Rate in requests per second below which a unit is dropped.
+const MIN_RATE: f64 = 1e-3;
 
-/// Settings of the measurement of heat.
+/// Settings of rate measurement.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeatSettings {
+pub struct RateSettings {
     /// Time in which an event loses half of its weight.
     pub half_life: Duration,
-    /// Count of keys that are followed at once.
-    pub keys: usize,
+    /// Maximum number of keys tracked.
+    pub max_keys: usize,
 }
 
-impl Default for HeatSettings {
+impl Default for RateSettings {
     fn default() -> Self {
-        Self { half_life: Duration::from_secs(10), keys: 1024 }
+        Self { half_life: Duration::from_secs(10), max_keys: 1024 }
     }
 }
 
 /// Rate of one key.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct HotRate {
-    /// Unit that covers the key.
+pub struct HotKeyRate {
+    /// Unit that contains the key.
     pub unit: UnitId,
-    /// Key.
+    /// Hash of the key.
     pub key: KeyHash,
-    /// Requests a second that are surely the key's.
+    /// Lower bound of the key's rate, in requests per second.
     pub rate: f64,
 }
 
 /// Request rates of one service at one member.
 #[derive(Debug)]
-pub struct Heat {
-    settings: HeatSettings,
+pub struct RequestRates {
+    settings: RateSettings,
     start: Time,
     /// Time at which an event weighs 1.
     base: Time,
@@ -56,18 +56,18 @@
     sketch: Sketch,
 }
 
-impl Heat {
-    /// Returns a measurement that starts now.
+impl RequestRates {
+    /// Starts measuring at `now`.
     #[must_use]
-    pub fn new(now: Time, settings: HeatSettings) -> Self {
-        let sketch = Sketch::new(settings.keys);
+    pub fn new(now: Time, settings: RateSettings) -> Self {
+        let sketch = Sketch::new(settings.max_keys);
         Self { settings, start: now, base: now, total: 0.0, units: HashMap::new(), sketch }
     }
 
-    /// Notes a request.
+    /// Records a request.
     pub fn record(&mut self, now: Time, unit: UnitId, key: KeyHash) {
         let mut weight = self.weight(now);
-        if weight > LONGEST.exp2() {
+        if weight > REBASE_HALF_LIVES.exp2() {
             self.rebase(now);
             weight = 1.0;
         }
@@ -76,39 +76,39 @@
         self.sketch.add(unit, key, weight);
     }
 
-    /// Returns the requests a second of all units.
+    /// Returns the rate over all units, in requests per second.
     #[must_use]
     pub fn total(&self, now: Time) -> f64 {
         self.rate_of(now, self.total)
     }
 
-    /// Returns the requests a second of a unit.
+    /// Returns the rate of a unit, in requests per second.
     #[must_use]
     pub fn rate(&self, now: Time, unit: UnitId) -> f64 {
         self.units.get(&unit).map_or(0.0, |count| self.rate_of(now, *count))
     }
 
-    /// Returns the requests a second of each unit that has had any.
+    /// Returns the rate of each recorded unit, in requests per second.
     pub fn rates(&self, now: Time) -> impl Iterator<Item = (UnitId, f64)> {
         let scale = self.scale(now);
         self.units.iter().map(move |(unit, count)| (*unit, count * scale))
     }
 
-    /// Returns the keys with at least `least` requests a second, hottest first.
+    /// Returns the keys with at least `min_rate` requests per second, hottest first.
     #[must_use]
-    pub fn hot(&self, now: Time, least: f64) -> Vec<HotRate> {
+    pub fn hot_keys(&self, now: Time, min_rate: f64) -> Vec<HotKeyRate> {
         let scale = self.scale(now);
-        let rates = self.sketch.counts().map(|(unit, key, count)| HotRate {
+        let rates = self.sketch.counts().map(|(unit, key, count)| HotKeyRate {
             unit,
             key,
             rate: count * scale,
         });
-        let mut hot: Vec<_> = rates.filter(|hot| hot.rate >= least && hot.rate > 0.0).collect();
+        let mut hot: Vec<_> = rates.filter(|hot| hot.rate >= min_rate && hot.rate > 0.0).collect();
         hot.sort_by(|a, b| b.rate.total_cmp(&a.rate).then(a.key.cmp(&b.key)));
         hot
     }
 
-    /// Forgets a unit that this member no longer owns.
+    /// Drops a unit that this member no longer owns.
     pub fn forget(&mut self, unit: UnitId) {
         if let Some(count) = self.units.remove(&unit) {
             self.total = (self.total - count).max(0.0);
@@ -117,10 +117,10 @@
     }
 
     fn weight(&self, now: Time) -> f64 {
-        self.lives(now.since(self.base)).exp2()
+        self.half_lives(now.since(self.base)).exp2()
     }
 
-    fn lives(&self, span: Duration) -> f64 {
+    fn half_lives(&self, span: Duration) -> f64 {
         span.as_secs_f64() / self.settings.half_life.as_secs_f64()
     }
 
@@ -128,18 +128,19 @@
         count * self.scale(now)
     }
 
-    /// Returns what turns a count into requests a second.
+    /// Returns the factor from a count to requests per second.
     ///
-    /// Soon after the start little time has been watched, so each event says more.
+    /// Shortly after the start it is larger, because the measurement covers less than its full
+    /// window.
     fn scale(&self, now: Time) -> f64 {
-        let watched = 1.0 - (-self.lives(now.since(self.start))).exp2();
+        let coverage = 1.0 - (-self.half_lives(now.since(self.start))).exp2();
         let seconds = self.settings.half_life.as_secs_f64() / std::f64::consts::LN_2;
-        1.0 / (self.weight(now) * seconds * watched.max(0.05))
+        1.0 / (self.weight(now) * seconds * coverage.max(0.05))
     }
 
     fn rebase(&mut self, now: Time) {
         let scale = self.scale(now);
-        self.units.retain(|_, count| *count * scale > FORGOTTEN);
+        self.units.retain(|_, count| *count * scale > MIN_RATE);
         let factor = 1.0 / self.weight(now);
         self.total *= factor;
         self.units.values_mut().for_each(|count| *count *= factor);
--- a/acaciaring_core/src/retry.rs
+++ b/acaciaring_core/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: which are allowed, when, and how many in all.
+//! Retry policy: which requests are retried, after which backoff, and within which budget.
 
 use std::time::Duration;
 
@@ -11,180 +11,189 @@
 /// Settings of retries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetrySettings {
-    /// Retries per first try, over time.
-    pub share: f64,
-    /// Retries a second that are allowed however few first tries there are.
-    pub least: f64,
-    /// Retries that may be saved up.
+    /// Retries allowed per first attempt, on average.
+    pub ratio: f64,
+    /// Retries per second allowed whatever the number of first attempts.
+    pub min_rate: f64,
+    /// Capacity of the token bucket, in retries.
     pub burst: f64,
-    /// Tries of one request at most, redirects not counted.
-    pub tries: u32,
-    /// Redirects of one request to another owner at most; further ones count as tries.
-    pub redirects: u32,
-    /// Longest pause before the second try; it doubles with each further try.
-    pub pause: Duration,
-    /// Longest pause.
-    pub longest: Duration,
+    /// Maximum number of attempts of one request, redirects excluded.
+    pub max_attempts: u32,
+    /// Maximum number of free redirects to another owner; further ones count as attempts.
+    pub max_redirects: u32,
+    /// Maximum backoff before the second attempt; it doubles with each further attempt.
+    pub base_backoff: Duration,
+    /// Upper limit of the backoff.
+    pub max_backoff: Duration,
 }
 
 impl Default for RetrySettings {
     fn default() -> Self {
         Self {
-            share: 0.1,
-            least: 1.0,
+            ratio: 0.1,
+            min_rate: 1.0,
             burst: 20.0,
-            tries: 5,
-            redirects: 3,
-            pause: Duration::from_millis(50),
-            longest: Duration::from_millis(800),
+            max_attempts: 5,
+            max_redirects: 3,
+            base_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_millis(800),
         }
     }
 }
 
-/// Members that are asked for free after the first one, when they are full.
+/// Maximum number of free redirects away from full members.
 ///
-/// Each costs a hop, and in a flood most members are full.
-const BUSY_REDIRECTS: u32 = 1;
+/// Each costs a hop, and under overload most members are full.
+const MAX_BUSY_REDIRECTS: u32 = 1;
 
-/// A try that gave no answer from an upstream.
+/// Failed attempt, without an answer from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
-    /// How the try ended.
+    /// How the attempt ended.
     pub refusal: Refusal,
     /// How often the request may run.
     pub repeat: Repeat,
-    /// Time that is left for the whole answer.
-    pub left: Duration,
-    /// Tries so far, this one included, redirects not.
-    pub tries: u32,
-    /// Tries so far that no upstream has seen, this one included.
+    /// Time left for the whole answer.
+    pub time_left: Duration,
+    /// Attempts so far, including this one but not redirects.
+    pub attempts: u32,
+    /// Attempts so far that reached no upstream, including this one.
     pub redirects: u32,
-    /// True when an upstream has seen this try.
-    pub arrived: bool,
+    /// True when this attempt reached an upstream.
+    pub reached_upstream: bool,
     /// True when a member that was not tried yet may take the request.
-    pub elsewhere: bool,
-    /// Tries that the class allows; 0 leaves it to the settings.
-    pub most: u32,
+    pub has_alternative: bool,
+    /// Maximum number of attempts set by the class; 0 uses the settings.
+    pub max_attempts: u32,
 }
 
-/// What to do after a failed try.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again after a pause.
+    /// Retry after a backoff.
     Retry {
-        /// Length of the pause.
+        /// Duration of the backoff.
         after: Duration,
     },
-    /// Give the caller the final answer now.
+    /// Return the failure to the caller.
     GiveUp,
 }
 
-/// Budget of retries of one entry process, a token bucket.
+/// Retry budget of one entry process, a token bucket.
 ///
-/// The owner of this value keeps one for each class. With one for all, an overload of interactive
-/// requests would use up the retries that bulk requests need.
+/// The owner keeps one for each class, so that an overload of interactive requests does not use up
+/// the retries of bulk requests.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
     tokens: f64,
-    filled: Time,
+    refilled: Time,
 }
 
 impl RetryBudget {
-    /// Returns a budget that is full.
+    /// Returns a full budget.
     #[must_use]
     pub fn new(now: Time, settings: RetrySettings) -> Self {
-        Self { tokens: settings.burst, settings, filled: now }
+        Self { tokens: settings.burst, settings, refilled: now }
     }
 
-    /// Bounds what is saved up and what is earned without first tries, never above the settings.
+    /// Limits the capacity and the minimum rate, never above the default settings.
     ///
-    /// Guards against many processes that each spend a full budget on one upstream that is in
-    /// trouble: `burst` retries in each `window` are this process's part of a bound for all. A
-    /// full bucket and what it earns in one window are half of that part each.
-    pub fn bound(&mut self, burst: f64, window: Duration, usual: &RetrySettings) {
+    /// Guards against many processes that each spend a full budget on one failing upstream: `burst`
+    /// retries per `window` are this process's part of a common limit, half of it as capacity and
+    /// half as refill.
+    pub fn limit(&mut self, burst: f64, window: Duration, defaults: &RetrySettings) {
         let half = burst / 2.0;
-        self.settings.burst = usual.burst.min(half.max(1.0));
-        self.settings.least = usual.least.min(half / window.as_secs_f64());
+        self.settings.burst = defaults.burst.min(half.max(1.0));
+        self.settings.min_rate = defaults.min_rate.min(half / window.as_secs_f64());
         self.tokens = self.tokens.min(self.settings.burst);
     }
 
-    /// Notes a first try, which earns its share of a retry.
-    pub fn first_try(&mut self, now: Time) {
+    /// Records a first attempt, which adds its fraction of a token.
+    pub fn first_attempt(&mut self, now: Time) {
         self.refill(now);
-        self.tokens = (self.tokens + self.settings.share).min(self.settings.burst);
+        self.tokens = (self.tokens + self.settings.ratio).min(self.settings.burst);
     }
 
-    /// Decides what to do after a failed try.
-    pub fn next(&mut self, now: Time, rng: &mut impl Rng, failure: &Failure) -> RetryDecision {
+    /// Decides whether to retry after a failed attempt.
+    pub fn decide(&mut self, now: Time, rng: &mut impl Rng, failure: &Failure) -> RetryDecision {
         self.refill(now);
-        if !may_repeat(failure) {
+        if !may_retry(failure) {
             return RetryDecision::GiveUp;
         }
         if self.is_free_redirect(failure) {
-            return within(failure.left, Duration::ZERO);
+            return retry_within(failure.time_left, Duration::ZERO);
         }
-        let after = self.pause(rng, failure);
-        let late = after >= failure.left;
-        if late || failure.tries >= self.most(failure) || self.tokens < 1.0 {
+        let after = self.backoff(rng, failure);
+        let expired = after >= failure.time_left;
+        if expired || failure.attempts >= self.max_attempts(failure) || self.tokens < 1.0 {
             return RetryDecision::GiveUp;
         }
         self.tokens -= 1.0;
         RetryDecision::Retry { after }
     }
 
-    /// Returns how many tries a request has in all.
-    fn most(&self, failure: &Failure) -> u32 {
-        if failure.most > 0 { failure.most.min(self.settings.tries) } else { self.settings.tries }
+    /// Returns the maximum number of attempts of the request.
+    fn max_attempts(&self, failure: &Failure) -> u32 {
+        if failure.max_attempts > 0 {
+            failure.max_attempts.min(self.settings.max_attempts)
+        } else {
+            self.settings.max_attempts
+        }
     }
 
-    /// A try that no upstream has seen costs next to nothing, so a few of them are free.
+    /// Returns true for a redirect that takes no token, as it reached no upstream and costs little.
     ///
-    /// Guards against a service of which one member is full: its requests would use up the budget
-    /// that all members share, and then be refused while other members have room.
+    /// Guards against one full member whose requests use up the budget of all members and are then
+    /// refused although other members have capacity.
     fn is_free_redirect(&self, failure: &Failure) -> bool {
         match failure.refusal.reason {
-            Reason::NotOwner => failure.redirects <= self.settings.redirects,
-            Reason::Busy if failure.elsewhere && !failure.arrived => {
-                failure.redirects <= BUSY_REDIRECTS
+            Reason::NotOwner => failure.redirects <= self.settings.max_redirects,
+            Reason::Busy if failure.has_alternative && !failure.reached_upstream => {
+                failure.redirects <= MAX_BUSY_REDIRECTS
             }
             _ => false,
         }
     }
 
-    /// Returns the pause: none towards a member not tried yet, else random, and no less than was asked for.
-    fn pause(&self, rng: &mut impl Rng, failure: &Failure) -> Duration {
-        if failure.elsewhere {
+    /// Returns the backoff: none towards an untried member, else random but at least the requested
+    /// delay.
+    fn backoff(&self, rng: &mut impl Rng, failure: &Failure) -> Duration {
+        if failure.has_alternative {
             return Duration::ZERO;
         }
-        let doublings = failure.tries.saturating_sub(1).min(16);
-        let bound = self.settings.pause.saturating_mul(1 << doublings).min(self.settings.longest);
+        let doublings = failure.attempts.saturating_sub(1).min(16);
+        let bound = self
+            .settings
+            .base_backoff
+            .saturating_mul(1 << doublings)
+            .min(self.settings.max_backoff);
         let random = bound.mul_f64(rng.random_range(0.5..1.0));
         failure.refusal.retry.unwrap_or_default().max(random)
     }
 
     fn refill(&mut self, now: Time) {
-        let earned = now.since(self.filled).as_secs_f64() * self.settings.least;
+        let earned = now.since(self.refilled).as_secs_f64() * self.settings.min_rate;
         self.tokens = (self.tokens + earned).min(self.settings.burst);
-        self.filled = self.filled.max(now);
+        self.refilled = self.refilled.max(now);
     }
 }
 
-fn within(left: Duration, after: Duration) -> RetryDecision {
+fn retry_within(left: Duration, after: Duration) -> RetryDecision {
     if after < left { RetryDecision::Retry { after } } else { RetryDecision::GiveUp }
 }
 
-/// Returns true when a further try cannot run the request twice against the rules and may succeed.
-fn may_repeat(failure: &Failure) -> bool {
-    let harmless = match failure.refusal.verdict {
+/// Returns true when a retry may succeed and cannot run the request more often than allowed.
+fn may_retry(failure: &Failure) -> bool {
+    let safe = match failure.refusal.verdict {
         Verdict::NotRun => true,
         Verdict::Answered => false,
         Verdict::Unknown => failure.repeat == Repeat::Idempotent,
     };
-    harmless && may_help(failure.refusal.reason)
+    safe && is_retryable(failure.refusal.reason)
 }
 
-fn may_help(reason: Reason) -> bool {
+fn is_retryable(reason: Reason) -> bool {
     match reason {
         Reason::NotOwner
         | Reason::NoLease
--- a/acaciaringd/src/appender.rs
+++ b/acaciaringd/src/appender.rs
@@ -14,7 +14,7 @@
 
 use crate::backoff::Backoff;
 use crate::platform::{AppendError, LogService};
-use crate::read_pacer::ReadPacer;
+use crate::read_scheduler::ReadScheduler;
 use crate::vital;
 
 /// Id of a record, the same for all attempts to append it.
@@ -74,7 +74,7 @@
     /// Starts the thread.
     pub(crate) fn start(
         log: Arc<dyn LogService>,
-        read_pacer: Arc<ReadPacer>,
+        read_scheduler: Arc<ReadScheduler>,
         relay: Relay,
     ) -> Self {
         let (queue, records) = bounded(QUEUE_CAPACITY);
@@ -82,7 +82,7 @@
         let worker = Worker {
             queue: queue.clone(),
             log,
-            read_pacer,
+            read_scheduler,
             relay,
             records,
             open: Arc::clone(&open),
@@ -118,7 +118,7 @@
     queue: Sender<Record>,
     log: Arc<dyn LogService>,
     /// Pacer of the log reader, to read appended records at once.
-    read_pacer: Arc<ReadPacer>,
+    read_scheduler: Arc<ReadScheduler>,
     relay: Relay,
     records: Receiver<Record>,
     open: OpenRecords,
@@ -149,9 +149,9 @@
             );
             match appended {
                 AppendOutcome::Appended(offset) => {
-                    return self.read_pacer.request_before(offset + 1);
+                    return self.read_scheduler.request_before(offset + 1);
                 }
-                AppendOutcome::Unknown => self.read_pacer.request_read(),
+                AppendOutcome::Unknown => self.read_scheduler.request_read(),
                 AppendOutcome::NotAppended => {}
             }
             thread::sleep(backoff.pause());
--- a/acaciaringd/src/control/catch_up.rs
+++ b/acaciaringd/src/control/catch_up.rs
@@ -26,7 +26,7 @@
     /// Without it the message would take effect only after the next paced read.
     pub(super) fn require_record(&self, record: Offset) {
         if record >= self.state.next() {
-            self.context.read_pacer.request_before(record.saturating_add(1));
+            self.context.read_scheduler.request_before(record.saturating_add(1));
         }
     }
 
@@ -36,7 +36,7 @@
     /// Records carry their offsets, so a gap is detected and never skipped.
     pub(super) fn catch_up(&mut self, now: Time, from: SocketAddr, applied: Offset) {
         let next = self.state.next();
-        let grace = LOG_GRACE + self.context.read_pacer.interval();
+        let grace = LOG_GRACE + self.context.read_scheduler.interval();
         let quiet = now.since(self.progress.last_folded) >= grace
             && now.since(self.progress.last_queried) >= LOG_GRACE;
         if applied <= next || !quiet {
--- a/acaciaringd/src/control/fold.rs
+++ b/acaciaringd/src/control/fold.rs
@@ -42,7 +42,7 @@
         }
         let state = self.replica.state();
         let members = state.members().filter(|member| member.alive()).count();
-        self.context.read_pacer.folded(self.replica.position(), batch.next, members);
+        self.context.read_scheduler.folded(self.replica.position(), batch.next, members);
         // The first member of a new cluster finds an empty log and must not wait for a record.
         self.progress.caught_up |= state.next().max(1) >= batch.next;
         if state.next() != before {
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -139,7 +139,7 @@
         identity.holder.handle_grant(now, lessor, grant.seq, grant.granted, grant.version);
         if !grant.granted {
             // The log may contain the eviction of this identity.
-            self.context.read_pacer.request_before(grant.applied);
+            self.context.read_scheduler.request_before(grant.applied);
         }
         // New lessors are ready only while their grants are newer than those of the current ones,
         // which periodic maintenance could miss every time.
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -63,7 +63,7 @@
 use crate::outbox::Outbox;
 use crate::peer::Transport;
 use crate::platform::LogService;
-use crate::read_pacer::ReadPacer;
+use crate::read_scheduler::ReadScheduler;
 use crate::recent::Recent;
 use crate::upstream::Outlet;
 use crate::view::{Shared, UpstreamEndpoint, View};
@@ -111,7 +111,7 @@
     pub(crate) outbox: Outbox,
     pub(crate) appender: Appender,
     pub(crate) recent: Arc<Recent>,
-    pub(crate) read_pacer: Arc<ReadPacer>,
+    pub(crate) read_scheduler: Arc<ReadScheduler>,
     pub(crate) events: Sender<Event>,
     pub(crate) metrics: Metrics,
     /// Log service, to trim the records that a snapshot covers.
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use acaciaring_core::choice::{Choice, ChoiceSettings};
+use acaciaring_core::selector::{Selector, SelectorSettings};
 use acaciaring_schema::settings::Settings;
 use crossbeam_channel::{Receiver, Sender, bounded, unbounded};
 use parking_lot::Mutex;
@@ -35,7 +35,7 @@
 use crate::peer::{PeerError, Transport};
 use crate::pulse::Pulse;
 use crate::ration::Ration;
-use crate::read_pacer::ReadPacer;
+use crate::read_scheduler::ReadScheduler;
 use crate::reader;
 use crate::recent::Recent;
 use crate::router::{Outages, Router, Suspects, TimeoutHistory, TrafficSplits, WaitLimit};
@@ -161,7 +161,7 @@
             shared: Arc::clone(&shared),
             gate: Arc::clone(&gate),
             transport: transport.clone(),
-            choice: Mutex::new(Choice::new(ChoiceSettings::default())),
+            choice: Mutex::new(Selector::new(SelectorSettings::default())),
             budgets: options::budgets(settings),
             suspects: Suspects::default(),
             full_queues: Mutex::default(),
@@ -190,7 +190,7 @@
         };
         let doors = edges.open(inside).context(EdgeSnafu)?;
 
-        let read_pacer = read_pacer(settings, &transport);
+        let read_scheduler = read_scheduler(settings, &transport);
         let (reads, appends) = relay::relays(&shared, &transport);
         let (drained, released) = bounded(1);
         let context = ControlContext {
@@ -209,9 +209,9 @@
             gate,
             transport: transport.clone(),
             outbox,
-            appender: Appender::start(Arc::clone(&log), Arc::clone(&read_pacer), appends),
+            appender: Appender::start(Arc::clone(&log), Arc::clone(&read_scheduler), appends),
             recent,
-            read_pacer: Arc::clone(&read_pacer),
+            read_scheduler: Arc::clone(&read_scheduler),
             events: events.clone(),
             metrics: metrics.clone(),
             log: Arc::clone(&log),
@@ -220,7 +220,7 @@
             upstream: settings.upstream.clone(),
         };
         gauges::start(&context.shared, &context.gate, metrics);
-        reader::start(log, settings.log.wait, reads, read_pacer, events.clone());
+        reader::start(log, settings.log.wait, reads, read_scheduler, events.clone());
         let control = Control::start(context, inbox);
         info!(http = %doors.callers(), peer = %transport.local_addr(), admin = %doors.admin(), "started");
         let drain = settings.limits.drain;
@@ -278,8 +278,8 @@
 }
 
 /// Returns what is wanted of the log, with the pace of reads.
-fn read_pacer(settings: &Settings, transport: &Transport) -> Arc<ReadPacer> {
-    let pacer = Arc::new(ReadPacer::new(settings.log.rate.min(settings.log.reads)));
+fn read_scheduler(settings: &Settings, transport: &Transport) -> Arc<ReadScheduler> {
+    let pacer = Arc::new(ReadScheduler::new(settings.log.rate.min(settings.log.reads)));
     // Who is refused may have joined by a record that was not read here yet.
     let asked = Arc::clone(&pacer);
     transport.on_untrusted(move || asked.request_read());
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -5,8 +5,8 @@
 
 use acaciaring_core::admission::AdmissionSettings;
 use acaciaring_core::balance::BalanceSettings;
-use acaciaring_core::heat::HeatSettings;
 use acaciaring_core::lease::LeaseSettings;
+use acaciaring_core::rates::RateSettings;
 use acaciaring_core::retry::RetrySettings;
 use acaciaring_core::state::HOT_MAX;
 use acaciaring_schema::settings::{Lease, Settings, UpstreamGrants};
@@ -81,14 +81,14 @@
 /// Returns the budgets of retries: of each class, and of all members together.
 pub(super) fn budgets(settings: &Settings) -> RetryBudgets {
     let limits = &settings.limits;
-    let retries = RetrySettings { share: limits.retry_ratio, ..RetrySettings::default() };
+    let retries = RetrySettings { ratio: limits.retry_ratio, ..RetrySettings::default() };
     let common = ClusterBudget { burst: limits.retry_burst.into(), window: limits.retry_window };
     RetryBudgets::new(retries, common)
 }
 
 /// Returns how heat is measured.
-fn heat_settings(settings: &Settings) -> HeatSettings {
-    HeatSettings { half_life: settings.balance.heat, ..HeatSettings::default() }
+fn heat_settings(settings: &Settings) -> RateSettings {
+    RateSettings { half_life: settings.balance.heat, ..RateSettings::default() }
 }
 
 /// Returns the settings of balance.
@@ -96,9 +96,9 @@
     let balance = &settings.balance;
     BalanceSettings {
         tolerance: balance.hysteresis,
-        least_moves: balance.moves as usize,
+        min_moves: balance.moves as usize,
         hot_keys: HOT_MAX,
-        rest: balance.rest,
+        cooldown: balance.rest,
         merge_after: balance.rest,
         ..BalanceSettings::default()
     }
--- a/acaciaringd/src/lib.rs
+++ b/acaciaringd/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod platform;
 mod pulse;
 mod ration;
-mod read_pacer;
+mod read_scheduler;
 mod reader;
 mod recent;
 mod router;
--- a/acaciaringd/src/read_pacer.rs
+++ b/acaciaringd/src/read_scheduler.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use acaciaring_core::pace::Pace;
+use acaciaring_core::pace::ReadPacer;
 use acaciaring_core::{Offset, Time};
 use parking_lot::{Condvar, Mutex};
 
@@ -10,24 +10,24 @@
 
 /// Pacer of log reads; wakes the reader early when a record is needed.
 #[derive(Debug)]
-pub(crate) struct ReadPacer {
-    pace: Mutex<Pace>,
+pub(crate) struct ReadScheduler {
+    pace: Mutex<ReadPacer>,
     changed: Condvar,
     /// Maximum rate of reads by all members together, per second.
     rate: u32,
 }
 
-impl ReadPacer {
+impl ReadScheduler {
     /// Creates a pacer that starts at the first record.
     pub(crate) fn new(rate: u32) -> Self {
-        Self { pace: Mutex::new(Pace::new()), changed: Condvar::new(), rate }
+        Self { pace: Mutex::new(ReadPacer::new()), changed: Condvar::new(), rate }
     }
 
     /// Waits until the next read is due; returns the offset that it starts at.
     pub(crate) fn wait(&self) -> Offset {
         let mut pace = self.pace.lock();
         loop {
-            let left = pace.left(clock::now());
+            let left = pace.remaining(clock::now());
             if left.is_zero() {
                 return pace.next();
             }
@@ -44,24 +44,24 @@
     pub(crate) fn folded(&self, next: Offset, end: Offset, members: usize) {
         let mut pace = self.pace.lock();
         pace.folded(next);
-        pace.need(end);
-        pace.share(members, self.rate);
+        pace.require(end);
+        pace.set_rate(members, self.rate);
     }
 
     /// Requests a read of all records before an offset.
     pub(crate) fn request_before(&self, end: Offset) {
-        self.pace.lock().need(end);
+        self.pace.lock().require(end);
         self.changed.notify_all();
     }
 
     /// Requests a read, for a record that may be in the log.
     pub(crate) fn request_read(&self) {
-        self.pace.lock().ask();
+        self.pace.lock().expect_record();
         self.changed.notify_all();
     }
 
     /// Returns the interval between two reads.
     pub(crate) fn interval(&self) -> Duration {
-        self.pace.lock().rest()
+        self.pace.lock().interval()
     }
 }
--- a/acaciaringd/src/reader.rs
+++ b/acaciaringd/src/reader.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use crate::control::Event;
 use crate::platform::LogService;
-use crate::read_pacer::ReadPacer;
+use crate::read_scheduler::ReadScheduler;
 use crate::vital;
 
 /// Maximum number of records in one read of the log service.
@@ -37,12 +37,20 @@
     log: Arc<dyn LogService>,
     wait: Duration,
     relay: Relay,
-    read_pacer: Arc<ReadPacer>,
+    read_scheduler: Arc<ReadScheduler>,
     events: Sender<Event>,
 ) {
     let backoff = Backoff::new(INITIAL_PAUSE, MAX_PAUSE);
-    let reader =
-        Reader { log, wait, relay, read_pacer, events, failing: false, has_read: false, backoff };
+    let reader = Reader {
+        log,
+        wait,
+        relay,
+        read_scheduler,
+        events,
+        failing: false,
+        has_read: false,
+        backoff,
+    };
     vital::spawn("log-reader", move || reader.run());
 }
 
@@ -51,7 +59,7 @@
     /// Time for which a read blocks until there is a new record.
     wait: Duration,
     relay: Relay,
-    read_pacer: Arc<ReadPacer>,
+    read_scheduler: Arc<ReadScheduler>,
     events: Sender<Event>,
     failing: bool,
     /// True once a read of the log service has succeeded.
@@ -63,12 +71,12 @@
 impl Reader {
     fn run(mut self) {
         loop {
-            let from = self.read_pacer.wait();
+            let from = self.read_scheduler.wait();
             let Some(batch) = self.read(from) else {
                 thread::sleep(self.backoff.pause());
                 continue;
             };
-            self.read_pacer.answered(clock::now());
+            self.read_scheduler.answered(clock::now());
             if !self.deliver(batch) {
                 return;
             }
--- a/acaciaringd/src/router/keyed.rs
+++ b/acaciaringd/src/router/keyed.rs
@@ -247,12 +247,12 @@
         let failure = Failure {
             refusal,
             repeat: plan.class.repeat,
-            left: plan.deadline.since(now),
-            tries: search.reruns + 1,
+            time_left: plan.deadline.since(now),
+            attempts: search.reruns + 1,
             redirects: 0,
-            arrived: true,
-            elsewhere: false,
-            most: plan.class.max_tries,
+            reached_upstream: true,
+            has_alternative: false,
+            max_attempts: plan.class.max_tries,
         };
         let RetryDecision::Retry { after } = self.decide_retry(now, plan, &failure) else {
             return None;
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -20,10 +20,10 @@
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::time::Duration;
 
-use acaciaring_core::choice::Choice;
-use acaciaring_core::full::{FullQueues, Slack};
+use acaciaring_core::refusal_cache::{RefusalCache, Slack};
 use acaciaring_core::retry::{Failure, RetryDecision};
 use acaciaring_core::route::{Class, Division, Rank, Route};
+use acaciaring_core::selector::Selector;
 use acaciaring_core::{KeyHash, MemberId, Reason, Refusal, RequestId, Time, Verdict};
 use acaciaring_schema::peer::{Answer, Request};
 use parking_lot::Mutex;
@@ -68,11 +68,11 @@
     pub(crate) shared: Arc<Shared>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) transport: Transport,
-    pub(crate) choice: Mutex<Choice>,
+    pub(crate) choice: Mutex<Selector>,
     pub(crate) budgets: RetryBudgets,
     pub(crate) suspects: Suspects,
     /// Recent refusals of members whose queues were full.
-    pub(crate) full_queues: Mutex<FullQueues>,
+    pub(crate) full_queues: Mutex<RefusalCache>,
     pub(crate) outages: Outages,
     pub(crate) metrics: Metrics,
     pub(crate) wait_limit: WaitLimit,
@@ -344,13 +344,13 @@
         let Refusal { reason: Reason::Busy, retry: Some(retry), .. } = refusal else { return };
         if self.shared.view().me != Some(target) {
             let now = clock::now();
-            self.full_queues.lock().note(now, target, plan.slack(now), retry);
+            self.full_queues.lock().record(now, target, plan.slack(now), retry);
         }
     }
 
     /// Returns a refusal if the owner's queue was recently full for requests like this one.
     fn refuse_full(&self, now: Time, plan: &Plan, owner: MemberId) -> Option<Refusal> {
-        let retry = self.full_queues.lock().refuses(now, owner, plan.slack(now))?;
+        let retry = self.full_queues.lock().retry_after(now, owner, plan.slack(now))?;
         plan.last_member.store(owner.0, Ordering::Relaxed);
         Some(self.full_refusal(retry))
     }
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use acaciaring_core::choice::{Near, Own, Sent};
 use acaciaring_core::retry::{Failure, RetryDecision};
+use acaciaring_core::selector::{LocalMember, NearbyMembers, Outcome};
 use acaciaring_core::{MemberId, Reason, Refusal, Time, Verdict};
 use acaciaring_schema::peer::Answer;
 use tokio::time::sleep;
@@ -118,15 +118,15 @@
     fn choose(&self, now: Time, candidates: &Candidates, tried: &[MemberId]) -> Option<MemberId> {
         let own = candidates.own.map(|member| {
             let (busy, capacity) = self.gate.load();
-            Own { member, busy, capacity }
+            LocalMember { member, busy, capacity }
         });
-        let near = Near { own, others: &candidates.near };
+        let near = NearbyMembers { local: own, others: &candidates.near };
         self.choice.lock().choose_near(now, &mut rand::rng(), near, &candidates.all, tried)
     }
 
     /// Returns the refusal of a request for which no member is available.
     fn no_member(&self, now: Time, candidates: &[MemberId]) -> Refusal {
-        match self.choice.lock().opening(now, candidates) {
+        match self.choice.lock().retry_after(now, candidates) {
             Some(retry) => Refusal::not_run(Reason::Busy).after(retry),
             None => Refusal::not_run(Reason::Unreachable).after(RETRY_AFTER),
         }
@@ -145,12 +145,12 @@
         let failure = Failure {
             refusal,
             repeat: plan.class.repeat,
-            left: plan.deadline.since(now),
-            tries: progress.tries,
+            time_left: plan.deadline.since(now),
+            attempts: progress.tries,
             redirects: progress.unseen,
-            arrived: reached_upstream(refusal),
-            elsewhere,
-            most: progress.max_tries(plan.class.max_tries),
+            reached_upstream: reached_upstream(refusal),
+            has_alternative: elsewhere,
+            max_attempts: progress.max_tries(plan.class.max_tries),
         };
         let RetryDecision::Retry { after } = self.decide_retry(now, plan, &failure) else {
             return None;
@@ -211,12 +211,12 @@
         let (sent, load) = match outcome {
             AttemptOutcome::Answered(answer) => {
                 let load = Load { busy: answer.busy, capacity: answer.capacity };
-                (Sent::Answered(now.since(self.start)), Some(load))
+                (Outcome::Answered(now.since(self.start)), Some(load))
             }
             AttemptOutcome::Refused { refusal, load, .. } => {
                 (choice_feedback(*refusal, *load), Some(*load))
             }
-            AttemptOutcome::Undelivered | AttemptOutcome::Lost => (Sent::Failed, None),
+            AttemptOutcome::Undelivered | AttemptOutcome::Lost => (Outcome::Failed, None),
         };
         let mut choice = self.router.choice.lock();
         choice.done(now, self.target, sent);
@@ -229,7 +229,7 @@
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.router.choice.lock().done(clock::now(), self.target, Sent::Failed);
+            self.router.choice.lock().done(clock::now(), self.target, Outcome::Failed);
         }
     }
 }
@@ -238,11 +238,11 @@
 ///
 /// A full queue depends on the class and deadline of the request: a member that refuses
 /// background work still accepts critical work, so the member is not avoided for it.
-fn choice_feedback(refusal: Refusal, load: Load) -> Sent {
+fn choice_feedback(refusal: Refusal, load: Load) -> Outcome {
     match refusal.reason {
-        Reason::Busy if load.capacity == 0 => Sent::Refused(refusal.retry),
-        Reason::UpstreamDown | Reason::Draining | Reason::LostAnswer => Sent::Failed,
-        _ => Sent::Refused(None),
+        Reason::Busy if load.capacity == 0 => Outcome::Refused(refusal.retry),
+        Reason::UpstreamDown | Reason::Draining | Reason::LostAnswer => Outcome::Failed,
+        _ => Outcome::Refused(None),
     }
 }
 
--- a/acaciaringd/src/router/retry_budgets.rs
+++ b/acaciaringd/src/router/retry_budgets.rs
@@ -34,7 +34,7 @@
 
     /// Records the first try of a request, which earns a part of a retry.
     pub(super) fn first_try(&self, now: Time, workspace: &Name, class: &Name) {
-        self.with_budget(now, workspace, class, |budget| budget.first_try(now));
+        self.with_budget(now, workspace, class, |budget| budget.first_attempt(now));
     }
 
     /// Decides what follows a failed try, in a cluster of `members`.
@@ -48,8 +48,8 @@
     ) -> RetryDecision {
         let part = self.cluster.burst / self.bucket_count(members, workspace);
         self.with_budget(now, workspace, class, |budget| {
-            budget.bound(part, self.cluster.window, &self.settings);
-            budget.next(now, &mut rand::rng(), failure)
+            budget.limit(part, self.cluster.window, &self.settings);
+            budget.decide(now, &mut rand::rng(), failure)
         })
     }
 
