--- a/acaciaring_core/tests/holds.rs
+++ b/acaciaring_core/tests/holds.rs
@@ -10,20 +10,20 @@
 use proptest::test_runner::RngSeed;
 
 const HOLD: Duration = Duration::from_secs(3);
-const BEAT: Duration = Duration::from_millis(900);
+const REPORT_INTERVAL: Duration = Duration::from_millis(900);
 const UNIT: UnitId = UnitId::slot(1);
-const ROOM: usize = 100;
+const MAX_RANGES: usize = 100;
 
 fn at(millis: u64) -> Time {
     Time::from_millis(10_000 + millis)
 }
 
-fn start(instance: &str) -> Incarnation {
+fn incarnation(instance: &str) -> Incarnation {
     Incarnation { instance: instance.into(), generation: 0 }
 }
 
-fn first() -> Incarnation {
-    start("i-1")
+fn first_incarnation() -> Incarnation {
+    incarnation("i-1")
 }
 
 /// Returns a token as the upstream is told it.
@@ -45,7 +45,7 @@
 }
 
 /// Reports and is granted what is wanted, with a lease that is long enough.
-fn beat(
+fn report_and_grant(
     holds: &mut Holds,
     now: Time,
     sequence: u64,
@@ -53,9 +53,9 @@
     freed: &[Freed],
     wanted: &[Wanted],
 ) -> Vec<Granted> {
-    let report = holds.report(now, &first(), sequence, held.to_vec(), freed.to_vec());
+    let report = holds.report(now, &first_incarnation(), sequence, held.to_vec(), freed.to_vec());
     assert_eq!(report, ReportOutcome::Current);
-    holds.grant(now, now + HOLD * 2, wanted, ROOM).expect("granted").0
+    holds.grant(now, now + HOLD * 2, wanted, MAX_RANGES).expect("granted").0
 }
 
 fn may_hold(holds: &Holds, now: Time, slot: u32) -> bool {
@@ -63,12 +63,12 @@
 }
 
 /// Returns the record of an upstream that has held slot 1 under token 7 for a while.
-fn steady() -> Holds {
+fn established() -> Holds {
     let mut holds = Holds::new(at(0), HOLD);
     for number in 0..3 {
         let now = at(number * 900);
         let known = if number == 0 { Vec::new() } else { vec![held(1, 7)] };
-        beat(&mut holds, now, number + 1, &known, &[], &[wanted(1, 7)]);
+        report_and_grant(&mut holds, now, number + 1, &known, &[], &[wanted(1, 7)]);
     }
     holds
 }
@@ -76,7 +76,7 @@
 #[test]
 fn a_unit_is_served_once_the_upstream_acts_on_its_grant() {
     let mut holds = Holds::new(at(0), HOLD);
-    let rows = beat(&mut holds, at(0), 1, &[], &[], &[wanted(1, 7)]);
+    let rows = report_and_grant(&mut holds, at(0), 1, &[], &[], &[wanted(1, 7)]);
     assert_eq!(rows.len(), 1);
     assert!(!holds.serves(at(0), UNIT, Token(7)), "the reply is on its way");
     let effect = holds.next_effect(at(0)).expect("one is coming");
@@ -88,24 +88,24 @@
 /// Another member would take over while the upstream still runs requests.
 #[test]
 fn a_grant_ends_with_the_lease_on_a_slow_clock_too() {
-    let mut holds = steady();
-    holds.report(at(2700), &first(), 9, Vec::new(), Vec::new());
+    let mut holds = established();
+    holds.report(at(2700), &first_incarnation(), 9, Vec::new(), Vec::new());
     let lease = at(2700) + Duration::from_secs(1);
-    let (_, hold) = holds.grant(at(2700), lease, &[wanted(1, 7)], ROOM).expect("granted");
+    let (_, hold) = holds.grant(at(2700), lease, &[wanted(1, 7)], MAX_RANGES).expect("granted");
     assert!(at(2700) + hold.mul_f64(1.02) <= lease, "{hold:?}");
-    assert!(holds.grant(at(2700), at(2700), &[wanted(1, 7)], ROOM).is_none(), "no lease");
+    assert!(holds.grant(at(2700), at(2700), &[wanted(1, 7)], MAX_RANGES).is_none(), "no lease");
 }
 
 /// A unit moves away. It may pass on only once the upstream says that it has let it go, and not
 /// while it works on a request for it.
 #[test]
 fn a_unit_passes_on_only_when_the_upstream_has_released_it() {
-    let mut holds = steady();
-    beat(&mut holds, at(2700), 4, &[held(1, 7)], &[], &[]);
+    let mut holds = established();
+    report_and_grant(&mut holds, at(2700), 4, &[held(1, 7)], &[], &[]);
     assert!(may_hold(&holds, at(2700), 1), "it has not read the reply");
-    beat(&mut holds, at(2800), 5, &[held(1, 7)], &[], &[]);
+    report_and_grant(&mut holds, at(2800), 5, &[held(1, 7)], &[], &[]);
     assert!(may_hold(&holds, at(2800), 1), "it still works on a request");
-    beat(&mut holds, at(2900), 6, &[], &[freed(1)], &[]);
+    report_and_grant(&mut holds, at(2900), 6, &[], &[freed(1)], &[]);
     assert!(!may_hold(&holds, at(2900), 1));
     assert_eq!(&*holds.handover(&wanted(1, 0).keys), "h");
 }
@@ -113,7 +113,7 @@
 /// The upstream falls silent. What it was given ends by time, not before.
 #[test]
 fn silence_ends_a_hold_by_time_alone() {
-    let holds = steady();
+    let holds = established();
     assert!(may_hold(&holds, at(1800) + HOLD, 1));
     assert!(!may_hold(&holds, at(1800) + HOLD.mul_f64(1.04), 1));
 }
@@ -125,10 +125,13 @@
 fn the_first_report_alone_proves_nothing() {
     let mut holds = Holds::new(at(0), HOLD);
     assert!(may_hold(&holds, at(0), 1), "nothing is known yet");
-    assert_eq!(holds.report(at(10), &first(), 2, Vec::new(), Vec::new()), ReportOutcome::Current);
+    assert_eq!(
+        holds.report(at(10), &first_incarnation(), 2, Vec::new(), Vec::new()),
+        ReportOutcome::Current
+    );
     assert!(may_hold(&holds, at(20), 1));
     assert_eq!(
-        holds.report(at(700), &first(), 90, vec![held(1, 7)], Vec::new()),
+        holds.report(at(700), &first_incarnation(), 90, vec![held(1, 7)], Vec::new()),
         ReportOutcome::Current
     );
     assert!(may_hold(&holds, at(710), 1), "the upstream still holds it");
@@ -139,11 +142,11 @@
 /// for a new start, it would end all holds of the living one, and later ones would be refused.
 #[test]
 fn a_report_of_another_instance_is_believed_when_the_present_one_is_silent() {
-    let mut holds = steady();
-    let other = start("i-0");
+    let mut holds = established();
+    let other = incarnation("i-0");
     assert_eq!(holds.report(at(2000), &other, 50, Vec::new(), Vec::new()), ReportOutcome::Stale);
     assert!(may_hold(&holds, at(2000), 1));
-    beat(&mut holds, at(2700), 4, &[held(1, 7)], &[], &[wanted(1, 7)]);
+    report_and_grant(&mut holds, at(2700), 4, &[held(1, 7)], &[], &[wanted(1, 7)]);
     assert_eq!(holds.report(at(2800), &other, 51, Vec::new(), Vec::new()), ReportOutcome::Stale);
     assert_eq!(
         holds.report(at(3700), &other, 52, Vec::new(), Vec::new()),
@@ -151,16 +154,16 @@
     );
     assert!(!may_hold(&holds, at(3700), 1), "the former start has ended");
     assert_eq!(
-        holds.report(at(3800), &first(), 99, vec![held(1, 7)], Vec::new()),
+        holds.report(at(3800), &first_incarnation(), 99, vec![held(1, 7)], Vec::new()),
         ReportOutcome::Stale
     );
 }
 
 #[test]
 fn a_report_that_is_older_than_the_last_one_changes_nothing() {
-    let mut holds = steady();
+    let mut holds = established();
     assert_eq!(
-        holds.report(at(1900), &first(), 2, Vec::new(), vec![freed(1)]),
+        holds.report(at(1900), &first_incarnation(), 2, Vec::new(), vec![freed(1)]),
         ReportOutcome::Stale
     );
     assert!(may_hold(&holds, at(1900), 1));
@@ -169,9 +172,9 @@
 /// An upstream owns more separate ranges than a reply has room for. What it holds already must
 /// stay with it; else ranges would come and go with each reply.
 #[test]
-fn want_of_room_takes_nothing_away() {
+fn a_full_reply_keeps_the_ranges_already_held() {
     let mut holds = Holds::new(at(0), HOLD);
-    holds.report(at(0), &first(), 1, Vec::new(), Vec::new());
+    holds.report(at(0), &first_incarnation(), 1, Vec::new(), Vec::new());
     let some: Vec<Wanted> = (10..14).map(|number| wanted(number * 2, 7)).collect();
     holds.grant(at(0), at(0) + HOLD * 2, &some, 4).expect("granted");
     let more: Vec<Wanted> = (0..14).map(|number| wanted(number * 2, 7)).collect();
@@ -212,9 +215,9 @@
             }
             let known = if holding { vec![held(1, 7)] } else { Vec::new() };
             let freed = std::mem::take(&mut releases);
-            holds.report(now, &first(), sequence, known, freed.clone());
+            holds.report(now, &first_incarnation(), sequence, known, freed.clone());
             let wanted = if wants { vec![wanted(1, 7)] } else { Vec::new() };
-            let Some((rows, hold)) = holds.grant(now, now + HOLD, &wanted, ROOM) else { continue };
+            let Some((rows, hold)) = holds.grant(now, now + HOLD, &wanted, MAX_RANGES) else { continue };
             if !replied {
                 releases = freed;
                 continue;
@@ -227,6 +230,6 @@
                 releases.push(Freed { first: 16, last: 31, handover: "h".into() });
             }
         }
-        let _ = BEAT;
+        let _ = REPORT_INTERVAL;
     }
 }
--- a/acaciaring_core/tests/lease.rs
+++ b/acaciaring_core/tests/lease.rs
@@ -322,10 +322,10 @@
 // refused. Asked beforehand, it is proposed once it grants, and the lease goes on.
 #[test]
 fn an_exchange_of_lessors_that_were_asked_before_keeps_the_lease() {
-    let mut abrupt = holder(&[A, B]);
-    renew(&mut abrupt, ms(100), &[A, B], 10);
-    abrupt.propose(&[C, D]);
-    assert!(!abrupt.holds(ms(200)), "what the exchange costs otherwise");
+    let mut unprepared = holder(&[A, B]);
+    renew(&mut unprepared, ms(100), &[A, B], 10);
+    unprepared.propose(&[C, D]);
+    assert!(!unprepared.holds(ms(200)), "what the exchange costs otherwise");
 
     let mut holder = holder(&[A, B]);
     renew(&mut holder, ms(100), &[A, B], 10);
@@ -392,10 +392,10 @@
 }
 
 /// Time for which a lessor without processor keeps its answers, twice the pause before a renewal is repeated.
-const SLOW: u64 = 400;
+const ANSWER_DELAY_MS: u64 = 400;
 
 /// Times of members that give processes a second of patience.
-fn patient() -> LeaseSettings {
+fn long_term_settings() -> LeaseSettings {
     LeaseSettings {
         interval: Duration::from_millis(700),
         resend: Duration::from_millis(200),
@@ -404,8 +404,8 @@
     }
 }
 
-fn patient_holder() -> Holder {
-    let mut holder = Holder::new(H, ms(0), patient());
+fn long_term_holder() -> Holder {
+    let mut holder = Holder::new(H, ms(0), long_term_settings());
     holder.install(10, &[A], |_| true);
     holder
 }
@@ -416,15 +416,15 @@
 // minute in which no lessor was, and 22,424 connections were given up.
 #[test]
 fn a_lessor_that_is_slow_to_answer_keeps_its_connection() {
-    let mut holder = patient_holder();
+    let mut holder = long_term_holder();
     let mut answers: Vec<(u64, u64)> = Vec::new();
-    let (mut asked, mut fresh) = (0, Vec::new());
+    let (mut sent, mut reconnects) = (0, Vec::new());
     for now in 0..10_000 {
         for renewal in holder.due(ms(now)) {
-            asked += 1;
-            answers.push((now + SLOW, renewal.seq));
+            sent += 1;
+            answers.push((now + ANSWER_DELAY_MS, renewal.seq));
             if renewal.reconnect {
-                fresh.push(now);
+                reconnects.push(now);
             }
         }
         answers.retain(|(at, seq)| {
@@ -433,21 +433,24 @@
             }
             *at > now
         });
-        assert!(now < SLOW || holder.holds(ms(now)), "no lease after {now} ms");
+        assert!(now < ANSWER_DELAY_MS || holder.holds(ms(now)), "no lease after {now} ms");
     }
-    assert!(fresh.iter().all(|at| *at < 2 * SLOW), "new connections at {fresh:?}");
-    assert!(asked < 3 + 10_000 / 700, "{asked} renewals");
+    assert!(
+        reconnects.iter().all(|at| *at < 2 * ANSWER_DELAY_MS),
+        "new connections at {reconnects:?}"
+    );
+    assert!(sent < 3 + 10_000 / 700, "{sent} renewals");
 }
 
 // The same lessor is then cut off for good. A connection that has died is still to be replaced before the
 // lease is over.
 #[test]
 fn a_slow_lessor_that_falls_silent_is_asked_on_a_new_connection_in_time() {
-    let mut holder = patient_holder();
+    let mut holder = long_term_holder();
     let asked = holder.due(ms(0));
-    holder.handle_grant(ms(SLOW), A, seq_to(&asked, A), true, 10);
+    holder.handle_grant(ms(ANSWER_DELAY_MS), A, seq_to(&asked, A), true, 10);
     let until = holder.until().expect("a lease");
-    let mut times = (SLOW..).map(ms).take_while(|now| *now < until);
-    let fresh = times.find(|now| holder.due(*now).iter().any(|renewal| renewal.reconnect));
-    assert!(fresh.is_some(), "none before {until:?}");
+    let mut times = (ANSWER_DELAY_MS..).map(ms).take_while(|now| *now < until);
+    let reconnect = times.find(|now| holder.due(*now).iter().any(|renewal| renewal.reconnect));
+    assert!(reconnect.is_some(), "none before {until:?}");
 }
--- a/acaciaring_core/tests/lease_schedule.rs
+++ b/acaciaring_core/tests/lease_schedule.rs
@@ -13,7 +13,7 @@
 const SECOND: Offset = 200;
 const LESSORS: usize = 5;
 /// Clock rates within `margin / term`, as thousandths of real time.
-const RATES: std::ops::RangeInclusive<u64> = 965..=1035;
+const CLOCK_RATES: std::ops::RangeInclusive<u64> = 965..=1035;
 
 /// One event at one process after a span of real time.
 #[derive(Debug, Clone)]
@@ -48,8 +48,8 @@
 }
 
 /// Clocks, messages in flight and the log, around the types under test.
-struct Run {
-    real: u64,
+struct Simulation {
+    elapsed: u64,
     rates: Vec<u64>,
     holder: Holder,
     lessors: Vec<Lessor>,
@@ -88,7 +88,7 @@
     }
 }
 
-impl Run {
+impl Simulation {
     fn new(rates: Vec<u64>) -> Self {
         let settings = LeaseSettings::default();
         let mut holder = Holder::new(HOLDER, Time::ZERO, settings);
@@ -99,7 +99,7 @@
             lessor.join_set(Time::ZERO, HOLDER, FIRST);
         }
         Self {
-            real: 0,
+            elapsed: 0,
             rates,
             holder,
             lessors,
@@ -113,7 +113,7 @@
 
     /// Returns the time on the clock of a lessor, or of the holder for `LESSORS`.
     fn clock(&self, process: usize) -> Time {
-        Time::from_start(Duration::from_micros(self.real * self.rates[process]))
+        Time::from_start(Duration::from_micros(self.elapsed * self.rates[process]))
     }
 
     fn step(&mut self, event: &Event) {
@@ -169,7 +169,7 @@
     }
 
     /// Returns true unless a majority of votes by some set on record meets a lease.
-    fn safe(&mut self) -> bool {
+    fn lease_is_exclusive(&mut self) -> bool {
         let recorded = if self.stage >= 2 { 2 } else { 1 };
         let now = self.clock(LESSORS);
         let proved = sets()
@@ -189,22 +189,23 @@
     let config = ProptestConfig { cases: 1000, failure_persistence: None, ..Default::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let rates = prop::collection::vec(RATES, LESSORS + 1);
+    let rates = prop::collection::vec(CLOCK_RATES, LESSORS + 1);
     let events = prop::collection::vec(event(), 200..600);
     let majorities = std::cell::Cell::new(0);
     let leases = std::cell::Cell::new(0);
-    let verdict = runner.run(&(rates, events), |(rates, events)| {
-        let mut run = Run::new(rates);
+    let result = runner.run(&(rates, events), |(rates, events)| {
+        let mut simulation = Simulation::new(rates);
         for (span, event) in &events {
-            run.real += span;
-            run.step(event);
-            prop_assert!(run.safe());
-            leases.set(leases.get() + u32::from(run.holder.holds(run.clock(LESSORS))));
+            simulation.elapsed += span;
+            simulation.step(event);
+            prop_assert!(simulation.lease_is_exclusive());
+            leases
+                .set(leases.get() + u32::from(simulation.holder.holds(simulation.clock(LESSORS))));
         }
-        majorities.set(majorities.get() + u32::from(run.majorities > 0));
+        majorities.set(majorities.get() + u32::from(simulation.majorities > 0));
         Ok(())
     });
-    assert!(verdict.is_ok(), "a schedule breaks the lease: {}", verdict.unwrap_err());
+    assert!(result.is_ok(), "a schedule breaks the lease: {}", result.unwrap_err());
     println!("runs with a majority of votes: {}", majorities.get());
     println!("steps under a lease: {}", leases.get());
     assert!(majorities.get() > 100, "the schedules reach votes");
--- a/acaciaring_core/tests/orders.rs
+++ b/acaciaring_core/tests/orders.rs
@@ -9,13 +9,13 @@
 const HOLD: Duration = Duration::from_secs(3);
 
 /// Keys of a slot.
-const WIDTH: u32 = 16;
+const KEYS_PER_SLOT: u32 = 16;
 
 fn at(millis: u64) -> Time {
     Time::from_millis(10_000 + millis)
 }
 
-fn start(generation: u64) -> Incarnation {
+fn incarnation(generation: u64) -> Incarnation {
     Incarnation { instance: "i-1".into(), generation }
 }
 
@@ -24,7 +24,8 @@
 }
 
 fn with_handover(slot: u32, token: u64, handover: &str) -> Wanted {
-    let keys = std::iter::once(slot * WIDTH..=slot * WIDTH + WIDTH - 1).collect();
+    let keys =
+        std::iter::once(slot * KEYS_PER_SLOT..=slot * KEYS_PER_SLOT + KEYS_PER_SLOT - 1).collect();
     Wanted { unit: UnitId::slot(slot), token: Token(token), keys, handover: handover.into() }
 }
 
@@ -45,9 +46,9 @@
 }
 
 /// Returns the record of an upstream that holds slots 1 and 2 since one second, the former process's time over.
-fn steady() -> Orders {
+fn established() -> Orders {
     let mut orders = Orders::new(at(0), HOLD);
-    orders.report(at(0), &start(1), 1);
+    orders.report(at(0), &incarnation(1), 1);
     orders.set_wanted(&[wanted(1, 7), wanted(2, 7)]);
     connect(&mut orders, at(4000));
     orders
@@ -117,7 +118,7 @@
 /// The keys must not be without server for that: there is time for a third.
 #[test]
 fn a_grant_is_renewed_while_two_answers_may_be_lost() {
-    let mut orders = steady();
+    let mut orders = established();
     let renewal = at(4000) + HOLD / 2;
     assert!(decide(&mut orders, renewal - Duration::from_millis(20)).is_empty());
     let mut now = renewal;
@@ -138,7 +139,7 @@
 /// else may have the unit.
 #[test]
 fn an_order_without_answer_counts_as_held_after_a_release() {
-    let mut orders = steady();
+    let mut orders = established();
     let renewal = at(4000) + HOLD / 2;
     let issued = decide(&mut orders, renewal);
     let lost = renewal + ORDER_TIMEOUT;
@@ -154,7 +155,7 @@
 
 #[test]
 fn a_release_that_is_answered_ends_a_hold_and_brings_the_handover() {
-    let mut orders = steady();
+    let mut orders = established();
     orders.set_wanted(&[wanted(2, 7)]);
     let issued = decide(&mut orders, at(4100));
     assert_eq!(ranges(&issued), [(16, 31)]);
@@ -170,9 +171,9 @@
 /// The others must not wait for it; its own slot is released once it has ended.
 #[test]
 fn a_long_request_holds_up_its_own_unit_only() {
-    let mut orders = steady();
+    let mut orders = established();
     orders.set_wanted(&[]);
-    let busy = |first: u32, _: u32| first != WIDTH;
+    let busy = |first: u32, _: u32| first != KEYS_PER_SLOT;
     let issued = orders.decide(at(4100), at(9000), busy);
     assert_eq!(ranges(&issued), [(32, 47)]);
     answer(&mut orders, at(4100), &issued, &done());
@@ -224,7 +225,7 @@
 
 /// An order is refused as it stands. It is given again, but not at once and in a loop.
 #[test]
-fn an_order_that_is_rejected_rests() {
+fn a_rejected_order_is_retried_after_a_delay() {
     let mut orders = Orders::new(at(0), HOLD);
     orders.set_wanted(&[wanted(1, 7)]);
     let issued = decide(&mut orders, at(0));
@@ -237,12 +238,12 @@
 /// The new life holds nothing and must get its keys under higher tokens; the late report changes nothing.
 #[test]
 fn another_start_under_the_same_name_gets_its_keys_under_higher_tokens() {
-    let mut orders = steady();
+    let mut orders = established();
     let under_way = decide(&mut orders, at(4000) + HOLD / 2).remove(0);
-    assert_eq!(orders.report(at(6000), &start(2), 1), ReportOutcome::NewIncarnation);
+    assert_eq!(orders.report(at(6000), &incarnation(2), 1), ReportOutcome::NewIncarnation);
     assert!(!serves(&orders, at(6000), 1, 7));
-    assert_eq!(orders.report(at(6010), &start(1), 99), ReportOutcome::Stale);
-    assert_eq!(orders.incarnation(), Some(&start(2)));
+    assert_eq!(orders.report(at(6010), &incarnation(1), 99), ReportOutcome::Stale);
+    assert_eq!(orders.incarnation(), Some(&incarnation(2)));
     // An order was under way. What the life before has answered says nothing of this one.
     orders.complete(at(6100), under_way.number, &done());
     assert!(!serves(&orders, at(6101), 1, 7));
@@ -255,7 +256,7 @@
 /// The connections end with it. An order over a new one must have a higher token than all before.
 #[test]
 fn an_order_over_a_new_connection_has_a_higher_token() {
-    let mut orders = steady();
+    let mut orders = established();
     let now = at(4000) + HOLD / 2;
     let issued = decide(&mut orders, now);
     assert!(!issued[0].may_connect, "a kept connection leads to the same start");
@@ -271,7 +272,7 @@
 /// The server refuses requests for it; it is granted again at once.
 #[test]
 fn a_unit_that_the_upstream_denies_is_granted_again() {
-    let mut orders = steady();
+    let mut orders = established();
     orders.mark_refused(&wanted(1, 0).keys);
     assert!(!serves(&orders, at(4200), 1, 7));
     assert!(serves(&orders, at(4200), 2, 7));
@@ -294,7 +295,7 @@
 /// The rest goes on under the grant that it has; only the key is released.
 #[test]
 fn a_key_that_is_split_out_is_released_by_itself() {
-    let mut orders = steady();
+    let mut orders = established();
     let rest = Wanted { keys: vec![16..=19, 21..=31], ..wanted(1, 7) };
     orders.set_wanted(&[rest.clone(), wanted(2, 7)]);
     assert!(orders.serves(at(4100), &rest.keys, Token(7)));
@@ -313,17 +314,17 @@
 #[test]
 fn grants_without_answer_do_not_hold_up_releases() {
     let mut orders = Orders::new(at(0), HOLD);
-    let apart: Vec<Wanted> = (0..40).map(|n| wanted(n * 2, 7)).collect();
-    orders.set_wanted(&apart);
+    let separate: Vec<Wanted> = (0..40).map(|n| wanted(n * 2, 7)).collect();
+    orders.set_wanted(&separate);
     let mut granted = 0;
     while granted < 40 {
         let issued = decide(&mut orders, at(10));
         granted += issued.len();
         answer(&mut orders, at(10), &issued, &done());
     }
-    let hanging = decide(&mut orders, at(10) + HOLD / 2);
-    assert!(hanging.len() < apart.len(), "only so many at once");
-    orders.set_wanted(&apart[..20]);
+    let unanswered = decide(&mut orders, at(10) + HOLD / 2);
+    assert!(unanswered.len() < separate.len(), "only so many at once");
+    orders.set_wanted(&separate[..20]);
     let issued = decide(&mut orders, at(20) + HOLD / 2);
     assert!(issued.iter().any(|issued| issued.order.action == Action::Release));
 }
@@ -332,11 +333,11 @@
 /// Its report does not mean that it holds nothing: while it may, nobody else gets the keys.
 #[test]
 fn what_was_granted_before_the_first_report_counts_as_held() {
-    let mut orders = steady();
+    let mut orders = established();
     let now = at(4000) + HOLD / 2;
     connect(&mut orders, now);
     let reported = now + Duration::from_millis(50);
-    assert_eq!(orders.report(reported, &start(2), 1), ReportOutcome::NewIncarnation);
+    assert_eq!(orders.report(reported, &incarnation(2), 1), ReportOutcome::NewIncarnation);
     orders.set_wanted(&[]);
     assert!(may_hold(&orders, reported, 1));
     let issued = decide(&mut orders, reported);
--- a/acaciaring_core/tests/orders_schedule.rs
+++ b/acaciaring_core/tests/orders_schedule.rs
@@ -14,45 +14,45 @@
 const SLOTS: u32 = 6;
 
 /// Clock of an upstream runs slow by this.
-const SLOW: f64 = 1.02;
+const SLOW_CLOCK_FACTOR: f64 = 1.02;
 
 /// What happens to an order.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum Delivery {
     Answered,
     /// Carried out, and its answer is lost.
-    Muted,
+    AnswerLost,
     /// Arrives, and is carried out after so many milliseconds.
-    Late(u64),
+    Delayed(u64),
     Lost,
 }
 
 /// What happens next.
 #[derive(Debug, Clone)]
 enum Event {
-    Pass(u64),
+    Advance(u64),
     /// The member is to serve these slots, each under a new token where it did not before.
-    Want(Vec<bool>),
-    Orders(Vec<Fate>),
+    SetWanted(Vec<bool>),
+    Orders(Vec<Delivery>),
     /// The upstream starts again under its name, with or without a report of it.
-    Start(bool),
+    Restart(bool),
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        6 => Just(Fate::Answered),
-        1 => Just(Fate::Muted),
-        2 => (100_u64..6_000).prop_map(Fate::Late),
-        1 => Just(Fate::Lost),
+        6 => Just(Delivery::Answered),
+        1 => Just(Delivery::AnswerLost),
+        2 => (100_u64..6_000).prop_map(Delivery::Delayed),
+        1 => Just(Delivery::Lost),
     ]
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        4 => (1_u64..700).prop_map(Event::Pass),
-        2 => prop::collection::vec(any::<bool>(), SLOTS as usize).prop_map(Event::Want),
-        6 => prop::collection::vec(fate(), 1..12).prop_map(Event::Orders),
-        1 => any::<bool>().prop_map(Event::Start),
+        4 => (1_u64..700).prop_map(Event::Advance),
+        2 => prop::collection::vec(any::<bool>(), SLOTS as usize).prop_map(Event::SetWanted),
+        6 => prop::collection::vec(delivery(), 1..12).prop_map(Event::Orders),
+        1 => any::<bool>().prop_map(Event::Restart),
     ]
 }
 
@@ -63,12 +63,12 @@
     until: Vec<Time>,
     /// For each slot the highest token that a former life had.
     former: Vec<Token>,
-    born: u64,
+    generation: u64,
 }
 
 impl Upstream {
     /// Carries out an order that arrived at a time; the slots it concerns are whole.
-    fn carry(&mut self, now: Time, issued: &Issued, arrived: Time) -> Answer {
+    fn execute(&mut self, now: Time, issued: &Issued, arrived: Time) -> Answer {
         let slots = (issued.order.first / 16) as usize..=(issued.order.last / 16) as usize;
         match &issued.order.action {
             Action::Release => {
@@ -80,7 +80,7 @@
                 if slots.clone().any(|slot| self.seen[slot] > token) {
                     return Answer::Superseded;
                 }
-                let until = arrived + hold.mul_f64(SLOW);
+                let until = arrived + hold.mul_f64(SLOW_CLOCK_FACTOR);
                 if now < until {
                     for slot in slots {
                         assert!(
@@ -98,26 +98,26 @@
 }
 
 /// Plays a schedule and checks after each step that nothing is held that is believed free.
-fn play(events: Vec<Event>) {
+fn run_schedule(events: Vec<Event>) {
     let mut now = Time::from_millis(60_000);
     let mut orders = Orders::new(Time::ZERO, HOLD);
-    let none = vec![Time::ZERO; SLOTS as usize];
+    let no_holds = vec![Time::ZERO; SLOTS as usize];
     let mut upstream = Upstream {
         seen: vec![Token(0); SLOTS as usize],
-        until: none.clone(),
+        until: no_holds.clone(),
         former: vec![Token(0); SLOTS as usize],
-        born: 1,
+        generation: 1,
     };
-    orders.report(now, &start(1), 1);
+    orders.report(now, &incarnation(1), 1);
     let mut connected = false;
     let mut tokens = vec![0; SLOTS as usize];
     let mut next = 2;
-    let mut silent: Vec<(Time, Issued)> = Vec::new();
-    let mut late: Vec<(Time, Issued, Time)> = Vec::new();
+    let mut unanswered: Vec<(Time, Issued)> = Vec::new();
+    let mut delayed: Vec<(Time, Issued, Time)> = Vec::new();
     for event in events {
         match event {
-            Event::Pass(millis) => now = now + Duration::from_millis(millis),
-            Event::Want(slots) => {
+            Event::Advance(millis) => now = now + Duration::from_millis(millis),
+            Event::SetWanted(slots) => {
                 for (token, wanted) in tokens.iter_mut().zip(&slots) {
                     *token = if !wanted {
                         0
@@ -132,53 +132,53 @@
                 let wanted: Vec<Wanted> = units.map(|(slot, token)| wanted(slot, *token)).collect();
                 orders.set_wanted(&wanted);
             }
-            Event::Orders(fates) => {
+            Event::Orders(deliveries) => {
                 let issued = orders.decide(now, now + HOLD, |_, _| true);
-                for (issued, fate) in issued.into_iter().zip(fates.iter().cycle()) {
+                for (issued, delivery) in issued.into_iter().zip(deliveries.iter().cycle()) {
                     if !connected && !issued.may_connect {
                         orders.complete(now, issued.number, &Answer::Unconnected);
                         continue;
                     }
                     connected = true;
-                    match fate {
-                        Fate::Answered => {
-                            let answer = upstream.carry(now, &issued, now);
+                    match delivery {
+                        Delivery::Answered => {
+                            let answer = upstream.execute(now, &issued, now);
                             orders.complete(now, issued.number, &answer);
                         }
-                        Fate::Muted => {
-                            upstream.carry(now, &issued, now);
-                            silent.push((issued.deadline, issued));
+                        Delivery::AnswerLost => {
+                            upstream.execute(now, &issued, now);
+                            unanswered.push((issued.deadline, issued));
                         }
-                        Fate::Late(millis) => {
+                        Delivery::Delayed(millis) => {
                             let when = now + Duration::from_millis(*millis);
-                            late.push((when, issued.clone(), now));
-                            silent.push((issued.deadline, issued));
+                            delayed.push((when, issued.clone(), now));
+                            unanswered.push((issued.deadline, issued));
                         }
-                        Fate::Lost => silent.push((issued.deadline, issued)),
+                        Delivery::Lost => unanswered.push((issued.deadline, issued)),
                     }
                 }
             }
-            Event::Start(reports) => {
+            Event::Restart(reports) => {
                 for (former, seen) in upstream.former.iter_mut().zip(&upstream.seen) {
                     *former = (*former).max(*seen);
                 }
-                upstream.born += 1;
+                upstream.generation += 1;
                 upstream.seen.fill(Token(0));
-                upstream.until.clone_from(&none);
+                upstream.until.clone_from(&no_holds);
                 connected = false;
-                late.clear();
+                delayed.clear();
                 // An upstream takes its time to start.
                 now = now + Duration::from_millis(150);
                 if reports {
-                    orders.report(now, &start(upstream.born), 1);
+                    orders.report(now, &incarnation(upstream.generation), 1);
                 }
             }
         }
-        for (_, issued) in silent.extract_if(.., |(reach, _)| *reach <= now) {
+        for (_, issued) in unanswered.extract_if(.., |(deadline, _)| *deadline <= now) {
             orders.complete(now, issued.number, &Answer::Unknown);
         }
-        for (_, issued, arrived) in late.extract_if(.., |(when, ..)| *when <= now) {
-            upstream.carry(now, &issued, arrived);
+        for (_, issued, arrived) in delayed.extract_if(.., |(when, ..)| *when <= now) {
+            upstream.execute(now, &issued, arrived);
         }
         for slot in 0..SLOTS {
             let held = now < upstream.until[slot as usize];
@@ -188,7 +188,7 @@
     }
 }
 
-fn start(generation: u64) -> Incarnation {
+fn incarnation(generation: u64) -> Incarnation {
     Incarnation { instance: "i-1".into(), generation }
 }
 
@@ -210,6 +210,6 @@
     #[test]
     fn nothing_is_held_that_is_believed_free(events in prop::collection::vec(event(), 1..120)) {
         assert!(ORDER_TIMEOUT < HOLD);
-        play(events);
+        run_schedule(events);
     }
 }
--- a/acaciaring_core/tests/ownership_schedule.rs
+++ b/acaciaring_core/tests/ownership_schedule.rs
@@ -15,7 +15,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-const BOOKS: &str = "books";
+const WORKSPACE: &str = "books";
 const VMS: usize = 4;
 const SLOTS: u32 = 3;
 
@@ -24,7 +24,7 @@
 const SCHEDULES: u64 = 2000;
 
 /// Most records on their way to the log.
-const APPENDS: usize = 6;
+const MAX_APPENDS: usize = 6;
 
 /// What a process waits to read back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 struct Entry {
     number: u64,
     bytes: Vec<u8>,
-    what: String,
+    text: String,
 }
 
 /// Identity of a process that has joined.
@@ -60,7 +60,7 @@
 
 /// Process beside an upstream.
 struct Process {
-    start: u64,
+    nonce: u64,
     applied: usize,
     pending: HashMap<u64, Purpose>,
     identity: Option<Identity>,
@@ -85,7 +85,7 @@
     version: Offset,
 }
 
-struct World {
+struct Simulation {
     rng: StdRng,
     log: Vec<Entry>,
     states: Vec<State>,
@@ -93,14 +93,14 @@
     appends: Vec<Entry>,
     releases: Vec<Release>,
     vms: Vec<Vm>,
-    numbers: u64,
+    last_number: u64,
     /// Highest token under which each unit was held, and at which VM.
     tokens: BTreeMap<UnitId, (Token, usize)>,
     /// Identities that hold no lease any more, by which nothing is held.
-    over: BTreeSet<MemberId>,
+    ended: BTreeSet<MemberId>,
     trace: Vec<String>,
-    served: usize,
-    taken: usize,
+    grants: usize,
+    transfers: usize,
 }
 
 fn holder(me: MemberId) -> Holder {
@@ -112,10 +112,10 @@
     holder
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let vm = || Vm { process: None, held: Held::new(), instance: 0, draining: false };
-        let mut world = Self {
+        let mut simulation = Self {
             rng: StdRng::seed_from_u64(seed),
             log: Vec::new(),
             states: vec![State::default()],
@@ -123,32 +123,32 @@
             appends: Vec::new(),
             releases: Vec::new(),
             vms: (0..VMS).map(|_| vm()).collect(),
-            numbers: 0,
+            last_number: 0,
             tokens: BTreeMap::new(),
-            over: BTreeSet::new(),
+            ended: BTreeSet::new(),
             trace: Vec::new(),
-            served: 0,
-            taken: 0,
+            grants: 0,
+            transfers: 0,
         };
         for vm in 0..VMS {
-            world.start(vm);
-            world.settle(vm);
+            simulation.start(vm);
+            simulation.catch_up(vm);
         }
         for vm in 0..VMS {
-            world.settle(vm);
+            simulation.catch_up(vm);
         }
-        let assign = Body::Assign(Assign { workspace: BOOKS.into(), slots: SLOTS });
-        let entry = world.entry(assign);
-        world.append(entry);
+        let assign = Body::Assign(Assign { workspace: WORKSPACE.into(), slots: SLOTS });
+        let entry = simulation.entry(assign);
+        simulation.append(entry);
         for vm in 0..VMS {
-            world.settle(vm);
+            simulation.catch_up(vm);
         }
-        world.trace.clear();
-        world
+        simulation.trace.clear();
+        simulation
     }
 
     /// Lets a process do all that it can without others.
-    fn settle(&mut self, vm: usize) {
+    fn catch_up(&mut self, vm: usize) {
         for _ in 0..6 {
             self.join_or_attach(vm);
             while !self.appends.is_empty() {
@@ -160,18 +160,18 @@
     }
 
     fn entry(&mut self, body: Body) -> Entry {
-        self.numbers += 1;
-        let what = format!("{body:?}");
-        let id = u128::from(self.numbers).to_le_bytes().to_vec();
+        self.last_number += 1;
+        let text = format!("{body:?}");
+        let id = u128::from(self.last_number).to_le_bytes().to_vec();
         let bytes = Record { id, body: Some(body) }.encode_to_vec();
-        Entry { number: self.numbers, bytes, what }
+        Entry { number: self.last_number, bytes, text }
     }
 
     fn append(&mut self, entry: Entry) {
         let mut state = self.states.last().expect("one").clone();
         let offset = state.next().max(1);
         let outcome = state.fold(offset, &entry.bytes);
-        self.trace.push(format!("log {offset}: {} -> {outcome:?}", entry.what));
+        self.trace.push(format!("log {offset}: {} -> {outcome:?}", entry.text));
         self.outcomes.push(matches!(outcome, Outcome::Applied));
         self.states.push(state);
         self.log.push(entry);
@@ -181,7 +181,7 @@
         let entry = self.entry(body);
         let Some(process) = &mut self.vms[vm].process else { return };
         process.pending.insert(entry.number, purpose);
-        self.trace.push(format!("vm {vm} proposes {}", entry.what));
+        self.trace.push(format!("vm {vm} proposes {}", entry.text));
         self.appends.push(entry);
     }
 
@@ -196,11 +196,11 @@
     }
 
     fn start(&mut self, vm: usize) {
-        self.numbers += 1;
+        self.last_number += 1;
         let applied = self.log.len();
-        let start = self.numbers;
+        let nonce = self.last_number;
         let pending = HashMap::new();
-        self.vms[vm].process = Some(Process { start, applied, pending, identity: None });
+        self.vms[vm].process = Some(Process { nonce, applied, pending, identity: None });
         self.trace.push(format!("vm {vm} starts"));
     }
 
@@ -208,20 +208,20 @@
         let Some(process) = self.vms[vm].process.take() else { return };
         self.trace.push(format!("vm {vm} is killed"));
         if let Some(identity) = process.identity {
-            self.lost(vm, identity.me);
+            self.record_lease_end(vm, identity.me);
         }
     }
 
     /// Notes that an identity has ended or lost its lease for good.
-    fn lost(&mut self, vm: usize, me: MemberId) {
+    fn record_lease_end(&mut self, vm: usize, me: MemberId) {
         // Votes on a member come a term after it joined, when what was granted before is over as well.
         if self.vms[vm].held.values().all(|(_, by)| *by > me) {
-            self.over.insert(me);
+            self.ended.insert(me);
         }
     }
 
     /// Lets what is held by a lease that is over lapse.
-    fn lapse(&mut self, vm: usize) {
+    fn expire_holds(&mut self, vm: usize) {
         let live = self.vms[vm].process.as_ref().and_then(|process| process.identity.as_ref());
         let live = live.filter(|identity| identity.leased).map(|identity| identity.me);
         let lapsed: BTreeSet<MemberId> =
@@ -230,10 +230,10 @@
         if !lapsed.is_empty() {
             self.trace.push(format!("holds of {lapsed:?} at vm {vm} lapse"));
         }
-        self.over.extend(lapsed);
+        self.ended.extend(lapsed);
         // What never held anything is over as well.
-        let dead = self.states.last().expect("one").members().map(|member| member.id);
-        let used: BTreeSet<MemberId> = self
+        let members = self.states.last().expect("one").members().map(|member| member.id);
+        let active: BTreeSet<MemberId> = self
             .vms
             .iter()
             .flat_map(|vm| {
@@ -242,39 +242,41 @@
                 vm.held.values().map(|(_, by)| *by).chain(live)
             })
             .collect();
-        let places: Vec<(MemberId, MemberId)> = self
+        let oldest_holds: Vec<(MemberId, MemberId)> = self
             .vms
             .iter()
             .enumerate()
             .flat_map(|(number, vm)| {
                 let name = format!("vm-{number}");
                 let all = self.states.last().expect("one").members();
-                let mine: Vec<MemberId> =
+                let local: Vec<MemberId> =
                     all.filter(|m| *m.vm == *name).map(|member| member.id).collect();
                 let first = vm.held.values().map(|(_, by)| *by).min();
-                mine.into_iter().filter_map(move |id| Some((id, first?)))
+                local.into_iter().filter_map(move |id| Some((id, first?)))
             })
             .collect();
-        let after = |id: &MemberId| places.iter().any(|(other, first)| other == id && id > first);
-        let over: Vec<MemberId> = dead.filter(|id| !used.contains(id) && !after(id)).collect();
+        let newer =
+            |id: &MemberId| oldest_holds.iter().any(|(other, first)| other == id && id > first);
+        let ended: Vec<MemberId> =
+            members.filter(|id| !active.contains(id) && !newer(id)).collect();
         let joining = |id: &MemberId| {
             // A member whose process has not read its own record yet may still get a lease.
             self.vms.iter().any(|vm| {
                 let process = vm.process.as_ref();
                 process.is_some_and(|process| {
                     process.identity.is_none()
-                        && self.member_of(process.start, process.applied, true) == Some(*id)
+                        && self.member_of(process.nonce, process.applied, true) == Some(*id)
                 })
             })
         };
-        let over: Vec<MemberId> = over.into_iter().filter(|id| !joining(id)).collect();
-        self.over.extend(over);
+        let ended: Vec<MemberId> = ended.into_iter().filter(|id| !joining(id)).collect();
+        self.ended.extend(ended);
     }
 
     /// Returns the member that the start of a process became, by the whole log or what it has read.
-    fn member_of(&self, start: u64, applied: usize, whole: bool) -> Option<MemberId> {
+    fn member_of(&self, nonce: u64, applied: usize, whole: bool) -> Option<MemberId> {
         let state = if whole { self.states.last()? } else { &self.states[applied] };
-        state.members().find(|member| member.nonce == start).map(|member| member.id)
+        state.members().find(|member| member.nonce == nonce).map(|member| member.id)
     }
 
     fn fold(&mut self, vm: usize) -> bool {
@@ -287,7 +289,7 @@
         process.applied += 1;
         let state = &self.states[process.applied];
         let purpose = process.pending.remove(&entry.number);
-        let workspace = Name::from(BOOKS);
+        let workspace = Name::from(WORKSPACE);
         if let Some(identity) = &mut process.identity {
             if !applied && matches!(purpose, Some(Purpose::Handoff | Purpose::Leave)) {
                 for (unit, version) in identity.renounced.drain(..) {
@@ -299,8 +301,8 @@
             }
             identity.rights.prune(identity.me, state);
         } else {
-            let start = process.start;
-            let found = state.members().find(|member| member.nonce == start);
+            let nonce = process.nonce;
+            let found = state.members().find(|member| member.nonce == nonce);
             if let Some(me) = found.map(|member| member.id) {
                 process.identity = Some(Identity {
                     me,
@@ -323,14 +325,14 @@
 
     /// Lets a process join anew.
     fn end_identity(&mut self, vm: usize, me: MemberId) {
-        self.numbers += 1;
-        let start = self.numbers;
+        self.last_number += 1;
+        let nonce = self.last_number;
         let Some(process) = &mut self.vms[vm].process else { return };
         process.identity = None;
         process.pending.clear();
-        process.start = start;
+        process.nonce = nonce;
         self.trace.push(format!("identity {me} at vm {vm} has ended"));
-        self.lost(vm, me);
+        self.record_lease_end(vm, me);
     }
 
     fn join_or_attach(&mut self, vm: usize) {
@@ -342,7 +344,7 @@
             }
             let join = Join {
                 vm: name.clone(),
-                nonce: process.start,
+                nonce: process.nonce,
                 peer: format!("{name}:7000"),
                 data_centre: name,
                 region: "free-state".into(),
@@ -361,7 +363,7 @@
         }
         let attach = Attach {
             member: identity.me.0,
-            workspace: BOOKS.into(),
+            workspace: WORKSPACE.into(),
             upstream: format!("{name}:9000"),
             fenced: true,
             instance: format!("i-{vm}-{}", self.vms[vm].instance),
@@ -371,7 +373,7 @@
 
     /// Returns the units with their assignments as a process knows them.
     fn units(&self, vm: usize) -> Vec<(UnitId, Assignment)> {
-        let service = self.state(vm).service(BOOKS);
+        let service = self.state(vm).service(WORKSPACE);
         service.into_iter().flat_map(|service| service.units().map(|(u, a)| (u, *a))).collect()
     }
 
@@ -385,7 +387,7 @@
         let Identity { holder, rights, expired, .. } = identity;
         let dead = |id| state.member(id).is_none_or(|member| member.phase == Phase::Dead);
         let gone = |id| dead(id) || expired.contains(&id);
-        let right = rights.decide(Time::ZERO, holder, &BOOKS.into(), unit, assignment, gone);
+        let right = rights.decide(Time::ZERO, holder, &WORKSPACE.into(), unit, assignment, gone);
         match right {
             Right::Serve { token, .. } => Some(token),
             _ => None,
@@ -424,10 +426,10 @@
                 return Err(format!("vm {vm} holds {unit} under {token:?}, vm {at} {last:?}"));
             }
             if self.tokens.get(unit).is_none_or(|(_, at)| *at != vm) {
-                self.taken += 1;
+                self.transfers += 1;
             }
             self.tokens.insert(*unit, (*token, vm));
-            self.served += 1;
+            self.grants += 1;
         }
         if next != self.vms[vm].held {
             self.trace.push(format!("upstream {vm} holds {next:?}"));
@@ -446,11 +448,11 @@
             }
             let Some(process) = &mut self.vms[vm].process else { return };
             let Some(identity) = &mut process.identity else { return };
-            if !identity.rights.release(&BOOKS.into(), unit, &assignment) {
+            if !identity.rights.release(&WORKSPACE.into(), unit, &assignment) {
                 continue;
             }
-            let heirs = [assignment.owner, assignment.standby].into_iter().flatten();
-            for to in heirs.filter(|heir| *heir != me) {
+            let successors = [assignment.owner, assignment.standby].into_iter().flatten();
+            for to in successors.filter(|successor| *successor != me) {
                 let version = assignment.version;
                 self.trace.push(format!("{me} releases {unit} {version} to {to}"));
                 self.releases.push(Release { from: me, to, unit, version });
@@ -462,7 +464,7 @@
         Some(self.vms[vm].process.as_ref()?.identity.as_ref()?.me)
     }
 
-    fn receive(&mut self) {
+    fn deliver_release(&mut self) {
         if self.releases.is_empty() {
             return;
         }
@@ -474,7 +476,7 @@
         for vm in &mut self.vms {
             let identity = vm.process.as_mut().and_then(|process| process.identity.as_mut());
             if let Some(identity) = identity.filter(|identity| identity.me == to) {
-                identity.rights.record_release(from, &BOOKS.into(), unit, version);
+                identity.rights.record_release(from, &WORKSPACE.into(), unit, version);
             }
         }
     }
@@ -482,7 +484,7 @@
     fn serving(&self, vm: usize, unit: UnitId) -> bool {
         let process = self.vms[vm].process.as_ref();
         let identity = process.and_then(|process| process.identity.as_ref());
-        identity.is_some_and(|identity| identity.rights.serving(&BOOKS.into(), unit))
+        identity.is_some_and(|identity| identity.rights.serving(&WORKSPACE.into(), unit))
     }
 
     fn switch_over(&mut self, vm: usize) {
@@ -495,7 +497,7 @@
         });
         let Some((unit, assignment)) = found else { return };
         let units = vec![Unit { slot: unit.slot, key: None, version: assignment.version }];
-        let switchover = Switchover { member: me.0, workspace: BOOKS.into(), units };
+        let switchover = Switchover { member: me.0, workspace: WORKSPACE.into(), units };
         self.propose(vm, Purpose::Switchover, Body::Switchover(switchover));
     }
 
@@ -510,7 +512,7 @@
             .find(|(unit, a)| a.standby == Some(me) && !self.vms[vm].held.contains_key(unit));
         let Some((unit, assignment)) = found else { return };
         let members: Vec<MemberId> =
-            self.state(vm).members_of(BOOKS).map(|member| member.id).collect();
+            self.state(vm).members_of(WORKSPACE).map(|member| member.id).collect();
         let Some(target) =
             members.into_iter().find(|id| *id != me && Some(*id) != assignment.owner)
         else {
@@ -520,11 +522,12 @@
         if let Some(identity) =
             self.vms[vm].process.as_mut().and_then(|process| process.identity.as_mut())
         {
-            identity.rights.renounce(&BOOKS.into(), unit, version);
+            identity.rights.renounce(&WORKSPACE.into(), unit, version);
             identity.renounced = vec![(unit, version)];
         }
         let units = vec![Unit { slot: unit.slot, key: None, version }];
-        let handoff = Handoff { member: me.0, workspace: BOOKS.into(), units, target: target.0 };
+        let handoff =
+            Handoff { member: me.0, workspace: WORKSPACE.into(), units, target: target.0 };
         self.propose(vm, Purpose::Handoff, Body::Handoff(handoff));
     }
 
@@ -537,11 +540,11 @@
             return;
         }
         if phase == Some(Phase::Leaving) {
-            let owes = self.units(vm).into_iter().any(|(unit, a)| {
+            let unreleased = self.units(vm).into_iter().any(|(unit, a)| {
                 let former = a.owner != Some(me) && [a.prior, a.prior_standby].contains(&Some(me));
                 former && !self.released(me, unit, &a)
             });
-            if !owes && self.vms[vm].held.is_empty() && !self.pending(vm, Purpose::Exit) {
+            if !unreleased && self.vms[vm].held.is_empty() && !self.pending(vm, Purpose::Exit) {
                 self.propose(vm, Purpose::Exit, Body::Exit(Exit { member: me.0 }));
             }
             return;
@@ -550,16 +553,16 @@
             return;
         }
         let units = self.units(vm);
-        let waits = units.iter().any(|(u, a)| a.owner == Some(me) && !self.serving(vm, *u));
-        if waits {
+        let waiting = units.iter().any(|(u, a)| a.owner == Some(me) && !self.serving(vm, *u));
+        if waiting {
             return self.switch_over(vm);
         }
-        let roles: Vec<(UnitId, Offset)> = units
+        let standby_units: Vec<(UnitId, Offset)> = units
             .iter()
             .filter(|(_, a)| a.standby == Some(me))
             .map(|(unit, a)| (*unit, a.version))
             .collect();
-        if roles.iter().any(|(unit, _)| self.vms[vm].held.contains_key(unit)) {
+        if standby_units.iter().any(|(unit, _)| self.vms[vm].held.contains_key(unit)) {
             return;
         }
         let applied = self.state(vm).next();
@@ -568,10 +571,10 @@
         else {
             return;
         };
-        for (unit, version) in &roles {
-            identity.rights.renounce(&BOOKS.into(), *unit, *version);
+        for (unit, version) in &standby_units {
+            identity.rights.renounce(&WORKSPACE.into(), *unit, *version);
         }
-        identity.renounced = roles;
+        identity.renounced = standby_units;
         identity.rights.leave();
         identity.leaving = true;
         self.propose(vm, Purpose::Leave, Body::Leave(Leave { member: me.0, applied }));
@@ -584,12 +587,12 @@
         self.vms.iter().any(|vm| {
             let identity = vm.process.as_ref().and_then(|process| process.identity.as_ref());
             identity.is_some_and(|identity| {
-                Some(identity.me) == owner && identity.rights.serving(&BOOKS.into(), unit)
+                Some(identity.me) == owner && identity.rights.serving(&WORKSPACE.into(), unit)
             })
         })
     }
 
-    fn lose(&mut self, vm: usize) {
+    fn lose_lease(&mut self, vm: usize) {
         let Some(process) = &mut self.vms[vm].process else { return };
         let Some(identity) = &mut process.identity else { return };
         if !identity.leased {
@@ -600,11 +603,11 @@
         self.trace.push(format!("{me} at vm {vm} loses its lease"));
         // A lease that was held outlasts all that was granted before.
         self.vms[vm].held.retain(|_, (_, by)| *by >= me);
-        self.lost(vm, me);
+        self.record_lease_end(vm, me);
     }
 
     /// Lets a process that has lost its lease join anew in its own place.
-    fn start_over(&mut self, vm: usize) {
+    fn rejoin(&mut self, vm: usize) {
         let Some(process) = &self.vms[vm].process else { return };
         let Some(identity) = process.identity.as_ref().filter(|identity| !identity.leased) else {
             return;
@@ -620,28 +623,31 @@
     /// Lets a process learn that a lease is over for good, or propose an eviction.
     fn evict(&mut self, vm: usize) {
         let Some(me) = self.me(vm) else { return };
-        let over: Vec<MemberId> = self.over.iter().copied().collect();
-        if over.is_empty() {
+        let ended: Vec<MemberId> = self.ended.iter().copied().collect();
+        if ended.is_empty() {
             return;
         }
-        let lost = over[self.rng.random_range(0..over.len())];
-        let Some(member) = self.state(vm).member(lost).cloned() else { return };
+        let subject = ended[self.rng.random_range(0..ended.len())];
+        let Some(member) = self.state(vm).member(subject).cloned() else { return };
         let Some(identity) =
             self.vms[vm].process.as_mut().and_then(|process| process.identity.as_mut())
         else {
             return;
         };
-        if identity.expired.insert(lost) {
-            self.trace.push(format!("{me} learns that {lost} is over"));
+        if identity.expired.insert(subject) {
+            self.trace.push(format!("{me} learns that {subject} is over"));
             return;
         }
         if member.phase == Phase::Dead || self.pending(vm, Purpose::Evict) {
             return;
         }
-        let vote =
-            |lessor: &MemberId| Vote { lessor: lessor.0, member: lost.0, version: member.version };
+        let vote = |lessor: &MemberId| Vote {
+            lessor: lessor.0,
+            member: subject.0,
+            version: member.version,
+        };
         let votes = member.lessors.iter().map(vote).collect();
-        let evict = Evict { member: lost.0, version: member.version, votes, ..Evict::default() };
+        let evict = Evict { member: subject.0, version: member.version, votes, ..Evict::default() };
         self.propose(vm, Purpose::Evict, Body::Evict(evict));
     }
 
@@ -650,7 +656,7 @@
             return;
         }
         if self.units(vm).iter().any(|(_, a)| a.owner.is_none()) {
-            let assign = Assign { workspace: BOOKS.into(), slots: SLOTS };
+            let assign = Assign { workspace: WORKSPACE.into(), slots: SLOTS };
             self.propose(vm, Purpose::Assign, Body::Assign(assign));
         }
     }
@@ -681,12 +687,12 @@
             }
             42..57 => self.report(vm)?,
             57..65 => self.release(vm),
-            65..73 => self.receive(),
+            65..73 => self.deliver_release(),
             73..79 => self.join_or_attach(vm),
-            79..83 => self.lapse(vm),
+            79..83 => self.expire_holds(vm),
             83..87 => self.evict(vm),
             87..89 => {
-                if self.appends.len() < APPENDS {
+                if self.appends.len() < MAX_APPENDS {
                     self.switch_over(vm);
                 }
             }
@@ -696,8 +702,8 @@
                     self.leave(vm);
                 }
             }
-            93..94 => self.lose(vm),
-            94..96 => self.start_over(vm),
+            93..94 => self.lose_lease(vm),
+            94..96 => self.rejoin(vm),
             96..97 => {
                 if self.vms[vm].process.is_some() {
                     self.kill(vm);
@@ -730,25 +736,25 @@
 #[test]
 fn no_two_upstreams_hold_one_unit() {
     let seeds = std::env::var("SEEDS").ok().and_then(|text| text.parse().ok());
-    let (mut served, mut taken) = (0, 0);
-    let mut broken = 0;
+    let (mut grants, mut transfers) = (0, 0);
+    let mut failed = 0;
     for seed in 0..seeds.unwrap_or(SCHEDULES) {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for step in 0..STEPS {
-            if let Err(fault) = world.step() {
-                broken += 1;
-                if broken == 1 {
-                    println!("seed {seed}, step {step}: {fault}");
-                    for line in world.trace.iter().rev().take(70).rev() {
+            if let Err(error) = simulation.step() {
+                failed += 1;
+                if failed == 1 {
+                    println!("seed {seed}, step {step}: {error}");
+                    for line in simulation.trace.iter().rev().take(70).rev() {
                         println!("  {line}");
                     }
                 }
                 break;
             }
         }
-        served += world.served;
-        taken += world.taken;
+        grants += simulation.grants;
+        transfers += simulation.transfers;
     }
-    println!("{served} grants, {taken} to another upstream, {broken} schedules broken");
-    assert_eq!(broken, 0);
+    println!("{grants} grants, {transfers} to another upstream, {failed} schedules failed");
+    assert_eq!(failed, 0);
 }
--- a/acaciaring_core/tests/rights.rs
+++ b/acaciaring_core/tests/rights.rs
@@ -243,7 +243,7 @@
 /// process must have a higher one still, or upstreams would refuse it and run old work.
 #[test]
 fn tokens_rise_over_a_takeover_and_the_return_of_the_owner() {
-    let Right::Serve { token: taken, .. } =
+    let Right::Serve { token: takeover, .. } =
         Process::new(S).right_at(Time::ZERO, &assignment(P, S, None, 3, 5), &[P])
     else {
         panic!("the standby serves");
@@ -252,5 +252,5 @@
     let Right::Serve { token, .. } = Process::new(T).right_at(Time::ZERO, &after, &[S]) else {
         panic!("the owner serves");
     };
-    assert!(token > taken, "{token:?} {taken:?}");
+    assert!(token > takeover, "{token:?} {takeover:?}");
 }
