--- a/acaciaring_core/tests/holds.rs
+++ b/acaciaring_core/tests/holds.rs
@@ -1,4 +1,4 @@
-//! Stories of an upstream that holds its units by grant.
+//! Tests of the holds of an upstream that obtains its units in replies to its reports.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     incarnation("i-1")
 }
 
-/// Returns a token as the upstream is told it.
+/// Returns a token as it is sent to the upstream.
 fn fenced(token: u64) -> Token {
     Epoch::default().fence(Token(token))
 }
@@ -44,7 +44,7 @@
     Freed { first: slot * 16, last: slot * 16 + 15, handover: "h".into() }
 }
 
-/// Reports and is granted what is wanted, with a lease that is long enough.
+/// Handles a report and grants the wanted units under a long lease.
 fn report_and_grant(
     holds: &mut Holds,
     now: Time,
@@ -62,7 +62,7 @@
     holds.may_hold(now, UnitId::slot(slot), &wanted(slot, 0).keys)
 }
 
-/// Returns the record of an upstream that has held slot 1 under token 7 for a while.
+/// Returns the holds of an upstream that has held slot 1 under token 7 for several reports.
 fn established() -> Holds {
     let mut holds = Holds::new(at(0), HOLD);
     for number in 0..3 {
@@ -84,8 +84,8 @@
     assert!(!holds.serves(effect, UNIT, Token(8)));
 }
 
-/// The lease of the member ends before the upstream's hold does, by the upstream's slow clock.
-/// Another member would take over while the upstream still runs requests.
+/// Guards against a hold that outlasts the member's lease on an upstream with a slow clock, while
+/// another member takes over.
 #[test]
 fn a_grant_ends_with_the_lease_on_a_slow_clock_too() {
     let mut holds = established();
@@ -96,13 +96,12 @@
     assert!(holds.grant(at(2700), at(2700), &[wanted(1, 7)], MAX_RANGES).is_none(), "no lease");
 }
 
-/// A unit moves away. It may pass on only once the upstream says that it has let it go, and not
-/// while it works on a request for it.
+/// Guards against a unit that moves before the upstream has released it and finished its requests.
 #[test]
 fn a_unit_passes_on_only_when_the_upstream_has_released_it() {
     let mut holds = established();
     report_and_grant(&mut holds, at(2700), 4, &[held(1, 7)], &[], &[]);
-    assert!(may_hold(&holds, at(2700), 1), "it has not read the reply");
+    assert!(may_hold(&holds, at(2700), 1), "it has not received the reply");
     report_and_grant(&mut holds, at(2800), 5, &[held(1, 7)], &[], &[]);
     assert!(may_hold(&holds, at(2800), 1), "it still works on a request");
     report_and_grant(&mut holds, at(2900), 6, &[], &[freed(1)], &[]);
@@ -110,7 +109,7 @@
     assert_eq!(&*holds.handover(&wanted(1, 0).keys), "h");
 }
 
-/// The upstream falls silent. What it was given ends by time, not before.
+/// Guards against a hold of a silent upstream that ends before its time.
 #[test]
 fn silence_ends_a_hold_by_time_alone() {
     let holds = established();
@@ -118,9 +117,8 @@
     assert!(!may_hold(&holds, at(1800) + HOLD.mul_f64(1.04), 1));
 }
 
-/// A process is killed and starts again beside a living upstream. The first report that reaches
-/// it was held up on its way, from before the upstream held anything. Taken at its word, the
-/// process would release units that the upstream still holds by the former process.
+/// Guards against a restarted process that releases held units because its first report was a
+/// delayed one from before the upstream held anything.
 #[test]
 fn the_first_report_alone_proves_nothing() {
     let mut holds = Holds::new(at(0), HOLD);
@@ -138,8 +136,7 @@
     assert!(!may_hold(&holds, at(710), 2), "two reports agree");
 }
 
-/// A report of a server that has gone arrives while the next one at its address is alive. Taken
-/// for a new start, it would end all holds of the living one, and later ones would be refused.
+/// Guards against a delayed report of a former instance that ends all holds of the live one.
 #[test]
 fn a_report_of_another_instance_is_believed_when_the_present_one_is_silent() {
     let mut holds = established();
@@ -152,7 +149,7 @@
         holds.report(at(3700), &other, 52, Vec::new(), Vec::new()),
         ReportOutcome::NewIncarnation
     );
-    assert!(!may_hold(&holds, at(3700), 1), "the former start has ended");
+    assert!(!may_hold(&holds, at(3700), 1), "the former incarnation has ended");
     assert_eq!(
         holds.report(at(3800), &first_incarnation(), 99, vec![held(1, 7)], Vec::new()),
         ReportOutcome::Stale
@@ -169,8 +166,8 @@
     assert!(may_hold(&holds, at(1900), 1));
 }
 
-/// An upstream owns more separate ranges than a reply has room for. What it holds already must
-/// stay with it; else ranges would come and go with each reply.
+/// Guards against ranges that are dropped and granted in turn when an upstream owns more than fit
+/// in a reply.
 #[test]
 fn a_full_reply_keeps_the_ranges_already_held() {
     let mut holds = Holds::new(at(0), HOLD);
@@ -184,7 +181,7 @@
     let (joined, _) = holds
         .grant(at(900), at(900) + HOLD * 2, &(0..200).map(|n| wanted(n, 7)).collect::<Vec<_>>(), 6)
         .expect("granted");
-    assert_eq!(joined.len(), 1, "neighbours are one range");
+    assert_eq!(joined.len(), 1, "adjacent slots are one range");
 }
 
 proptest! {
@@ -194,8 +191,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is lost, delayed or answered late: while the upstream holds a unit, this member
-    /// says that it may.
+    /// Guards against a unit reported as free while the upstream holds it, with lost, delayed and
+    /// unanswered reports.
     #[test]
     fn what_is_held_is_never_said_to_be_free(
         steps in prop::collection::vec((0_u64..1500, any::<bool>(), any::<bool>(), any::<bool>()), 1..40),
@@ -203,7 +200,7 @@
         let mut holds = Holds::new(at(0), HOLD);
         let mut now = at(0);
         let mut sequence = 0;
-        // The upstream: until when it holds the unit, and whether it has released it.
+        // State of the upstream: the end of its hold, and releases to report.
         let (mut until, mut releases) = (Time::ZERO, Vec::new());
         for (pause, wants, arrives, replied) in steps {
             now = now + Duration::from_millis(pause);
--- a/acaciaring_core/tests/lease.rs
+++ b/acaciaring_core/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Stories of leases, grants and votes.
+//! Tests of lease renewal, lessor changes and eviction votes.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 const C: MemberId = MemberId(3);
 const D: MemberId = MemberId(4);
 
-/// Times that the stories below count with.
+/// Settings of these tests; the renewal interval is 400 ms.
 fn settings() -> LeaseSettings {
     LeaseSettings { interval: Duration::from_millis(400), ..LeaseSettings::default() }
 }
@@ -35,7 +35,7 @@
     renewals.iter().find(|renewal| renewal.lessor == lessor).expect("the lessor is asked").seq
 }
 
-/// Sends what is due at `now` and lets `from` grant at once, stating `version`.
+/// Sends the renewals due at `now`, which the members `from` grant at once with `version`.
 fn renew(holder: &mut Holder, now: Time, from: &[MemberId], version: u64) {
     let renewals = holder.due(now);
     for id in from {
@@ -77,8 +77,8 @@
     assert!(!holder.abandoned(ms(100_000)));
 }
 
-// A grant is held up by the network for a second. The holder must not count
-// the lease from its arrival: the lessor's own count began with the renewal.
+// Guards against a lease counted from the arrival of a delayed grant: the lessor counts its term
+// from the renewal.
 #[test]
 fn late_grant_counts_from_its_sending() {
     let mut holder = holder(&[A]);
@@ -88,9 +88,8 @@
     assert!(!holder.holds(ms(1300)));
 }
 
-// The holder's VM freezes past the term and wakes as if nothing had happened.
-// The first check after it must find the lease over, also when grants to older
-// renewals arrive at that moment.
+// Guards against a holder that resumes after a pause beyond the term and still counts on its lease,
+// even if grants to old renewals arrive at that moment.
 #[test]
 fn lease_is_over_after_a_pause() {
     let mut holder = holder(&[A, B, C]);
@@ -102,8 +101,8 @@
     assert!(!holder.holds(ms(60_000)));
 }
 
-// A connection goes silent. Renewals without answer are repeated soon, on a
-// new connection, and less often when that does not help.
+// Guards against a lease lost to a dead connection: an unanswered renewal is repeated on a new one,
+// with backoff up to the interval.
 #[test]
 fn unanswered_renewal_is_sent_again_on_a_new_connection() {
     let mut holder = holder(&[A]);
@@ -118,8 +117,8 @@
     assert_eq!(holder.next_due(ms(850)), ms(1250));
 }
 
-// From its proposal on a change of lessors needs majorities of both sets, and
-// the old one until enough of its lessors have the new version on record.
+// Guards against a lease without majority during a lessor change: both sets must grant until enough
+// old lessors have recorded the new version.
 #[test]
 fn change_of_lessors_needs_both_sets_until_superseded() {
     let mut holder = holder(&[A, B]);
@@ -141,9 +140,8 @@
     assert_eq!(holder.until(), Some(ms(2100)), "the old set is dropped");
 }
 
-// A whole place starts again. A new process found its predecessors as lessors; they are evicted, and
-// it changes to others. It has owned nothing, so the majority of the dead must not be waited for;
-// and a set that comes late must not bring them back.
+// Guards against a member that waits for dead lessors: one that owned nothing may drop the old set,
+// and a late install must not restore it.
 #[test]
 fn member_without_units_forgets_its_dead_lessors() {
     let mut idle = holder(&[A, B]);
@@ -160,9 +158,8 @@
     assert!(!owner.holds(ms(1)), "an owner still needs the old set");
 }
 
-// Two operators' view of one unit: a lessor of the old set was evicted before
-// the change, yet it still answers the holder. Members that have not folded the
-// change count its death as a vote, so its grant must not end the old set.
+// Guards against a set superseded by an evicted lessor's grant: members that have not folded the
+// change still count its death as a vote.
 #[test]
 fn dead_lessor_does_not_supersede() {
     let mut holder = holder(&[A, B, C]);
@@ -205,9 +202,8 @@
     assert!(!lessor.renew(ms(1501), H, 11, false).granted);
 }
 
-// The holder's clock is slow and the lessor's is fast, as far apart as the
-// margin allows. The vote, counted on the fast clock, must not come while the
-// holder, on the slow one, still counts on its lease.
+// Guards against a vote while the holder still counts on its lease, with the holder's clock slow
+// and the lessor's fast by the whole margin.
 #[test]
 fn drift_within_the_margin_is_safe() {
     let settings = settings();
@@ -222,7 +218,7 @@
     for x in 0..=1000 {
         let voted = lessor.vote(ms(term * x / 1000), H, true).is_some();
         let holds = holder.holds(ms((usable * x).div_ceil(1000)));
-        assert!(!(voted && holds), "the vote met a lease at {x} thousandths");
+        assert!(!(voted && holds), "vote while the lease holds at {x} thousandths");
         assert_eq!(voted, x == 1000);
     }
 }
@@ -235,8 +231,8 @@
     assert!(lessor.vote(ms(2400), H, true).is_some());
 }
 
-// The set changes after a vote. The vote is repeated with the new version, so
-// that those who have folded the change can count it.
+// Guards against a vote that is never counted after a lessor change: it is repeated with the new
+// version.
 #[test]
 fn vote_is_repeated_with_a_later_version() {
     let mut lessor = lessor(A);
@@ -248,8 +244,8 @@
     assert_eq!(lessor.vote(ms(1500), H, true), Some(Vote { member: H, version: 20 }));
 }
 
-// A lessor's VM freezes for a minute; renewals wait in its socket. Meanwhile it
-// is evicted and its death counts as its vote. It must grant nothing on waking.
+// Guards against grants from a lessor that resumes after its eviction, when its death already
+// counts as its vote.
 #[test]
 fn abandoned_lessor_grants_nothing() {
     let mut lessor = lessor(A);
@@ -257,9 +253,8 @@
     assert!(!lessor.renew(ms(60_001), H, 10, false).granted);
 }
 
-// A VM is stopped by plan while another one crashes. Both were lessors of a third member, which had
-// exchanged neither; had the stopped one ended at once, the member would have had no majority. It
-// stays until its last grant to a member that stays has run out; who is dead or leaves does not count.
+// Guards against a holder that loses its majority when a lessor leaves while another crashes: a
+// leaving lessor stays until its last grant to a remaining live member has expired.
 #[test]
 fn a_leaving_lessor_stays_while_its_grants_run() {
     let mut lessor = lessor(B);
@@ -275,8 +270,7 @@
     assert!(!lessor.has_active_grant(ms(0) + term, |_| true), "C is dead");
 }
 
-// An evicted holder lags behind the log and asks on. A lessor that has folded
-// the eviction must not take it for a new holder.
+// Guards against an evicted holder that lags behind the log and is taken for a new holder.
 #[test]
 fn dead_holder_is_refused() {
     let mut lessor = lessor(A);
@@ -287,8 +281,7 @@
     assert_eq!(lessor.votes().count(), 0);
 }
 
-// After a change of lessors the old ones hear nothing and vote. A member that
-// has folded the change must not count votes by the old version.
+// Guards against an eviction by votes of a replaced lessor set: votes count only for their version.
 #[test]
 fn votes_count_for_their_own_version_only() {
     let mut tally = Tally::new(settings());
@@ -317,32 +310,30 @@
     assert_eq!((proof.votes, proof.lapsed), (vec![A], vec![B]));
 }
 
-// A member's lessor is replaced by one to which there is no connection yet. Proposed at once, the new
-// set would leave the member without lease until the connection is made, and its callers would be
-// refused. Asked beforehand, it is proposed once it grants, and the lease goes on.
+// Guards against a lease gap when a new lessor has no connection yet: a new set is proposed only
+// after its members have granted.
 #[test]
 fn an_exchange_of_lessors_that_were_asked_before_keeps_the_lease() {
     let mut unprepared = holder(&[A, B]);
     renew(&mut unprepared, ms(100), &[A, B], 10);
     unprepared.propose(&[C, D]);
-    assert!(!unprepared.holds(ms(200)), "what the exchange costs otherwise");
+    assert!(!unprepared.holds(ms(200)), "an unprepared exchange interrupts the lease");
 
     let mut holder = holder(&[A, B]);
     renew(&mut holder, ms(100), &[A, B], 10);
     holder.prepare(&[C, D]);
     assert!(!holder.ready(ms(150), &[C, D]));
-    assert!(holder.holds(ms(150)), "those that are only asked are not needed");
+    assert!(holder.holds(ms(150)), "prepared lessors are not required yet");
     renew(&mut holder, ms(500), &[A, B, C, D], 10);
     assert!(holder.ready(ms(510), &[C, D]));
     holder.propose(&[C, D]);
     assert!(holder.holds(ms(520)));
-    // What was granted long ago is no reason to propose.
+    // An expired grant does not make a set ready.
     assert!(!holder.ready(ms(1600), &[C, D]));
 }
 
-// Two of a member's three lessors are lost at once. Once the log says so it knows that it never gets a
-// lease again, and need not wait half a minute; while its lease runs it serves on. With one lost
-// lessor it goes on, and one that has no lessors yet waits for some.
+// Guards against a member that waits for a lease it can never regain: once its lease has ended and
+// a majority of a lessor set is dead, the quorum is lost for good.
 #[test]
 fn a_member_whose_lessors_are_dead_is_orphaned() {
     let mut holder = holder(&[A, B, C]);
@@ -351,21 +342,20 @@
     assert!(!holder.quorum_lost(ms(200), |id| id == C), "the lease runs");
     assert!(!holder.quorum_lost(after, |id| id != A), "a majority lives");
     assert!(holder.quorum_lost(after, |id| id == C));
-    // A later set helps nothing: the old one cannot be superseded.
+    // A later set does not help: the old one cannot be superseded.
     holder.install(20, &[B, C, D], |id| id == C);
     assert!(holder.quorum_lost(after, |id| id == C || id == D));
     assert!(!Holder::new(H, ms(0), settings()).quorum_lost(after, |_| false));
 }
 
-// An upstream was told to hold a unit until the lease ends, three of its lessors' grants long. New
-// lessors have granted too, to renewals that were sent before. Were they proposed now, the lease would
-// end earlier, and their votes could give the unit to another upstream while this one still holds it.
+// Guards against a new lessor set that shortens the lease already promised to the upstream, which
+// could let another upstream get the unit while this one still holds it.
 #[test]
 fn lessors_whose_grants_are_older_are_not_proposed_yet() {
     let mut holder = holder(&[A, B]);
     holder.prepare(&[C, D]);
     renew(&mut holder, ms(100), &[A, B, C, D], 10);
-    assert!(holder.ready(ms(110), &[C, D]), "as long as the present ones");
+    assert!(holder.ready(ms(110), &[C, D]), "their grants last as long as the current ones");
     let renewals = holder.due(ms(500));
     for lessor in [A, B] {
         holder.handle_grant(ms(510), lessor, seq_to(&renewals, lessor), true, 10);
@@ -380,8 +370,8 @@
     assert!(holder.until() >= Some(until), "what was promised stands");
 }
 
-// All VMs start anew, and two do not come back. A newcomer that got them as lessors hears nothing
-// from them, while the third one answers: it is to know which ones to do without.
+// Guards against a joining member that keeps lessors which never answer: they are reported as
+// unresponsive.
 #[test]
 fn lessors_that_never_answer_are_silent() {
     let mut holder = holder(&[A, B, C]);
@@ -391,10 +381,10 @@
     assert_eq!(holder.unresponsive(), [A, B]);
 }
 
-/// Time for which a lessor without processor keeps its answers, twice the pause before a renewal is repeated.
+/// Delay of a slow lessor's answers in milliseconds, twice the pause before a renewal is repeated.
 const ANSWER_DELAY_MS: u64 = 400;
 
-/// Times of members that give processes a second of patience.
+/// Settings with a longer term and a shorter pause before a renewal is repeated.
 fn long_term_settings() -> LeaseSettings {
     LeaseSettings {
         interval: Duration::from_millis(700),
@@ -410,10 +400,8 @@
     holder
 }
 
-// Most members have a tenth of a core, and their answers to renewals wait for it. Each answer that took
-// longer than the pause of a moment meant a new connection, a handshake for both ends, which gave up the
-// one that worked and all that ran on it. So the lessor got slower still: 104 leases were lost in half a
-// minute in which no lessor was, and 22,424 connections were given up.
+// Guards against a reconnection to a lessor that is slow but alive: each handshake would slow it
+// further until leases are lost.
 #[test]
 fn a_lessor_that_is_slow_to_answer_keeps_its_connection() {
     let mut holder = long_term_holder();
@@ -442,8 +430,8 @@
     assert!(sent < 3 + 10_000 / 700, "{sent} renewals");
 }
 
-// The same lessor is then cut off for good. A connection that has died is still to be replaced before the
-// lease is over.
+// Guards against a lease lost to a dead connection of a slow lessor: it is replaced before the
+// lease ends.
 #[test]
 fn a_slow_lessor_that_falls_silent_is_asked_on_a_new_connection_in_time() {
     let mut holder = long_term_holder();
--- a/acaciaring_core/tests/lease_promise.rs
+++ b/acaciaring_core/tests/lease_promise.rs
@@ -1,4 +1,4 @@
-//! What a holder has promised until the end of its lease stands through any exchange of lessors.
+//! Checks that a lessor change never shortens a lease that the holder has promised to its upstream.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use acaciaring_core::{MemberId, Time};
 use proptest::prelude::*;
 
-/// Members of which the sets are made.
+/// Number of members from which lessor sets are drawn.
 const LESSORS: usize = 6;
 
 /// One step of a schedule.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Time passes, and the renewals that are due are granted by some lessors.
+    /// Time passes, and the marked lessors grant the renewals that are due.
     Renew { millis: u64, grants: [bool; LESSORS] },
-    /// Three lessors, counted from one of them, are proposed if they are ready, else asked.
+    /// Three consecutive lessors are proposed if they are ready, or else prepared.
     Exchange { first: usize },
-    /// What is proposed is read back.
+    /// The proposed set is read back from the log.
     ReadBack,
 }
 
@@ -27,7 +27,7 @@
     prop_oneof![4 => renew, 2 => exchange, 1 => Just(Step::ReadBack)]
 }
 
-/// Returns three of the lessors in order, counted from one of them.
+/// Returns three consecutive lessors from the given index, sorted by id.
 fn set(first: usize) -> Vec<MemberId> {
     let mut ids: Vec<u64> = (1..).take(LESSORS).collect();
     ids.rotate_left(first);
@@ -36,8 +36,8 @@
     ids.into_iter().map(MemberId).collect()
 }
 
-// Upstreams hold units until the end of the lease as it was when they reported. Whatever the order of
-// grants and exchanges, the end never moves back while the lease holds.
+// Upstreams hold units until the lease end known at their last report, so the end must never move
+// back while the lease holds.
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
     #[test]
--- a/acaciaring_core/tests/lease_schedule.rs
+++ b/acaciaring_core/tests/lease_schedule.rs
@@ -1,4 +1,4 @@
-//! Random schedules: a majority of votes never meets a lease that holds.
+//! Checks on random schedules that no majority of votes exists while the lease holds.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
 const FIRST: Offset = 100;
 const SECOND: Offset = 200;
 const LESSORS: usize = 5;
-/// Clock rates within `margin / term`, as thousandths of real time.
+/// Clock rates within `margin / term`, in thousandths of real time.
 const CLOCK_RATES: std::ops::RangeInclusive<u64> = 965..=1035;
 
-/// One event at one process after a span of real time.
+/// Event at one process after a span of real time.
 #[derive(Debug, Clone)]
 enum Event {
-    /// The holder sends what is due; `true` marks the lessors that the renewal reaches.
+    /// The holder sends the renewals due; `true` marks the lessors that receive theirs.
     Renew([bool; LESSORS]),
-    /// A lessor handles the oldest or the newest renewal that has reached it.
+    /// A lessor handles the oldest or the newest renewal received.
     Grant { lessor: usize, newest: bool },
-    /// An answer reaches the holder.
+    /// The holder receives a lessor's answer.
     Answer { pick: usize },
-    /// A lessor votes if it may.
+    /// A lessor votes if its grant has expired.
     Vote { lessor: usize },
-    /// A lessor folds the records up to the second set.
+    /// A lessor folds the log up to the second set.
     Fold { lessor: usize },
-    /// The holder proposes the second set, appends it, or reads it back.
+    /// The holder proposes the second set, the log appends it, or the holder reads it back.
     Change,
 }
 
@@ -47,15 +47,15 @@
     (prop_oneof![60 => 0_u64..30, 1 => 0_u64..1500], kind)
 }
 
-/// Clocks, messages in flight and the log, around the types under test.
+/// Clocks, messages in flight and the log around the holder and its lessors.
 struct Simulation {
     elapsed: u64,
     rates: Vec<u64>,
     holder: Holder,
     lessors: Vec<Lessor>,
-    /// Renewals on their way: lessor, number, version.
+    /// Renewals in flight: lessor, sequence number, version.
     renewals: Vec<(usize, u64, Offset)>,
-    /// Answers on their way: lessor, number, granted, version.
+    /// Answers in flight: lessor, sequence number, granted, version.
     answers: Vec<(usize, u64, bool, Offset)>,
     tally: Tally,
     stage: u32,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Returns the time on the clock of a lessor, or of the holder for `LESSORS`.
+    /// Returns the clock of a lessor, or of the holder for `LESSORS`.
     fn clock(&self, process: usize) -> Time {
         Time::from_start(Duration::from_micros(self.elapsed * self.rates[process]))
     }
@@ -168,7 +168,7 @@
         self.answers.push((lessor, seq, grant.granted, grant.version));
     }
 
-    /// Returns true unless a majority of votes by some set on record meets a lease.
+    /// Returns false if some recorded set has a majority of votes while the lease holds.
     fn lease_is_exclusive(&mut self) -> bool {
         let recorded = if self.stage >= 2 { 2 } else { 1 };
         let now = self.clock(LESSORS);
@@ -181,9 +181,8 @@
     }
 }
 
-// Renewals, grants and votes are lost, held up and overtaken, clocks drift,
-// processes pause, and the lessor set changes on the way. Whenever a majority
-// has voted the holder must know that its lease is over.
+// Guards against an eviction while the lease holds, with lost, delayed and reordered messages,
+// clock drift, pauses and a lessor change.
 #[test]
 fn majority_of_votes_never_meets_a_lease() {
     let config = ProptestConfig { cases: 1000, failure_persistence: None, ..Default::default() };
--- a/acaciaring_core/tests/orders.rs
+++ b/acaciaring_core/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Stories of an upstream that is told by orders what to hold.
+//! Tests of the orders by which a member grants units to its upstream and releases them.
 
 use std::time::Duration;
 
@@ -8,7 +8,6 @@
 
 const HOLD: Duration = Duration::from_secs(3);
 
-/// Keys of a slot.
 const KEYS_PER_SLOT: u32 = 16;
 
 fn at(millis: u64) -> Time {
@@ -33,19 +32,20 @@
     Answer::Done { handover: "".into() }
 }
 
-/// Decides with a lease that is long enough and nothing in flight.
+/// Decides on orders under a long lease with no request in flight.
 fn decide(orders: &mut Orders, now: Time) -> Vec<Issued> {
     orders.decide(now, now + HOLD * 3, |_, _| true)
 }
 
-/// Answers each order after a millisecond.
+/// Completes each order one millisecond after `now`.
 fn answer(orders: &mut Orders, now: Time, issued: &[Issued], answer: &Answer) {
     for issued in issued {
         orders.complete(now + Duration::from_millis(1), issued.number, answer).expect("under way");
     }
 }
 
-/// Returns the record of an upstream that holds slots 1 and 2 since one second, the former process's time over.
+/// Returns the orders of an upstream that was granted slots 1 and 2 at 4 s, after every hold of a
+/// former process has expired.
 fn established() -> Orders {
     let mut orders = Orders::new(at(0), HOLD);
     orders.report(at(0), &incarnation(1), 1);
@@ -54,7 +54,7 @@
     orders
 }
 
-/// Grants what is due over a new connection.
+/// Grants the units due over a new connection.
 fn connect(orders: &mut Orders, now: Time) {
     let issued = decide(orders, now);
     answer(orders, now, &issued, &Answer::Unconnected);
@@ -81,15 +81,14 @@
     orders.set_wanted(&[wanted(1, 7)]);
     let issued = decide(&mut orders, at(0));
     assert_eq!(ranges(&issued), [(16, 31)]);
-    assert!(!serves(&orders, at(1), 1, 7), "the order is on its way");
+    assert!(!serves(&orders, at(1), 1, 7), "the order is in flight");
     answer(&mut orders, at(1), &issued, &done());
     assert!(serves(&orders, at(3), 1, 7));
     assert!(!serves(&orders, at(3), 1, 9), "not under another token");
     assert!(decide(&mut orders, at(4)).is_empty(), "nothing is due");
 }
 
-/// A member owns many neighbouring slots under one token. A call for each would cost it a good part of
-/// its processor; one call bears them all, and one more a neighbour under another token.
+/// Guards against one call per slot: adjacent slots under the same token share an order.
 #[test]
 fn neighbours_under_one_token_are_one_order() {
     let mut orders = Orders::new(at(0), HOLD);
@@ -99,8 +98,8 @@
     assert_eq!(ranges(&issued), [(0, 799), (800, 815), (960, 975)]);
 }
 
-/// The lease of the member ends while an order is under way: it arrives as late as it may, and the upstream
-/// counts from then, on a slow clock. Another member takes over at the end of the lease.
+/// Guards against a hold that outlasts the member's lease when the order arrives at its deadline
+/// and the upstream's clock is slow.
 #[test]
 fn a_grant_ends_with_the_lease_wherever_it_was_held_up() {
     let mut orders = Orders::new(at(0), HOLD);
@@ -114,8 +113,7 @@
     assert!(orders.decide(at(1990), lease, |_, _| true).is_empty(), "too little is left");
 }
 
-/// The answer to a renewal is lost, and so is the next one.
-/// The keys must not be without server for that: there is time for a third.
+/// Guards against an outage when two answers to a renewal are lost: there is time for a third.
 #[test]
 fn a_grant_is_renewed_while_two_answers_may_be_lost() {
     let mut orders = established();
@@ -134,9 +132,8 @@
     assert!(serves(&orders, at(4000) + HOLD, 1, 7), "past the end of the first grant");
 }
 
-/// A grant gets no answer. The unit moves on, and the release is answered.
-/// The grant is carried out after that, and its time counts from its arrival: until that is over nobody
-/// else may have the unit.
+/// Guards against a unit freed by a release while an earlier unanswered grant may still take
+/// effect, with its hold counted from arrival.
 #[test]
 fn an_order_without_answer_counts_as_held_after_a_release() {
     let mut orders = established();
@@ -167,8 +164,7 @@
     assert!(serves(&orders, at(4102), 2, 7), "its neighbour under the same grant goes on");
 }
 
-/// A block of slots moves while one of them has a long request.
-/// The others must not wait for it; its own slot is released once it has ended.
+/// Guards against a long request that delays the release of other slots: only its own slot waits.
 #[test]
 fn a_long_request_holds_up_its_own_unit_only() {
     let mut orders = established();
@@ -199,8 +195,8 @@
     assert_eq!(ranges(&issued), [(16, 47)], "then both are one range");
 }
 
-/// The upstream has seen a higher token on one of the keys of a range: this member lags behind.
-/// It must not order again under the same token on that key; the other keys are not to suffer.
+/// Guards against repeated orders under a superseded token; the other keys of the range are still
+/// granted.
 #[test]
 fn a_key_with_a_higher_token_is_not_ordered_again() {
     let mut orders = Orders::new(at(0), HOLD);
@@ -209,7 +205,7 @@
     assert_eq!(ranges(&issued), [(16, 47)]);
     answer(&mut orders, at(0), &issued, &Answer::Superseded);
     let issued = decide(&mut orders, at(2));
-    assert_eq!(ranges(&issued), [(16, 31), (32, 47)], "each by itself");
+    assert_eq!(ranges(&issued), [(16, 31), (32, 47)], "each slot separately");
     orders.complete(at(3), issued[0].number, &Answer::Superseded);
     orders.complete(at(3), issued[1].number, &done());
     assert!(serves(&orders, at(4), 2, 7));
@@ -223,7 +219,7 @@
     assert_eq!(ranges(&decide(&mut orders, at(9_000))), [(16, 31)], "under the next token");
 }
 
-/// An order is refused as it stands. It is given again, but not at once and in a loop.
+/// Guards against a retry loop of a rejected order.
 #[test]
 fn a_rejected_order_is_retried_after_a_delay() {
     let mut orders = Orders::new(at(0), HOLD);
@@ -234,8 +230,8 @@
     assert_eq!(decide(&mut orders, at(1100)).len(), 1);
 }
 
-/// The server crashes and starts again under its name. A report of the life before comes late.
-/// The new life holds nothing and must get its keys under higher tokens; the late report changes nothing.
+/// Guards against a restarted server that keeps old tokens: it holds nothing and gets higher ones.
+/// A late report of the former incarnation changes nothing.
 #[test]
 fn another_start_under_the_same_name_gets_its_keys_under_higher_tokens() {
     let mut orders = established();
@@ -244,7 +240,7 @@
     assert!(!serves(&orders, at(6000), 1, 7));
     assert_eq!(orders.report(at(6010), &incarnation(1), 99), ReportOutcome::Stale);
     assert_eq!(orders.incarnation(), Some(&incarnation(2)));
-    // An order was under way. What the life before has answered says nothing of this one.
+    // An answer of the former incarnation to an order in flight says nothing about this one.
     orders.complete(at(6100), under_way.number, &done());
     assert!(!serves(&orders, at(6101), 1, 7));
     let issued = decide(&mut orders, at(6200));
@@ -252,14 +248,14 @@
     assert!(issued[0].order.token > under_way.order.token);
 }
 
-/// The server ends and starts again between two reports, so that no report has told of it.
-/// The connections end with it. An order over a new one must have a higher token than all before.
+/// Guards against a restart between two reports: the connections end with it, so an order over a
+/// new one needs a higher token than all before.
 #[test]
 fn an_order_over_a_new_connection_has_a_higher_token() {
     let mut orders = established();
     let now = at(4000) + HOLD / 2;
     let issued = decide(&mut orders, now);
-    assert!(!issued[0].may_connect, "a kept connection leads to the same start");
+    assert!(!issued[0].may_connect, "an existing connection leads to the same incarnation");
     answer(&mut orders, now, &issued, &Answer::Unconnected);
     let again = decide(&mut orders, now);
     assert!(again[0].may_connect);
@@ -268,8 +264,7 @@
     assert!(again[0].order.token.0 < next.0 << 20, "below the next assignment's");
 }
 
-/// A release without answer is carried out late, after the unit has come back under a newer token.
-/// The server refuses requests for it; it is granted again at once.
+/// Guards against a unit that stays refused after a delayed release: it is granted again at once.
 #[test]
 fn a_unit_that_the_upstream_denies_is_granted_again() {
     let mut orders = established();
@@ -282,8 +277,8 @@
     assert!(serves(&orders, at(4202), 1, 7));
 }
 
-/// A process starts anew beside a living server: it does not know what the former one has ordered.
-/// Everything counts as held until the longest grant has surely ended.
+/// Guards against a restarted process that treats units as free while grants of the former process
+/// may still hold.
 #[test]
 fn a_process_that_starts_anew_counts_all_as_held() {
     let orders = Orders::new(at(0), HOLD);
@@ -291,8 +286,7 @@
     assert!(!may_hold(&orders, at(0) + HOLD.mul_f64(1.04), 1));
 }
 
-/// A hot key is split out of its slot and moves while the rest of the slot stays.
-/// The rest goes on under the grant that it has; only the key is released.
+/// Guards against a release of the whole slot when a hot key split from it moves.
 #[test]
 fn a_key_that_is_split_out_is_released_by_itself() {
     let mut orders = established();
@@ -310,7 +304,7 @@
     assert!(serves(&orders, at(4202), 1, 7));
 }
 
-/// Orders that stay without answer take all places for grants. Releases must not wait for them.
+/// Guards against unanswered grants that use up the concurrency limit and delay releases.
 #[test]
 fn grants_without_answer_do_not_hold_up_releases() {
     let mut orders = Orders::new(at(0), HOLD);
@@ -323,14 +317,14 @@
         answer(&mut orders, at(10), &issued, &done());
     }
     let unanswered = decide(&mut orders, at(10) + HOLD / 2);
-    assert!(unanswered.len() < separate.len(), "only so many at once");
+    assert!(unanswered.len() < separate.len(), "concurrent grants are limited");
     orders.set_wanted(&separate[..20]);
     let issued = decide(&mut orders, at(20) + HOLD / 2);
     assert!(issued.iter().any(|issued| issued.order.action == Action::Release));
 }
 
-/// The server starts again and is granted its keys over a new connection before it reports.
-/// Its report does not mean that it holds nothing: while it may, nobody else gets the keys.
+/// Guards against a unit freed by the first report of a restarted server to which it was granted
+/// before that report.
 #[test]
 fn what_was_granted_before_the_first_report_counts_as_held() {
     let mut orders = established();
--- a/acaciaring_core/tests/orders_schedule.rs
+++ b/acaciaring_core/tests/orders_schedule.rs
@@ -1,4 +1,4 @@
-//! Random schedules of orders: what an upstream really holds against what its member believes.
+//! Compares, on random schedules, the holds of an upstream with its member's view of them.
 
 use std::time::Duration;
 
@@ -10,31 +10,31 @@
 
 const HOLD: Duration = Duration::from_secs(3);
 
-/// Slots of the service, with 16 keys each.
+/// Slots of the service, each with 16 keys.
 const SLOTS: u32 = 6;
 
-/// Clock of an upstream runs slow by this.
+/// Factor by which a hold lasts longer on the upstream's slow clock.
 const SLOW_CLOCK_FACTOR: f64 = 1.02;
 
-/// What happens to an order.
+/// Outcome of sending an order.
 #[derive(Debug, Clone, Copy)]
 enum Delivery {
     Answered,
-    /// Carried out, and its answer is lost.
+    /// Executed, but the answer is lost.
     AnswerLost,
-    /// Arrives, and is carried out after so many milliseconds.
+    /// Arrives, and is executed after this many milliseconds.
     Delayed(u64),
     Lost,
 }
 
-/// What happens next.
+/// Step of a schedule.
 #[derive(Debug, Clone)]
 enum Event {
     Advance(u64),
-    /// The member is to serve these slots, each under a new token where it did not before.
+    /// The member is to serve these slots, each newly wanted one under a new token.
     SetWanted(Vec<bool>),
     Orders(Vec<Delivery>),
-    /// The upstream starts again under its name, with or without a report of it.
+    /// The upstream restarts under its name, with or without a report.
     Restart(bool),
 }
 
@@ -56,18 +56,18 @@
     ]
 }
 
-/// Upstream as it really is: for each slot the highest token seen and the end of its hold.
+/// State of the upstream: for each slot the highest token seen and the end of its hold.
 #[derive(Debug, Clone)]
 struct Upstream {
     seen: Vec<Token>,
     until: Vec<Time>,
-    /// For each slot the highest token that a former life had.
+    /// For each slot the highest token seen by former incarnations.
     former: Vec<Token>,
     generation: u64,
 }
 
 impl Upstream {
-    /// Carries out an order that arrived at a time; the slots it concerns are whole.
+    /// Executes an order that arrived at `arrived` and covers whole slots.
     fn execute(&mut self, now: Time, issued: &Issued, arrived: Time) -> Answer {
         let slots = (issued.order.first / 16) as usize..=(issued.order.last / 16) as usize;
         match &issued.order.action {
@@ -85,7 +85,7 @@
                     for slot in slots {
                         assert!(
                             token > self.former[slot],
-                            "slot {slot} under a token of a life before"
+                            "slot {slot} granted under a token of a former incarnation"
                         );
                         self.seen[slot] = token;
                         self.until[slot] = self.until[slot].max(until);
@@ -97,7 +97,7 @@
     }
 }
 
-/// Plays a schedule and checks after each step that nothing is held that is believed free.
+/// Runs a schedule and checks after each step that no held slot is considered free.
 fn run_schedule(events: Vec<Event>) {
     let mut now = Time::from_millis(60_000);
     let mut orders = Orders::new(Time::ZERO, HOLD);
@@ -167,7 +167,7 @@
                 upstream.until.clone_from(&no_holds);
                 connected = false;
                 delayed.clear();
-                // An upstream takes its time to start.
+                // Time of the restart.
                 now = now + Duration::from_millis(150);
                 if reports {
                     orders.report(now, &incarnation(upstream.generation), 1);
@@ -183,7 +183,7 @@
         for slot in 0..SLOTS {
             let held = now < upstream.until[slot as usize];
             let believed = orders.may_hold(now, &wanted(slot, 0).keys);
-            assert!(believed || !held, "slot {slot} is held, and believed free");
+            assert!(believed || !held, "slot {slot} is held but considered free");
         }
     }
 }
@@ -205,8 +205,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Orders get lost, stay without answer and are carried out late, the upstream starts again, units
-    /// come and go. What a member believes to be free is free, and each life gets higher tokens.
+    /// Guards against a held slot that the member considers free, and against tokens reused after a
+    /// restart, with lost, unanswered and delayed orders, restarts and moving units.
     #[test]
     fn nothing_is_held_that_is_believed_free(events in prop::collection::vec(event(), 1..120)) {
         assert!(ORDER_TIMEOUT < HOLD);
--- a/acaciaring_core/tests/ownership_schedule.rs
+++ b/acaciaring_core/tests/ownership_schedule.rs
@@ -1,5 +1,5 @@
-//! Random schedules of processes that are killed, start again, leave and lose their leases: no two
-//! upstreams hold one unit.
+//! Simulates random schedules of process crashes, restarts, departures and lease losses, and checks
+//! that no two upstreams hold the same unit.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -19,14 +19,16 @@
 const VMS: usize = 4;
 const SLOTS: u32 = 3;
 
-/// Steps of one schedule, and schedules.
+/// Steps in one schedule.
 const STEPS: usize = 3000;
+
+/// Number of schedules, one per seed; the environment variable `SEEDS` overrides it.
 const SCHEDULES: u64 = 2000;
 
-/// Most records on their way to the log.
+/// Number of appends in flight at which no further switchover is proposed.
 const MAX_APPENDS: usize = 6;
 
-/// What a process waits to read back.
+/// Kind of a pending proposal that a process has not read back from the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Purpose {
     Join,
@@ -39,7 +41,7 @@
     Assign,
 }
 
-/// Record on its way, or in the log.
+/// Encoded record, in flight or in the log.
 #[derive(Debug, Clone)]
 struct Entry {
     number: u64,
@@ -47,7 +49,7 @@
     text: String,
 }
 
-/// Identity of a process that has joined.
+/// Membership of a process whose join record has been folded.
 struct Identity {
     me: MemberId,
     holder: Holder,
@@ -58,7 +60,7 @@
     renounced: Vec<(UnitId, Offset)>,
 }
 
-/// Process beside an upstream.
+/// Process running beside an upstream.
 struct Process {
     nonce: u64,
     applied: usize,
@@ -66,7 +68,7 @@
     identity: Option<Identity>,
 }
 
-/// What an upstream holds, under which token, and by which identity.
+/// Units held by an upstream, each with its token and the member that granted it.
 type Held = BTreeMap<UnitId, (Token, MemberId)>;
 
 struct Vm {
@@ -76,7 +78,7 @@
     draining: bool,
 }
 
-/// Release on its way.
+/// Release message in flight.
 #[derive(Debug, Clone, Copy)]
 struct Release {
     from: MemberId,
@@ -94,9 +96,9 @@
     releases: Vec<Release>,
     vms: Vec<Vm>,
     last_number: u64,
-    /// Highest token under which each unit was held, and at which VM.
+    /// Last token under which each unit was held, and the VM that held it.
     tokens: BTreeMap<UnitId, (Token, usize)>,
-    /// Identities that hold no lease any more, by which nothing is held.
+    /// Members whose lease has ended for good and under which no unit is held.
     ended: BTreeSet<MemberId>,
     trace: Vec<String>,
     grants: usize,
@@ -147,7 +149,7 @@
         simulation
     }
 
-    /// Lets a process do all that it can without others.
+    /// Lets a process join, attach and fold the whole log, with all appends delivered.
     fn catch_up(&mut self, vm: usize) {
         for _ in 0..6 {
             self.join_or_attach(vm);
@@ -212,15 +214,16 @@
         }
     }
 
-    /// Notes that an identity has ended or lost its lease for good.
+    /// Records that a member has ended or lost its lease for good.
     fn record_lease_end(&mut self, vm: usize, me: MemberId) {
-        // Votes on a member come a term after it joined, when what was granted before is over as well.
+        // Lessors vote on a member at least one term after it joined, so holds that its VM had from
+        // earlier members have expired by then.
         if self.vms[vm].held.values().all(|(_, by)| *by > me) {
             self.ended.insert(me);
         }
     }
 
-    /// Lets what is held by a lease that is over lapse.
+    /// Expires the holds whose lease has ended, and updates the set of ended members.
     fn expire_holds(&mut self, vm: usize) {
         let live = self.vms[vm].process.as_ref().and_then(|process| process.identity.as_ref());
         let live = live.filter(|identity| identity.leased).map(|identity| identity.me);
@@ -228,10 +231,10 @@
             self.vms[vm].held.values().map(|(_, by)| *by).filter(|by| Some(*by) != live).collect();
         self.vms[vm].held.retain(|_, (_, by)| Some(*by) == live);
         if !lapsed.is_empty() {
-            self.trace.push(format!("holds of {lapsed:?} at vm {vm} lapse"));
+            self.trace.push(format!("holds of {lapsed:?} at vm {vm} expire"));
         }
         self.ended.extend(lapsed);
-        // What never held anything is over as well.
+        // Members under which nothing is held, and which have no lease, have ended as well.
         let members = self.states.last().expect("one").members().map(|member| member.id);
         let active: BTreeSet<MemberId> = self
             .vms
@@ -260,7 +263,7 @@
         let ended: Vec<MemberId> =
             members.filter(|id| !active.contains(id) && !newer(id)).collect();
         let joining = |id: &MemberId| {
-            // A member whose process has not read its own record yet may still get a lease.
+            // A member whose process has not folded its own join record may still obtain a lease.
             self.vms.iter().any(|vm| {
                 let process = vm.process.as_ref();
                 process.is_some_and(|process| {
@@ -273,7 +276,7 @@
         self.ended.extend(ended);
     }
 
-    /// Returns the member that the start of a process became, by the whole log or what it has read.
+    /// Returns the member with a nonce, by the whole log or by the first `applied` records.
     fn member_of(&self, nonce: u64, applied: usize, whole: bool) -> Option<MemberId> {
         let state = if whole { self.states.last()? } else { &self.states[applied] };
         state.members().find(|member| member.nonce == nonce).map(|member| member.id)
@@ -323,7 +326,7 @@
         true
     }
 
-    /// Lets a process join anew.
+    /// Ends the membership of a process, which then joins under a new nonce.
     fn end_identity(&mut self, vm: usize, me: MemberId) {
         self.last_number += 1;
         let nonce = self.last_number;
@@ -371,7 +374,7 @@
         self.propose(vm, Purpose::Attach, Body::Attach(attach));
     }
 
-    /// Returns the units with their assignments as a process knows them.
+    /// Returns the units and their assignments in the state folded by a process.
     fn units(&self, vm: usize) -> Vec<(UnitId, Assignment)> {
         let service = self.state(vm).service(WORKSPACE);
         service.into_iter().flat_map(|service| service.units().map(|(u, a)| (u, *a))).collect()
@@ -394,7 +397,7 @@
         }
     }
 
-    /// Answers a report of the upstream: it lets go what is not granted, and holds what is.
+    /// Answers a report of the upstream, which drops units not granted and holds those granted.
     fn report(&mut self, vm: usize) -> Result<(), String> {
         let Some(process) = &self.vms[vm].process else { return Ok(()) };
         let Some(identity) = process.identity.as_ref().filter(|identity| identity.leased) else {
@@ -417,13 +420,15 @@
         for (unit, (token, _)) in &next {
             let other = (0..VMS).find(|n| *n != vm && self.vms[*n].held.contains_key(unit));
             if let Some(other) = other {
-                return Err(format!("vm {vm} holds {unit} beside vm {other}"));
+                return Err(format!("vm {vm} holds {unit} while vm {other} still holds it"));
             }
             if let Some((last, at)) = self.tokens.get(unit)
                 && *at != vm
                 && *token <= *last
             {
-                return Err(format!("vm {vm} holds {unit} under {token:?}, vm {at} {last:?}"));
+                return Err(format!(
+                    "vm {vm} holds {unit} under {token:?}, not above {last:?} of vm {at}"
+                ));
             }
             if self.tokens.get(unit).is_none_or(|(_, at)| *at != vm) {
                 self.transfers += 1;
@@ -531,7 +536,7 @@
         self.propose(vm, Purpose::Handoff, Body::Handoff(handoff));
     }
 
-    /// Lets a process whose upstream is leaving go on with its leave.
+    /// Advances the departure of a process whose upstream is draining.
     fn leave(&mut self, vm: usize) {
         let Some(me) = self.me(vm) else { return };
         let phase = self.state(vm).member(me).map(|member| member.phase);
@@ -580,7 +585,8 @@
         self.propose(vm, Purpose::Leave, Body::Leave(Leave { member: me.0, applied }));
     }
 
-    /// Returns whether the next owner has the release of a former one.
+    /// Returns whether the current owner serves the unit, so the former owner's release has
+    /// arrived.
     fn released(&self, me: MemberId, unit: UnitId, assignment: &Assignment) -> bool {
         let _ = (me, unit);
         let owner = assignment.owner;
@@ -601,12 +607,12 @@
         identity.leased = false;
         let me = identity.me;
         self.trace.push(format!("{me} at vm {vm} loses its lease"));
-        // A lease that was held outlasts all that was granted before.
+        // The lease outlasted every hold granted by earlier members on this VM.
         self.vms[vm].held.retain(|_, (_, by)| *by >= me);
         self.record_lease_end(vm, me);
     }
 
-    /// Lets a process that has lost its lease join anew in its own place.
+    /// Lets a process that has lost its lease rejoin as a new member at the same address.
     fn rejoin(&mut self, vm: usize) {
         let Some(process) = &self.vms[vm].process else { return };
         let Some(identity) = process.identity.as_ref().filter(|identity| !identity.leased) else {
@@ -620,7 +626,7 @@
         }
     }
 
-    /// Lets a process learn that a lease is over for good, or propose an eviction.
+    /// Lets a process learn that a lease has ended for good, or propose the eviction.
     fn evict(&mut self, vm: usize) {
         let Some(me) = self.me(vm) else { return };
         let ended: Vec<MemberId> = self.ended.iter().copied().collect();
@@ -635,7 +641,7 @@
             return;
         };
         if identity.expired.insert(subject) {
-            self.trace.push(format!("{me} learns that {subject} is over"));
+            self.trace.push(format!("{me} learns that the lease of {subject} has ended"));
             return;
         }
         if member.phase == Phase::Dead || self.pending(vm, Purpose::Evict) {
@@ -661,12 +667,12 @@
         }
     }
 
-    /// Lets the upstream end and another one start at its address.
+    /// Replaces the upstream by a new instance at the same address.
     fn replace_upstream(&mut self, vm: usize) {
-        self.trace.push(format!("upstream {vm} starts anew"));
+        self.trace.push(format!("upstream {vm} restarts as a new instance"));
         self.vms[vm].held.clear();
         self.vms[vm].instance += 1;
-        // Its process leaves for the former start, then joins for this one.
+        // The process leaves the cluster for the old instance before it joins for the new one.
         self.vms[vm].draining = self.me(vm).is_some_and(|me| {
             self.state(vm).member(me).is_some_and(|member| member.attachment.is_some())
         });
@@ -732,7 +738,8 @@
     }
 }
 
-/// Guards against two upstreams that hold one unit, and against a token that is not above all before it.
+/// Guards against two upstreams that hold the same unit, and against a unit that moves to another
+/// VM without a higher token.
 #[test]
 fn no_two_upstreams_hold_one_unit() {
     let seeds = std::env::var("SEEDS").ok().and_then(|text| text.parse().ok());
--- a/acaciaring_core/tests/rights.rs
+++ b/acaciaring_core/tests/rights.rs
@@ -1,4 +1,4 @@
-//! Stories of rights, releases and takeovers.
+//! Tests of which member may serve a unit across switchovers, releases and takeovers.
 
 use acaciaring_core::lease::{Holder, LeaseSettings};
 use acaciaring_core::rights::{Right, Rights};
@@ -10,7 +10,7 @@
 const T: MemberId = MemberId(3);
 const UNIT: UnitId = UnitId::slot(4);
 
-/// One process with a lease, and what it knows of others.
+/// Process with a lease and its view of the releases of others.
 struct Process {
     holder: Holder,
     rights: Rights,
@@ -72,8 +72,8 @@
     assert_eq!(owner.right_at(until, &first, &[]), Right::Wait);
 }
 
-// The log is down and the owner's VM is lost. The lessors' votes reach the
-// standby, which serves at once, and goes on when the eviction makes it owner.
+// Guards against a takeover that needs the log: with the owner's lease expired, the standby serves
+// at once, and continues when the eviction makes it owner.
 #[test]
 fn standby_takes_over_without_the_log() {
     let mut standby = Process::new(S);
@@ -86,8 +86,8 @@
     assert!(standby.serves(&assignment(S, T, None, 20, 20), &[]));
 }
 
-// A planned stop while the log is down: the owner releases to the standby and
-// must not serve again, also when a third member's eviction changes the version.
+// Guards against an owner that serves again after it released to its standby, also when another
+// member's eviction raises the version.
 #[test]
 fn released_owner_stays_out_over_changes_of_version() {
     let mut owner = Process::new(P);
@@ -105,9 +105,8 @@
     assert!(owner.serves(&replaced, &[]), "the standby is lost and the owner resumes");
 }
 
-// A server is told to stop, and its member renounces the units for which it stands by. Before the record
-// is in the log, a third member's eviction raises the version, and the owner, which stops too, releases
-// to it. Were it to serve, the owner would serve beside it once the record has named another standby.
+// Guards against a leaving standby that takes over because an eviction raised the version: it would
+// serve beside the owner once the log names another standby.
 #[test]
 fn a_leaving_standby_takes_over_under_no_version() {
     let mut standby = Process::new(S);
@@ -121,8 +120,8 @@
     assert!(standby.serves(&later, &[]), "the record was rejected and it stays");
 }
 
-// A switchover is recorded while the old owner still works off requests. The
-// new owner waits for the release, which counts under any version since.
+// Guards against a new owner that serves before the former one has released; a release counts under
+// any later version.
 #[test]
 fn new_owner_waits_for_the_former_one() {
     let mut new = Process::new(S);
@@ -134,8 +133,8 @@
     assert!(new.serves(&assignment(S, T, Some(P), 20, 25), &[]));
 }
 
-// The new owner dies right after a switchover, and the log is down. The former
-// owner is the standby now; that it released to the new owner is no hindrance.
+// Guards against a unit without server when the new owner dies after a switchover: the former owner
+// takes over as standby despite its release.
 #[test]
 fn former_owner_takes_back_as_standby() {
     let mut former = Process::new(P);
@@ -145,9 +144,8 @@
     assert!(former.serves(&moved, &[S]));
 }
 
-// The standby hands its role to a third member and the owner dies at once. The
-// third member takes over; the old standby, which has not read its own record
-// back, must not. It may again once the record is rejected for sure.
+// Guards against a takeover by a standby whose handoff record is in flight; it may take over again
+// once the record is rejected.
 #[test]
 fn standby_gives_up_its_role_before_the_record() {
     let mut standby = Process::new(S);
@@ -158,8 +156,8 @@
     assert!(standby.serves(&first, &[P]));
 }
 
-// The owner splits a hot key out, the answer is lost, and it is stopped. Were it
-// to release the slot now, it would own the hot key still once the record lands.
+// Guards against a slot released while a split is in flight: the owner would still own the hot key
+// once the record is appended.
 #[test]
 fn no_release_while_a_split_is_not_settled() {
     let mut owner = Process::new(P);
@@ -172,8 +170,8 @@
     assert!(owner.release(&first));
 }
 
-// Two switchovers in a row bring a unit back. What it served before must not
-// let the owner start beside the other one.
+// Guards against an owner that serves at once when a unit returns: its release ends the state of
+// having served.
 #[test]
 fn memory_of_serving_ends_with_the_release() {
     let mut owner = Process::new(P);
@@ -186,8 +184,8 @@
     assert!(owner.serves(&back, &[]));
 }
 
-// A standby that took over under votes is owner by record; then it moves the
-// unit back. As prior it must stop taking requests, though it served before.
+// Guards against a former standby that continues to serve as prior owner after it moved the unit
+// back.
 #[test]
 fn standby_that_moved_a_unit_back_stops() {
     let mut standby = Process::new(S);
@@ -195,8 +193,8 @@
     assert!(!standby.serves(&assignment(P, S, Some(S), 30, 30), &[]));
 }
 
-// The owner splits a hot key out of a slot whose former owner has released the
-// slot but knows nothing of the key yet. The key must be served on at once.
+// Guards against an outage of a key split from a slot when the former owner's release covers the
+// slot only.
 #[test]
 fn split_key_is_served_on() {
     let mut owner = Process::new(P);
@@ -214,9 +212,8 @@
     assert!(matches!(right(&mut owner), Right::Serve { .. }));
 }
 
-/// The owner's process is killed; its standby has taken over when the next process is put in the
-/// owner's place. Without a wait for the standby both would serve: the standby goes on until it
-/// reads of it.
+/// Guards against a restarted owner that serves beside the standby which took over from its former
+/// process: the standby serves until it folds the new assignment.
 #[test]
 fn owner_in_a_former_place_waits_for_the_standby_that_may_have_taken_over() {
     let before = assignment(P, S, None, 3, 3);
@@ -239,8 +236,8 @@
     assert!(Process::new(T).serves(&after, &[S]));
 }
 
-/// The standby's takeover was under a token above the owner's former one. The owner's next
-/// process must have a higher one still, or upstreams would refuse it and run old work.
+/// Guards against a restarted owner whose token is below the standby's takeover token: upstreams
+/// would refuse it and run stale requests.
 #[test]
 fn tokens_rise_over_a_takeover_and_the_return_of_the_owner() {
     let Right::Serve { token: takeover, .. } =
