--- a/acaciaring_core/tests/fold/documents.rs
+++ b/acaciaring_core/tests/fold/documents.rs
@@ -7,7 +7,7 @@
 
 use crate::support::{CONTRACTS, Log, encode, parameters, publish, retire, template};
 
-fn faulty(rejection: Rejection) -> bool {
+fn is_invalid(rejection: Rejection) -> bool {
     matches!(rejection, Rejection::Invalid { faults } if !faults.is_empty())
 }
 
@@ -32,9 +32,9 @@
 fn a_repeated_append_has_no_effect() {
     let mut log = Log::with_members(0);
     let entry = encode([7; 16], parameters(CONTRACTS, "contracts", 8, 0));
-    assert_eq!(log.entry(entry.clone()), Outcome::Applied);
+    assert_eq!(log.append_entry(entry.clone()), Outcome::Applied);
     let version = log.applied(parameters(CONTRACTS, "orders", 8, log.state.next() - 1));
-    assert_eq!(log.entry(entry), Outcome::Duplicate);
+    assert_eq!(log.append_entry(entry), Outcome::Duplicate);
     assert_eq!(log.state.document(Parameters, CONTRACTS).expect("published").version, version);
     assert!(log.state.is_recent(&[7; 16]));
     assert_eq!(log.state.skipped(), 1);
@@ -53,9 +53,9 @@
 fn a_rejected_record_stays_rejected() {
     let mut log = Log::default();
     let entry = encode([7; 16], parameters(CONTRACTS, "contracts", 8, 0));
-    assert!(matches!(log.entry(entry.clone()), Outcome::Rejected(_)));
+    assert!(matches!(log.append_entry(entry.clone()), Outcome::Rejected(_)));
     log.applied(template(0));
-    assert_eq!(log.entry(entry), Outcome::Duplicate);
+    assert_eq!(log.append_entry(entry), Outcome::Duplicate);
     assert!(log.state.routes().is_empty());
 }
 
@@ -66,11 +66,11 @@
     log.applied(parameters(CONTRACTS, "contracts", 8, 0));
     log.applied(parameters("orders", "orders", 8, 0));
     let broken = [("template", "name", "keyed"), ("route", "prefix", "/${prefix}")];
-    assert!(faulty(log.rejected(publish(DocumentKind::Template, "keyed", base, &broken))));
+    assert!(is_invalid(log.rejected(publish(DocumentKind::Template, "keyed", base, &broken))));
     // Without the parameter in it, both workspaces would get the same prefix.
     let Body::Publish(mut same) = template(base) else { unreachable!() };
     same.fields[1].value = "/same".to_owned();
-    assert!(faulty(log.rejected(Body::Publish(same.clone()))));
+    assert!(is_invalid(log.rejected(Body::Publish(same.clone()))));
     same.fields[1].value = "/v2-${prefix}".to_owned();
     log.applied(Body::Publish(same));
     let prefixes: Vec<_> = log.state.routes().values().map(|route| &*route.prefix).collect();
@@ -81,12 +81,12 @@
 fn routes_and_divisions_do_not_clash() {
     let mut log = Log::with_members(0);
     let base = log.applied(parameters(CONTRACTS, "contracts", 8, 0));
-    assert!(faulty(log.rejected(parameters("other", "contracts", 8, 0))));
-    assert!(faulty(log.rejected(parameters(CONTRACTS, "contracts", 9, base))));
+    assert!(is_invalid(log.rejected(parameters("other", "contracts", 8, 0))));
+    assert!(is_invalid(log.rejected(parameters(CONTRACTS, "contracts", 9, base))));
     let orphan = [("workspace", "template", "none"), ("workspace", "tenant", "korenveld")];
-    assert!(faulty(log.rejected(publish(DocumentKind::Parameters, "orphan", 0, &orphan))));
-    assert!(faulty(log.rejected(publish(DocumentKind::Unspecified, "x", 0, &[]))));
-    assert!(faulty(log.rejected(publish(DocumentKind::Template, "", 0, &[]))));
+    assert!(is_invalid(log.rejected(publish(DocumentKind::Parameters, "orphan", 0, &orphan))));
+    assert!(is_invalid(log.rejected(publish(DocumentKind::Unspecified, "x", 0, &[]))));
+    assert!(is_invalid(log.rejected(publish(DocumentKind::Template, "", 0, &[]))));
 }
 
 #[test]
@@ -120,7 +120,7 @@
     let assign = Body::Assign(Assign { workspace: CONTRACTS.to_owned(), slots: 0 });
     let gone = Rejection::UnknownService { workspace: CONTRACTS.into() };
     assert_eq!(log.rejected(assign.clone()), gone);
-    assert!(faulty(log.rejected(parameters(CONTRACTS, "contracts", 32, base))));
+    assert!(is_invalid(log.rejected(parameters(CONTRACTS, "contracts", 32, base))));
     let base = log.applied(parameters(CONTRACTS, "contracts", 16, base));
     assert_eq!(*log.service(), owners);
     assert_eq!(log.rejected(assign), Rejection::Assigned);
@@ -145,6 +145,6 @@
 fn a_template_without_users_is_checked() {
     let mut log = Log::default();
     let fields = [("template", "name", "spare"), ("route", "prefxi", "/spare")];
-    assert!(faulty(log.rejected(publish(DocumentKind::Template, "spare", 0, &fields))));
+    assert!(is_invalid(log.rejected(publish(DocumentKind::Template, "spare", 0, &fields))));
     assert!(log.state.document(Template, "spare").is_none());
 }
--- a/acaciaring_core/tests/fold/members.rs
+++ b/acaciaring_core/tests/fold/members.rs
@@ -145,15 +145,15 @@
 // abroad only; were it to keep them, it would serve nothing in the cut. Once its region has grown it
 // changes to lessors at home, one for one, and then stays with them.
 #[test]
-fn lessors_come_home_when_the_region_has_grown() {
+fn lessors_move_into_the_region_when_it_has_grown() {
     let mut log = Log::with_members(12);
     let first = log.join(4);
     let near: Vec<_> = [5, 6].into_iter().map(|centre| log.join(centre)).collect();
     let member = log.state.member(first).expect("known").clone();
-    let abroad = member.lessors.clone();
-    assert!(abroad.iter().all(|id| !near.contains(id)));
+    let remote = member.lessors.clone();
+    assert!(remote.iter().all(|id| !near.contains(id)));
     let better = log.state.better_lessors(&member).expect("two are at home");
-    assert_eq!(better, [abroad[0], near[0], near[1]]);
+    assert_eq!(better, [remote[0], near[0], near[1]]);
     log.applied(lessors(first, member.version, &better));
     let member = log.state.member(first).expect("known").clone();
     assert_eq!(log.state.better_lessors(&member), None);
@@ -259,9 +259,9 @@
 fn dead_members_are_forgotten_in_the_end() {
     let mut log = Log::with_members(8);
     let holder = log.state.members().last().expect("joined").clone();
-    let bare =
+    let without_lessors =
         |id: &MemberId| log.state.member(*id).is_some_and(|member| member.lessors.is_empty());
-    assert!(!holder.lessors.iter().any(bare));
+    assert!(!holder.lessors.iter().any(without_lessors));
     for lessor in &holder.lessors {
         log.applied(exit(*lessor));
     }
--- a/acaciaring_core/tests/fold/properties.rs
+++ b/acaciaring_core/tests/fold/properties.rs
@@ -105,9 +105,9 @@
         let known = &history[history.len().saturating_sub(1 + step.3)];
         let again = step.1 % 13 == 0;
         let outcome = match body(&log, known, *step) {
-            _ if again => log.entry(log.entries[step.2 % log.entries.len()].clone()),
+            _ if again => log.append_entry(log.entries[step.2 % log.entries.len()].clone()),
             Some(body) => log.append(body),
-            None => log.entry(step.1.to_le_bytes().to_vec()),
+            None => log.append_entry(step.1.to_le_bytes().to_vec()),
         };
         assert!(!again || matches!(outcome, Outcome::Duplicate | Outcome::Undecodable));
         *applied.entry(step.0).or_default() += usize::from(outcome.applied());
@@ -147,7 +147,7 @@
 
 /// Fills in for a check that would pass on logs in which nothing happens.
 #[test]
-fn random_logs_are_eventful() {
+fn random_logs_apply_records_of_every_kind() {
     let mut runner = proptest::test_runner::TestRunner::new(config());
     let strategy =
         prop::collection::vec((0_u8..32, any::<usize>(), any::<usize>(), 0_usize..6), 600);
@@ -193,7 +193,7 @@
     }
 
     #[test]
-    fn a_restored_state_folds_on_alike(steps in steps(), cut in any::<prop::sample::Index>()) {
+    fn a_restored_state_folds_identically(steps in steps(), cut in any::<prop::sample::Index>()) {
         let (log, _) = build(&steps);
         let mut state = State::default();
         let cut = cut.index(log.entries.len());
@@ -218,7 +218,7 @@
             entry.truncate(entry.len().max(2) - 1);
             let bytes = [entry.clone(), noise.clone()][index % 2].clone();
             let before = log.state.clone();
-            log.entry(bytes);
+            log.append_entry(bytes);
             check(&before, &log.state);
         }
         prop_assert_eq!(log.state.next(), log.next());
--- a/acaciaring_core/tests/fold/replica.rs
+++ b/acaciaring_core/tests/fold/replica.rs
@@ -7,13 +7,13 @@
 use acaciaring_schema::log::DocumentKind;
 use prost::Message;
 
-use crate::support::{CENTRES, Log, encode, join, publish, retire};
+use crate::support::{DATA_CENTRES, Log, encode, join, publish, retire};
 
 /// Appends the snapshot of an earlier state and returns the offset of its first chunk.
 fn snapshot(log: &mut Log, earlier: &Log, id: u8) -> Offset {
     let first = log.next();
     for record in chunk(&earlier.state, [id; 16], 200) {
-        assert_eq!(log.entry(record.encode_to_vec()), Outcome::Applied);
+        assert_eq!(log.append_entry(record.encode_to_vec()), Outcome::Applied);
     }
     first
 }
@@ -22,17 +22,17 @@
     Log { entries: log.entries.clone(), state: log.state.clone() }
 }
 
-fn published(log: &mut Log) -> Offset {
+fn publish_spare(log: &mut Log) -> Offset {
     log.applied(publish(DocumentKind::Template, "spare", 0, &[("template", "name", "spare")]))
 }
 
 #[test]
-fn proposers_learn_what_came_of_their_records() {
+fn proposers_learn_the_outcomes_of_their_records() {
     let mut log = Log::default();
     let entry = encode([7; 16], join(0));
-    log.entry(entry.clone());
-    log.entry(vec![0xff]);
-    log.entry(entry);
+    log.append_entry(entry.clone());
+    log.append_entry(vec![0xff]);
+    log.append_entry(entry);
     let mut replica = Replica::default();
     let folded = replica.apply_batch(&log.batch(1, 1, 10)).expect("a batch from the start");
     let outcomes: Vec<_> = folded.iter().map(|f| (f.offset, f.id, f.outcome.clone())).collect();
@@ -78,7 +78,7 @@
     let mut log = Log::with_service(6, 8);
     let earlier = copy(&log);
     let oldest = earlier.next();
-    for centre in 0..CENTRES.len() {
+    for centre in 0..DATA_CENTRES.len() {
         log.join(centre);
     }
     snapshot(&mut log, &earlier, 1);
@@ -103,7 +103,7 @@
 #[test]
 fn a_retired_template_does_not_return_from_an_old_snapshot() {
     let mut log = Log::with_members(2);
-    let base = published(&mut log);
+    let base = publish_spare(&mut log);
     let earlier = copy(&log);
     let retired = log.applied(retire(DocumentKind::Template, "spare", base));
     let reader = copy(&log);
--- a/acaciaring_core/tests/fold/resume.rs
+++ b/acaciaring_core/tests/fold/resume.rs
@@ -7,9 +7,9 @@
 
 use super::support::Log;
 
-const BOOKS: &str = "books";
+const WORKSPACE: &str = "books";
 
-fn start(log: &mut Log, vm: &str, instance: &str) -> MemberId {
+fn join_and_attach(log: &mut Log, vm: &str, instance: &str) -> MemberId {
     let member = MemberId(log.applied(Body::Join(Join {
         vm: vm.into(),
         peer: format!("{vm}:7000"),
@@ -20,7 +20,7 @@
     log.improve_lessors(member);
     log.applied(Body::Attach(Attach {
         member: member.0,
-        workspace: BOOKS.into(),
+        workspace: WORKSPACE.into(),
         upstream: format!("{vm}:9000"),
         fenced: true,
         instance: instance.into(),
@@ -33,23 +33,23 @@
     let mut log = Log::default();
     let vms = ["a", "b", "c", "d", "e", "f"];
     let members: Vec<MemberId> =
-        vms[..count].iter().map(|vm| start(&mut log, vm, &format!("i-{vm}"))).collect();
+        vms[..count].iter().map(|vm| join_and_attach(&mut log, vm, &format!("i-{vm}"))).collect();
     for member in &members {
         log.improve_lessors(*member);
     }
-    log.applied(Body::Assign(Assign { workspace: BOOKS.into(), slots }));
+    log.applied(Body::Assign(Assign { workspace: WORKSPACE.into(), slots }));
     (log, members)
 }
 
 fn owned(state: &State, member: MemberId) -> Vec<u32> {
-    let units = state.service(BOOKS).expect("founded").units();
+    let units = state.service(WORKSPACE).expect("founded").units();
     units.filter(|(_, a)| a.owner == Some(member)).map(|(unit, _)| unit.slot).collect()
 }
 
 #[test]
 fn an_assignment_makes_a_service_whose_slots_are_ranges() {
     let (log, members) = service(3, 4096);
-    let service = log.state.service(BOOKS).expect("founded");
+    let service = log.state.service(WORKSPACE).expect("founded");
     assert_eq!(service.key_ranges(UnitId::slot(1)), [16..=31]);
     assert_eq!(service.unit_of(KeyHash(31)), UnitId::slot(1));
     assert_eq!(service.unit_of(KeyHash(65_535)), UnitId::slot(4095));
@@ -60,8 +60,8 @@
 #[test]
 fn an_assignment_without_candidate_makes_nothing() {
     let mut log = Log::default();
-    log.rejected(Body::Assign(Assign { workspace: BOOKS.into(), slots: 64 }));
-    assert!(log.state.service(BOOKS).is_none());
+    log.rejected(Body::Assign(Assign { workspace: WORKSPACE.into(), slots: 64 }));
+    assert!(log.state.service(WORKSPACE).is_none());
 }
 
 /// A VM is lost. Its slots fall to others in blocks: single slots here and there would make so
@@ -86,10 +86,10 @@
     let (mut log, members) = service(3, 64);
     let before: Vec<_> = owned(&log.state, members[0]);
     let slot = usize::try_from(before[0]).expect("a small slot");
-    let old = log.state.service(BOOKS).expect("founded").slots[slot];
-    let later = start(&mut log, "a", "i-a");
+    let old = log.state.service(WORKSPACE).expect("founded").slots[slot];
+    let later = join_and_attach(&mut log, "a", "i-a");
     assert_eq!(owned(&log.state, later), before);
-    let new = log.state.service(BOOKS).expect("founded").slots[slot];
+    let new = log.state.service(WORKSPACE).expect("founded").slots[slot];
     assert_eq!((new.standby, new.prior_standby, new.prior), (old.standby, old.standby, None));
     assert!(new.token > old.token);
     assert_eq!(log.state.member(members[0]).map(|member| member.phase), Some(Phase::Dead));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn another_vm_address_or_upstream_takes_nobodys_place() {
+fn another_vm_address_or_upstream_replaces_no_member() {
     for (vm, upstream, instance) in
         [("z", "a:9000", "i-a"), ("a", "a:9001", "i-a"), ("a", "a:9000", "")]
     {
@@ -106,7 +106,7 @@
         let before = owned(&log.state, members[0]);
         let join = Join { vm: vm.into(), peer: "a:7000".into(), ..Join::default() };
         let member = log.applied(Body::Join(join));
-        let (workspace, upstream, instance) = (BOOKS.into(), upstream.into(), instance.into());
+        let (workspace, upstream, instance) = (WORKSPACE.into(), upstream.into(), instance.into());
         log.applied(Body::Attach(Attach { member, workspace, upstream, fenced: true, instance }));
         assert_eq!(owned(&log.state, members[0]), before, "{vm}");
     }
@@ -118,10 +118,10 @@
 fn a_later_process_owes_the_releases_of_the_former_one() {
     let (mut log, members) = service(3, 64);
     log.applied(Body::Leave(Leave { member: members[0].0, applied: log.state.next() }));
-    let later = start(&mut log, "a", "i-a");
-    let service = log.state.service(BOOKS).expect("founded");
-    let owing = service.units().filter(|(_, a)| a.prior == Some(later)).count();
-    assert!(owing > 0);
+    let later = join_and_attach(&mut log, "a", "i-a");
+    let service = log.state.service(WORKSPACE).expect("founded");
+    let unreleased = service.units().filter(|(_, a)| a.prior == Some(later)).count();
+    assert!(unreleased > 0);
     assert!(service.units().all(|(_, a)| a.prior != Some(members[0])));
 }
 
@@ -131,33 +131,37 @@
 #[test]
 fn a_member_that_has_not_read_what_it_owns_does_not_leave() {
     let (mut log, members) = service(3, 64);
-    let slots = &log.state.service(BOOKS).expect("founded").slots;
+    let slots = &log.state.service(WORKSPACE).expect("founded").slots;
     let slot = slots.iter().position(|a| a.owner == Some(members[0])).expect("it owns some");
     let second = slots[slot].standby.expect("a standby");
     let read = log.state.next();
     log.applied(Body::Leave(Leave { member: members[0].0, applied: read }));
-    let between = log.state.service(BOOKS).expect("founded").slots[slot];
+    let between = log.state.service(WORKSPACE).expect("founded").slots[slot];
     assert_eq!((between.owner, between.prior), (Some(second), Some(members[0])));
     let leave = log.rejected(Body::Leave(Leave { member: second.0, applied: read }));
     assert!(matches!(leave, Rejection::Conflict { .. }), "{leave:?}");
-    assert_eq!(log.state.service(BOOKS).expect("founded").slots[slot], between);
+    assert_eq!(log.state.service(WORKSPACE).expect("founded").slots[slot], between);
     let read = log.state.next();
     log.applied(Body::Leave(Leave { member: second.0, applied: read }));
-    let after = log.state.service(BOOKS).expect("founded").slots[slot];
+    let after = log.state.service(WORKSPACE).expect("founded").slots[slot];
     assert_eq!(after.prior, Some(second));
 }
 
 /// The owner passes on what it serves. It has had the rival's release by then, so nobody waits
 /// for the rival any more.
 #[test]
-fn a_switchover_ends_the_wait_for_the_rival() {
+fn a_switchover_clears_the_prior_standby() {
     let (mut log, members) = service(3, 64);
     let slot = owned(&log.state, members[0])[0];
-    let later = start(&mut log, "a", "i-a");
+    let later = join_and_attach(&mut log, "a", "i-a");
     let index = usize::try_from(slot).expect("a small slot");
-    let version = log.state.service(BOOKS).expect("founded").slots[index].version;
+    let version = log.state.service(WORKSPACE).expect("founded").slots[index].version;
     let units = vec![acaciaring_schema::log::Unit { slot, key: None, version }];
-    log.applied(Body::Switchover(Switchover { member: later.0, workspace: BOOKS.into(), units }));
-    let after = log.state.service(BOOKS).expect("founded").slots[index];
+    log.applied(Body::Switchover(Switchover {
+        member: later.0,
+        workspace: WORKSPACE.into(),
+        units,
+    }));
+    let after = log.state.service(WORKSPACE).expect("founded").slots[index];
     assert_eq!((after.prior_standby, after.prior), (None, Some(later)));
 }
--- a/acaciaring_core/tests/fold/snapshots.rs
+++ b/acaciaring_core/tests/fold/snapshots.rs
@@ -13,7 +13,7 @@
 use crate::support::{CONTRACTS, Log, retire};
 
 /// Returns a log whose state has something of everything.
-fn rich() -> Log {
+fn populated_log() -> Log {
     let mut log = Log::with_service(8, 32);
     let key = KeyHash::of(b"contract-17");
     let unit = Unit { key: Some(key.0), ..log.unit(key.slot(32)) };
@@ -24,7 +24,7 @@
     log.applied(log.evict(ids[6]));
     log.applied(log.evict(ids[2]));
     log.applied(Body::Leave(Leave { member: ids[4].0, applied: log.state.next() }));
-    log.entry(vec![0xff]);
+    log.append_entry(vec![0xff]);
     log
 }
 
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_snapshot_gives_the_state_back() {
-    let log = rich();
+    let log = populated_log();
     let snapshot = log.state.to_snapshot();
     assert_eq!(State::from_snapshot(&snapshot), Ok(log.state));
     assert_eq!(State::from_snapshot(&Snapshot::default()), Ok(State::default()));
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_malformed_snapshot_is_refused() {
-    let log = rich();
+    let log = populated_log();
     let good = log.state.to_snapshot();
     let owner = good.services[0].slots[0].owner;
     let dead = good.members.last().expect("members").id;
@@ -77,7 +77,7 @@
 /// because an answer was lost. Readers must get both snapshots whole.
 #[test]
 fn chunks_of_two_writers_are_kept_apart() {
-    let mut log = rich();
+    let mut log = populated_log();
     let mut assembler = Assembler::default();
     let (one, state) = (chunk(&log.state, [1; 16], 100), log.state.clone());
     log.applied(retire_contracts(&log));
@@ -107,7 +107,7 @@
 /// others have, and would decide differently from then on.
 #[test]
 fn incomplete_and_corrupt_snapshots_are_not_taken() {
-    let log = rich();
+    let log = populated_log();
     let good = chunk(&log.state, [1; 16], 100);
     let last = good.len() - 1;
     let mut broken = Vec::new();
@@ -132,7 +132,7 @@
     }
     for records in broken {
         let mut assembler = Assembler::default();
-        let mut log = rich();
+        let mut log = populated_log();
         let whole = records.iter().find_map(|record| feed(&mut assembler, &mut log, record));
         assert_eq!(whole, None);
     }
@@ -141,7 +141,7 @@
     let Some(Body::Commit(commit)) = &mut early[last].body else { panic!("a commit") };
     commit.next -= 1;
     let mut assembler = Assembler::default();
-    let mut log = rich();
+    let mut log = populated_log();
     let whole = early.iter().find_map(|record| feed(&mut assembler, &mut log, record));
     let next = log.state.next() - offset_count(&early);
     assert_eq!(whole.expect("all chunks").state(), Err(SnapshotError::Next { next }));
--- a/acaciaring_core/tests/fold/support.rs
+++ b/acaciaring_core/tests/fold/support.rs
@@ -9,7 +9,7 @@
 use prost::Message;
 
 /// Data centres of the tests with their regions.
-pub const CENTRES: [(&str, &str); 7] = [
+pub const DATA_CENTRES: [(&str, &str); 7] = [
     ("bethlehem", "free-state"),
     ("kroonstad", "free-state"),
     ("welkom", "free-state"),
@@ -53,7 +53,7 @@
         log
     }
 
-    pub fn entry(&mut self, entry: Vec<u8>) -> Outcome {
+    pub fn append_entry(&mut self, entry: Vec<u8>) -> Outcome {
         self.entries.push(entry);
         let offset = self.state.next().max(1);
         self.state.fold(offset, self.entries.last().expect("just pushed"))
@@ -62,7 +62,7 @@
     /// Appends a record with an id of its own.
     pub fn append(&mut self, body: Body) -> Outcome {
         let id = u128::try_from(self.entries.len()).expect("a small count").to_le_bytes();
-        self.entry(encode(id, body))
+        self.append_entry(encode(id, body))
     }
 
     /// Appends a record that must take effect and returns its offset.
@@ -146,7 +146,7 @@
 }
 
 pub fn join(centre: usize) -> Body {
-    let (data_centre, region) = CENTRES[centre];
+    let (data_centre, region) = DATA_CENTRES[centre];
     Body::Join(Join {
         vm: format!("vm-{data_centre}"),
         data_centre: data_centre.to_owned(),
--- a/acaciaring_core/tests/fold/units.rs
+++ b/acaciaring_core/tests/fold/units.rs
@@ -27,7 +27,7 @@
     Body::Merge(Merge { member: member.0, workspace: CONTRACTS.to_owned(), units: vec![unit] })
 }
 
-fn parties(log: &Log, slot: usize) -> (MemberId, MemberId) {
+fn owner_and_standby(log: &Log, slot: usize) -> (MemberId, MemberId) {
     let assignment = log.slot(slot);
     (assignment.owner.expect("owned"), assignment.standby.expect("a standby"))
 }
@@ -41,8 +41,8 @@
 /// Checks that each owner's standbys are in other data centres, and evenly many of them.
 fn check_spread(log: &Log) {
     for member in log.state.members_of(CONTRACTS) {
-        let mine = log.service().slots.iter().filter(|a| a.owner == Some(member.id));
-        let standbys: Vec<_> = mine.filter_map(|a| a.standby).collect();
+        let owned = log.service().slots.iter().filter(|a| a.owner == Some(member.id));
+        let standbys: Vec<_> = owned.filter_map(|a| a.standby).collect();
         let others = log.state.members_of(CONTRACTS).filter(|other| other.id != member.id);
         let (far, near): (Vec<_>, Vec<_>) =
             others.partition(|other| other.data_centre != member.data_centre);
@@ -101,7 +101,7 @@
 #[test]
 fn only_the_owner_switches_over_at_the_version_in_force() {
     let mut log = Log::with_service(5, 8);
-    let (owner, standby) = parties(&log, 0);
+    let (owner, standby) = owner_and_standby(&log, 0);
     let unit = log.unit(0);
     assert_eq!(log.rejected(switchover(standby, unit)), Rejection::NotOwner { slot: 0 });
     let offset = log.applied(switchover(owner, unit));
@@ -121,7 +121,7 @@
 #[test]
 fn only_the_standby_hands_its_role_off() {
     let mut log = Log::with_service(5, 8);
-    let (owner, standby) = parties(&log, 0);
+    let (owner, standby) = owner_and_standby(&log, 0);
     let target = other(&log, owner, standby);
     let unit = log.unit(0);
     assert_eq!(log.rejected(handoff(owner, unit, target)), Rejection::NotStandby { slot: 0 });
@@ -141,7 +141,7 @@
 #[test]
 fn a_former_owner_that_becomes_owner_again_waits_for_nobody() {
     let mut log = Log::with_service(5, 8);
-    let (owner, standby) = parties(&log, 0);
+    let (owner, standby) = owner_and_standby(&log, 0);
     log.applied(switchover(owner, log.unit(0)));
     let offset = log.applied(log.evict(standby));
     let now = log.slot(0);
@@ -155,7 +155,7 @@
 #[test]
 fn a_former_owner_is_waited_for_when_the_new_one_dies() {
     let mut log = Log::with_service(6, 8);
-    let (owner, standby) = parties(&log, 0);
+    let (owner, standby) = owner_and_standby(&log, 0);
     log.applied(switchover(owner, log.unit(0)));
     let target = other(&log, owner, standby);
     log.applied(handoff(owner, log.unit(0), target));
@@ -176,7 +176,7 @@
     let mut log = Log::with_service(4, 8);
     let mut tokens = vec![log.slot(0).token];
     for left in [3, 2, 1] {
-        let (owner, standby) = parties(&log, 0);
+        let (owner, standby) = owner_and_standby(&log, 0);
         log.applied(Body::Exit(Exit { member: owner.0 }));
         let now = log.slot(0);
         assert_eq!(now.owner, Some(standby));
@@ -192,7 +192,7 @@
 #[test]
 fn a_leaving_member_stays_the_former_owner_and_gets_no_role() {
     let mut log = Log::with_service(5, 20);
-    let (owner, standby) = parties(&log, 0);
+    let (owner, standby) = owner_and_standby(&log, 0);
     log.applied(Body::Leave(Leave { member: owner.0, applied: log.state.next() }));
     let now = log.slot(0);
     assert_eq!((now.owner, now.prior), (Some(standby), Some(owner)));
@@ -207,7 +207,7 @@
     let key = KeyHash::of(b"contract-17");
     let slot = key.slot(8);
     let index = usize::try_from(slot).expect("a small slot");
-    let (owner, standby) = parties(&log, index);
+    let (owner, standby) = owner_and_standby(&log, index);
     let hot = Unit { key: Some(key.0), ..log.unit(slot) };
     let wrong = Unit { key: Some(key.0 + 1), ..hot };
     let unknown = Rejection::UnknownUnit { slot };
@@ -236,7 +236,7 @@
 #[test]
 fn a_hot_key_with_another_standby_or_former_owner_does_not_merge() {
     let mut log = Log::with_service(6, 1);
-    let (owner, standby) = parties(&log, 0);
+    let (owner, standby) = owner_and_standby(&log, 0);
     let target = other(&log, owner, standby);
     let mut hot = Unit { key: Some(1), ..log.unit(0) };
     hot.version = log.applied(split(owner, vec![hot]));
@@ -258,7 +258,7 @@
 #[test]
 fn an_assigned_member_does_not_wait_for_itself() {
     let mut log = Log::with_service(2, 1);
-    let (owner, standby) = parties(&log, 0);
+    let (owner, standby) = owner_and_standby(&log, 0);
     log.applied(switchover(owner, log.unit(0)));
     log.applied(Body::Detach(Detach { member: owner.0 }));
     assert_eq!(log.slot(0).standby, None);
@@ -272,7 +272,7 @@
 #[test]
 fn hot_keys_are_bounded() {
     let mut log = Log::with_service(5, 1);
-    let (owner, _) = parties(&log, 0);
+    let (owner, _) = owner_and_standby(&log, 0);
     let unit = |key| Unit { key: Some(key), ..log.unit(0) };
     let most = u64::try_from(HOT_MAX).expect("a small count");
     let too_many = (0..=most).map(unit).collect();
