--- a/acaciaring_core/tests/fold/documents.rs
+++ b/acaciaring_core/tests/fold/documents.rs
@@ -1,4 +1,4 @@
-//! Publishing and retiring documents.
+//! Tests of publishing and retiring documents.
 
 use acaciaring_core::route::DocumentKind::{Parameters, Template};
 use acaciaring_core::state::{Outcome, RECENT_MAX, Rejection};
@@ -11,9 +11,8 @@
     matches!(rejection, Rejection::Invalid { faults } if !faults.is_empty())
 }
 
-/// Two operators publish the same parameters at the same time. Both read the
-/// same version, both append. The second must hear of the conflict and of the
-/// version in force, and must not undo what the first was told is accepted.
+/// Guards against a lost update: of two publications based on the same version, the second is
+/// rejected with the version in force.
 #[test]
 fn racing_operators_have_one_winner() {
     let mut log = Log::with_members(0);
@@ -25,9 +24,8 @@
     assert_eq!(log.state.document(Parameters, CONTRACTS).expect("published").version, winner);
 }
 
-/// The answer to an append is lost after the append took effect. The operator's
-/// tool appends the same record again; meanwhile another operator published.
-/// The second copy must neither conflict nor take the newer version back.
+/// Guards against an append repeated after a lost answer that conflicts or overwrites a newer
+/// version.
 #[test]
 fn a_repeated_append_has_no_effect() {
     let mut log = Log::with_members(0);
@@ -38,7 +36,7 @@
     assert_eq!(log.state.document(Parameters, CONTRACTS).expect("published").version, version);
     assert!(log.state.is_recent(&[7; 16]));
     assert_eq!(log.state.skipped(), 1);
-    // The memory for ids is bounded.
+    // The number of ids kept is bounded.
     for _ in 0..RECENT_MAX {
         log.append(template(1));
     }
@@ -46,9 +44,7 @@
     assert_eq!(log.state.to_snapshot().recent.len(), RECENT_MAX);
 }
 
-/// An append is rejected, its answer is lost, and the copy arrives when the
-/// state would let it pass. The operator was shown the rejection already, so
-/// the copy must not take effect behind their back.
+/// Guards against a rejected record that takes effect when it is appended again in a later state.
 #[test]
 fn a_rejected_record_stays_rejected() {
     let mut log = Log::default();
@@ -67,7 +63,7 @@
     log.applied(parameters("orders", "orders", 8, 0));
     let broken = [("template", "name", "keyed"), ("route", "prefix", "/${prefix}")];
     assert!(is_invalid(log.rejected(publish(DocumentKind::Template, "keyed", base, &broken))));
-    // Without the parameter in it, both workspaces would get the same prefix.
+    // Without the parameter, both workspaces would have the same prefix.
     let Body::Publish(mut same) = template(base) else { unreachable!() };
     same.fields[1].value = "/same".to_owned();
     assert!(is_invalid(log.rejected(Body::Publish(same.clone()))));
@@ -107,10 +103,8 @@
     assert_eq!(conflict, Rejection::Conflict { current: tombstone });
 }
 
-/// An operator retires a workspace and publishes it anew at once. A member that
-/// lags behind the log has read neither and serves its slots still. If the new
-/// service began without owners, `Assign` would give those slots to a second
-/// owner, and a booking could run twice.
+/// Guards against a second owner when a workspace is retired and published again: members that lag
+/// behind the log still serve its slots.
 #[test]
 fn a_workspace_that_returns_keeps_its_owners() {
     let mut log = Log::with_service(5, 16);
@@ -124,7 +118,7 @@
     let base = log.applied(parameters(CONTRACTS, "contracts", 16, base));
     assert_eq!(*log.service(), owners);
     assert_eq!(log.rejected(assign), Rejection::Assigned);
-    // Once every owner is dead the workspace may return with another count of slots.
+    // Once every owner is dead, the workspace may return with a different number of slots.
     log.applied(retire(DocumentKind::Parameters, CONTRACTS, base));
     let members: Vec<_> = log.state.members().map(|member| member.id.0).collect();
     for member in members {
@@ -139,8 +133,7 @@
     assert_eq!(log.service().slots.len(), 32);
 }
 
-/// An operator publishes a template with a misspelt key before any workspace uses it. The fault is
-/// shown at once, not to the operator who later publishes the first parameters for it.
+/// Guards against a template fault that shows only when the first workspace uses the template.
 #[test]
 fn a_template_without_users_is_checked() {
     let mut log = Log::default();
--- a/acaciaring_core/tests/fold/main.rs
+++ b/acaciaring_core/tests/fold/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the state folded from the control log, its snapshots and its replica.
+//! Tests of the state folded from the control log, and of its snapshots and replicas.
 
 mod documents;
 mod members;
--- a/acaciaring_core/tests/fold/members.rs
+++ b/acaciaring_core/tests/fold/members.rs
@@ -1,4 +1,4 @@
-//! Members, their lessors and the proof that a lease is over.
+//! Tests of members, the choice of their lessors, and the proof that a lease has expired.
 
 use std::collections::BTreeSet;
 
@@ -36,7 +36,7 @@
         assert_eq!(centres(&log, &member.lessors).len(), 3);
         assert!(!member.lessors.contains(&foreign));
     }
-    // The only member of its region takes lessors from the other one.
+    // The only member of a region gets lessors in the other region.
     let set = &log.state.member(foreign).expect("known").lessors;
     assert_eq!(centres(&log, set).len(), 3);
     let holders: Vec<_> = members.iter().map(|member| log.state.holder_count(member.id)).collect();
@@ -51,13 +51,13 @@
     let others: Vec<_> = (0..4).map(|_| log.join(0)).collect();
     let member = log.state.member(first).expect("known").clone();
     let better = log.state.better_lessors(&member).expect("one data centre is better than none");
-    // The eldest of the others is a lessor of the rest already, so it goes last.
+    // The oldest of the others is already a lessor of the rest, so it ranks last.
     assert_eq!(better, others[1..]);
     let base = log.applied(lessors(first, member.version, &better));
     let (far, farther) = (log.join(1), log.join(2));
     let member = log.state.member(first).expect("known").clone();
     assert_eq!(member.version, base);
-    // Two more data centres: one lessor of the own one stays, no more is replaced.
+    // With two more data centres, one lessor in the member's own data centre is kept.
     let better = log.state.better_lessors(&member).expect("there is a choice now");
     assert_eq!(better, [others[1], far, farther]);
     log.applied(lessors(first, base, &better));
@@ -68,8 +68,8 @@
     assert!(better.contains(&others[1]) && better.contains(&farther) && !better.contains(&far));
 }
 
-// Three of five VMs have ended and nobody has recorded it yet. A newcomer that hears nothing from them
-// must find the others, or it waits for evictions before its upstream is served.
+// Guards against a joining member that waits for crashed members not yet evicted: unresponsive
+// lessors are excluded.
 #[test]
 fn lessors_of_which_nothing_is_heard_are_left_out() {
     let mut log = Log::with_members(5);
@@ -82,9 +82,9 @@
     assert!(silent.iter().all(|id| !better.contains(id)));
 }
 
-// The very first VM of a place dies before it has found lessors. It never had a lease, so nobody
-// could vote on it; operators would wait for it for ever with each change they publish. Anybody may
-// evict it, but a vote for what it never had is refused, and it is too late for its own lessors then.
+// Guards against a member that nobody can evict because it died before it had lessors. It never had
+// a lease, so no votes are needed; votes are refused, and so are lessors proposed after its
+// eviction.
 #[test]
 fn a_member_that_never_had_lessors_can_be_evicted() {
     let mut log = Log::with_members(0);
@@ -100,9 +100,8 @@
     assert_eq!(late, Rejection::Gone { member: first });
 }
 
-// The first VM is evicted without lessors but only cut off: it never learns that it must stop, and
-// grants on. Were its recorded death to stand in for its vote, a member that it grants to could be
-// evicted while it serves.
+// Guards against the eviction of a live member: a member evicted without lessors may be merely
+// partitioned and still grant leases, so its death does not count as a vote.
 #[test]
 fn the_death_of_a_member_without_lessors_stands_in_for_no_vote() {
     let mut log = Log::with_members(0);
@@ -116,9 +115,8 @@
     assert_eq!(log.rejected(Body::Evict(evict)), Rejection::Votes);
 }
 
-// A whole place loses power and starts again. The lessors of every former member are gone, so
-// nobody can vote, and every key would keep an owner that no longer runs. A process that has the
-// former one's VM and address proves its end; one on another VM, or an earlier one, proves nothing.
+// Guards against owners that nobody can evict after all lessors are lost: a later process on the
+// same VM and address proves the end of the former one, and no other process does.
 #[test]
 fn a_member_is_succeeded_by_a_later_one_on_its_address() {
     let mut log = Log::with_members(4);
@@ -141,9 +139,8 @@
     assert_eq!(log.state.member(former.id).expect("known").phase, Phase::Dead);
 }
 
-// A region starts after another one, and later it is cut off. Its first member had found lessors
-// abroad only; were it to keep them, it would serve nothing in the cut. Once its region has grown it
-// changes to lessors at home, one for one, and then stays with them.
+// Guards against a member whose lessors are all in another region and that loses its lease in a
+// partition: once its region has grown, it changes to lessors there.
 #[test]
 fn lessors_move_into_the_region_when_it_has_grown() {
     let mut log = Log::with_members(12);
@@ -152,7 +149,7 @@
     let member = log.state.member(first).expect("known").clone();
     let remote = member.lessors.clone();
     assert!(remote.iter().all(|id| !near.contains(id)));
-    let better = log.state.better_lessors(&member).expect("two are at home");
+    let better = log.state.better_lessors(&member).expect("two are in the region");
     assert_eq!(better, [remote[0], near[0], near[1]]);
     log.applied(lessors(first, member.version, &better));
     let member = log.state.member(first).expect("known").clone();
@@ -173,9 +170,8 @@
     assert_eq!(stale, Rejection::Conflict { current });
 }
 
-/// A member changed its lessors. Votes by the old set arrive from a lessor that
-/// has not read the change; the member still holds a lease from the new set.
-/// Were those votes counted, two members would serve one key.
+/// Guards against two owners of a key: votes of a replaced lessor set must not evict a member that
+/// holds a lease from the new one.
 #[test]
 fn votes_count_only_for_the_set_in_force() {
     let mut log = Log::with_members(8);
@@ -212,9 +208,7 @@
     assert_eq!(log.rejected(evict(&[good], &[ids[1]])), Rejection::Gone { member: ids[7] });
 }
 
-/// A VM is restarted and its new process joins under the same name. The log
-/// still has an eviction of the old process under way; it must not hit the new
-/// one, which serves already.
+/// Guards against an eviction of a former process that hits the new one on the same VM.
 #[test]
 fn a_restarted_process_is_another_member() {
     let mut log = Log::with_members(5);
@@ -252,9 +246,8 @@
     assert_eq!(log.state.snapshot_rank(ids[1]), Some(0));
 }
 
-/// Thousands of restarts later the state must still be small. A dead lessor of
-/// a member that lives is an exception: its recorded death may be needed to
-/// prove the end of that member's lease.
+/// Guards against unbounded growth of the state over restarts. A dead lessor of a live member is
+/// kept, as its death may be needed to prove the end of that member's lease.
 #[test]
 fn dead_members_are_forgotten_in_the_end() {
     let mut log = Log::with_members(8);
--- a/acaciaring_core/tests/fold/properties.rs
+++ b/acaciaring_core/tests/fold/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the fold over random records of racing, lagging proposers.
+//! Property tests of the fold over random records of concurrent proposers that lag behind the log.
 
 use std::collections::BTreeMap;
 
@@ -14,10 +14,9 @@
 
 use crate::support::{CONTRACTS, Log, attach, join, parameters, retire, template};
 
-/// Slots of the service under test.
 const SLOTS: u32 = 12;
 
-/// One step: what is proposed, by and about whom, and how far the proposer lags behind.
+/// Step: kind of record, two random operands, and the number of records by which the proposer lags.
 type Step = (u8, usize, usize, usize);
 
 fn config() -> ProptestConfig {
@@ -33,7 +32,7 @@
     prop::collection::vec((0_u8..32, any::<usize>(), any::<usize>(), 0_usize..6), 1..160)
 }
 
-/// Builds the record of a step from what its proposer has read.
+/// Builds the record of a step from the state known to its proposer.
 fn body(log: &Log, known: &State, (kind, one, two, _): Step) -> Option<Body> {
     let present = known.members().filter(|member| member.phase != Phase::Dead);
     let ids: Vec<_> = present.map(|member| member.id).collect();
@@ -94,7 +93,7 @@
     })
 }
 
-/// Builds a log and checks the state after each record.
+/// Builds a log, checks the state after each record, and counts the applied records by kind.
 fn build(steps: &[Step]) -> (Log, BTreeMap<u8, usize>) {
     let mut log = Log::default();
     log.applied(template(0));
@@ -131,7 +130,7 @@
             let others = candidates.filter(|member| Some(member.id) != a.owner).count();
             assert!(a.owner.is_none() || a.standby.is_some() || others == 0);
             let old = before.service(&service.workspace).and_then(|old| old.assignment(unit));
-            // A new owner has a new token, so the old one's late requests are refused.
+            // A new owner has a higher token, so delayed requests of the old one are refused.
             assert!(old.is_none_or(|old| old.owner == a.owner || old.token < a.token));
             assert!(old.is_none_or(|old| old == a || old.version < a.version));
         }
@@ -141,11 +140,11 @@
         let earlier = before.member(member.id).map_or(Phase::Alive, |member| member.phase);
         assert!(earlier <= member.phase);
     }
-    // The counts are derived anew from a snapshot, so they are compared here too.
+    // Derived counts are rebuilt from a snapshot, so this compares them as well.
     assert_eq!(State::from_snapshot(&state.to_snapshot()).as_ref(), Ok(state));
 }
 
-/// Fills in for a check that would pass on logs in which nothing happens.
+/// Guards against property tests that pass because the random records are never applied.
 #[test]
 fn random_logs_apply_records_of_every_kind() {
     let mut runner = proptest::test_runner::TestRunner::new(config());
--- a/acaciaring_core/tests/fold/replica.rs
+++ b/acaciaring_core/tests/fold/replica.rs
@@ -1,4 +1,4 @@
-//! Replica that follows a log of limited retention.
+//! Tests of a replica that follows a log with limited retention.
 
 use acaciaring_core::Offset;
 use acaciaring_core::route::DocumentKind::Template;
@@ -9,7 +9,7 @@
 
 use crate::support::{DATA_CENTRES, Log, encode, join, publish, retire};
 
-/// Appends the snapshot of an earlier state and returns the offset of its first chunk.
+/// Appends a snapshot of an earlier state and returns the offset of its first chunk.
 fn snapshot(log: &mut Log, earlier: &Log, id: u8) -> Offset {
     let first = log.next();
     for record in chunk(&earlier.state, [id; 16], 200) {
@@ -46,8 +46,8 @@
     assert_eq!(replica.state().skipped(), 2);
 }
 
-/// Batches come twice, overlap, or one gets lost on its way. A record folded
-/// twice or passed over would leave this member with another state than all others.
+/// Guards against a diverging replica when batches are repeated, overlapping or lost: no record is
+/// folded twice or skipped.
 #[test]
 fn a_gap_is_refused_and_an_overlap_is_passed_over() {
     let log = Log::with_service(6, 8);
@@ -70,9 +70,8 @@
     assert_eq!(replica.apply_batch(&shorter.batch(1, 6, 10)), Err(regressed));
 }
 
-/// A process starts when the log has dropped its oldest records. It reads from
-/// the oldest one on, finds a snapshot that was written later than what it
-/// covers, and must fold what stands between without reading it again.
+/// Guards against records skipped or fetched again when a process starts from a snapshot appended
+/// later than the state it covers.
 #[test]
 fn a_newcomer_starts_from_a_snapshot() {
     let mut log = Log::with_service(6, 8);
@@ -97,9 +96,8 @@
     }
 }
 
-/// An operator retires a template. A member's snapshot from before is written to
-/// the log after that. Whoever starts from it, or was overtaken by retention,
-/// must never bring the template back: operators were told that it is gone.
+/// Guards against a retired template restored from a snapshot that was taken before its retirement
+/// and appended after it.
 #[test]
 fn a_retired_template_does_not_return_from_an_old_snapshot() {
     let mut log = Log::with_members(2);
@@ -112,16 +110,16 @@
         let document = replica.state().document(Template, "spare");
         document.is_some_and(|document| document.retired && document.version == retired)
     };
-    // The record that retires it is kept: it is folded after the snapshot.
+    // The retirement is still in the log, so it is folded after the snapshot.
     let mut replica = Replica::default();
     replica.apply_batch(&log.batch(retired, retired, 100)).expect("a usable snapshot");
     assert!(gone(&replica));
-    // It is not kept any more: the snapshot is of no use to a newcomer.
+    // The retirement is no longer in the log, so a new reader cannot use the snapshot.
     let mut replica = Replica::default();
     let lost = ReplicaError::HistoryLost { oldest: first_chunk, problem: None };
     assert_eq!(replica.apply_batch(&log.batch(first_chunk, first_chunk, 100)), Err(lost));
     assert_eq!(replica.state().next(), 0);
-    // A reader that knows it as retired was overtaken: it waits for a newer snapshot.
+    // A reader that has folded the retirement and fell behind retention needs a newer snapshot.
     let mut replica = Replica::default();
     replica.apply_batch(&reader.batch(1, 1, 100)).expect("the log so far");
     let oldest = first_chunk + 1;
@@ -136,9 +134,8 @@
     assert_eq!(replica.state(), &log.state);
 }
 
-/// A VM sleeps for hours while the log drops records that its process has not
-/// read. Folding on after the gap would leave out an eviction or a publication,
-/// so the process must start over from a snapshot, and say so when there is none.
+/// Guards against a reader that continues after records were dropped by retention: it must restart
+/// from a snapshot, or report the lost history when there is none.
 #[test]
 fn retention_overtakes_a_reader() {
     let mut log = Log::with_service(6, 8);
@@ -151,7 +148,7 @@
     let lost = ReplicaError::HistoryLost { oldest, problem: None };
     assert_eq!(replica.apply_batch(&batch), Err(lost));
     assert_eq!(replica.state(), &before);
-    // Retention overtakes the search too; what was kept before is no use then.
+    // Retention also overtakes the search for a snapshot, which then starts again.
     let newer = copy(&log);
     log.join(1);
     let oldest = log.next();
@@ -162,7 +159,7 @@
     assert_eq!(replica.position(), start);
     replica.apply_batch(&log.batch(oldest, start, 100)).expect("a newer snapshot");
     assert_eq!(replica.state(), &log.state);
-    // All that it has read may go: nothing is missing.
+    // Dropping records that were all read loses nothing.
     let empty = log.batch(log.next(), log.next(), 0);
     assert_eq!(replica.apply_batch(&empty), Ok(Vec::new()));
     assert!(replica.folding());
--- a/acaciaring_core/tests/fold/resume.rs
+++ b/acaciaring_core/tests/fold/resume.rs
@@ -1,4 +1,5 @@
-//! Processes that take the place of a former one, and services that an assignment makes.
+//! Tests of processes that replace a former one beside the same upstream, and of services created by
+//! an assignment.
 
 use acaciaring_core::state::{Phase, Rejection, State};
 use acaciaring_core::{KeyHash, MemberId, UnitId};
@@ -28,7 +29,7 @@
     member
 }
 
-/// Returns a log with members on VMs `a`, `b`, ... and a service of `slots` slots.
+/// Returns a log with members on VMs `a`, `b`, ... and an assigned service of `slots` slots.
 fn service(count: usize, slots: u32) -> (Log, Vec<MemberId>) {
     let mut log = Log::default();
     let vms = ["a", "b", "c", "d", "e", "f"];
@@ -64,8 +65,8 @@
     assert!(log.state.service(WORKSPACE).is_none());
 }
 
-/// A VM is lost. Its slots fall to others in blocks: single slots here and there would make so
-/// many ranges that the grants of an upstream fit no message.
+/// Guards against fragmented ranges after the loss of a member: the grants of an upstream must fit
+/// in one message.
 #[test]
 fn what_a_lost_member_owned_passes_on_in_blocks() {
     let (mut log, members) = service(6, 4096);
@@ -78,9 +79,9 @@
     }
 }
 
-/// A process is killed and starts again beside the same upstream. It takes its former place at
-/// once: the upstream reaches one process only, so the former one has ended. Its standby may
-/// have taken over before it reads this, so the owner waits for it, under a higher token.
+/// Guards against an outage after a process restart: the upstream talks to one process only, so the
+/// new one replaces the former at once. The former standby may have taken over, so the owner waits
+/// for its release and has a higher token.
 #[test]
 fn a_later_process_takes_the_place_of_the_former_one() {
     let (mut log, members) = service(3, 64);
@@ -112,8 +113,8 @@
     }
 }
 
-/// A process was to release units that it had passed on, and is killed. The next one beside the
-/// upstream must do it, for the upstream may hold them still.
+/// Guards against releases that are never sent because the process that owed them was killed: its
+/// successor sends them, as the upstream may still hold the units.
 #[test]
 fn a_later_process_owes_the_releases_of_the_former_one() {
     let (mut log, members) = service(3, 64);
@@ -125,9 +126,9 @@
     assert!(service.units().all(|(_, a)| a.prior != Some(members[0])));
 }
 
-/// Two servers leave at the same moment, one of which stands by for the other. The first record makes the
-/// second one the owner, which has not read it when its own record is appended: taken as it is, the
-/// unit would go on to a third one that waits for the second only, while the first still holds it.
+/// Guards against two holders when an owner and its standby leave at once: the standby's leave is
+/// rejected until it has read that it became the owner, or a third member would wait only for its
+/// release.
 #[test]
 fn a_member_that_has_not_read_what_it_owns_does_not_leave() {
     let (mut log, members) = service(3, 64);
@@ -147,8 +148,8 @@
     assert_eq!(after.prior, Some(second));
 }
 
-/// The owner passes on what it serves. It has had the rival's release by then, so nobody waits
-/// for the rival any more.
+/// Guards against a new owner that waits for the prior standby: the former owner had that release
+/// before it served.
 #[test]
 fn a_switchover_clears_the_prior_standby() {
     let (mut log, members) = service(3, 64);
--- a/acaciaring_core/tests/fold/snapshots.rs
+++ b/acaciaring_core/tests/fold/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: what they hold, what is refused, how they are put together.
+//! Tests of the content, validation and assembly of snapshots.
 
 use acaciaring_core::state::State;
 use acaciaring_core::state::snapshot::{
@@ -12,7 +12,7 @@
 
 use crate::support::{CONTRACTS, Log, retire};
 
-/// Returns a log whose state has something of everything.
+/// Returns a log whose state has an entry of every kind.
 fn populated_log() -> Log {
     let mut log = Log::with_service(8, 32);
     let key = KeyHash::of(b"contract-17");
@@ -73,8 +73,7 @@
     assert!(matches!(State::from_snapshot(&bad), Err(SnapshotError::Routes { .. })));
 }
 
-/// Two members write a snapshot at the same time, and one appends a chunk twice
-/// because an answer was lost. Readers must get both snapshots whole.
+/// Guards against mixed-up chunks when two members write snapshots at once and one repeats a chunk.
 #[test]
 fn chunks_of_two_writers_are_kept_apart() {
     let mut log = populated_log();
@@ -102,9 +101,7 @@
     retire(acaciaring_schema::log::DocumentKind::Parameters, CONTRACTS, base)
 }
 
-/// The writer of a snapshot is lost half-way, or a chunk is damaged on its way.
-/// A reader that took it for whole would lack members or assignments that all
-/// others have, and would decide differently from then on.
+/// Guards against a diverging reader that accepts an incomplete or corrupt snapshot.
 #[test]
 fn incomplete_and_corrupt_snapshots_are_not_taken() {
     let log = populated_log();
@@ -136,7 +133,7 @@
         let whole = records.iter().find_map(|record| feed(&mut assembler, &mut log, record));
         assert_eq!(whole, None);
     }
-    // The digest covers the chunks alone, so a wrong end shows only in the state.
+    // The digest covers only the chunks, so a wrong `next` is detected when the state is restored.
     let mut early = good;
     let Some(Body::Commit(commit)) = &mut early[last].body else { panic!("a commit") };
     commit.next -= 1;
--- a/acaciaring_core/tests/fold/support.rs
+++ b/acaciaring_core/tests/fold/support.rs
@@ -1,4 +1,4 @@
-//! Log in memory with the state folded from it.
+//! In-memory log with the state folded from it, and builders of records.
 
 use acaciaring_core::state::{Assignment, Outcome, Rejection, Service, State};
 use acaciaring_core::{MemberId, Offset};
@@ -8,7 +8,7 @@
 };
 use prost::Message;
 
-/// Data centres of the tests with their regions.
+/// Data centres of the tests and their regions.
 pub const DATA_CENTRES: [(&str, &str); 7] = [
     ("bethlehem", "free-state"),
     ("kroonstad", "free-state"),
@@ -22,7 +22,7 @@
 /// Workspace of the tests.
 pub const CONTRACTS: &str = "contracts";
 
-/// Log and the state after its last record.
+/// Log entries and the state after the last one.
 #[derive(Debug, Default)]
 pub struct Log {
     pub entries: Vec<Vec<u8>>,
@@ -30,7 +30,8 @@
 }
 
 impl Log {
-    /// Returns a log with `count` members, in turn in the first four data centres, and one template.
+    /// Returns a log with one template and `count` members, spread over the first four data
+    /// centres.
     pub fn with_members(count: usize) -> Self {
         let mut log = Self::default();
         log.applied(template(0));
@@ -40,7 +41,7 @@
         log
     }
 
-    /// Returns the same with all members attached to a service of `slots` slots that is assigned.
+    /// Returns a log with members that are all attached to an assigned service of `slots` slots.
     pub fn with_service(count: usize, slots: u32) -> Self {
         let mut log = Self::with_members(count);
         log.applied(parameters(CONTRACTS, "contracts", slots, 0));
@@ -59,19 +60,19 @@
         self.state.fold(offset, self.entries.last().expect("just pushed"))
     }
 
-    /// Appends a record with an id of its own.
+    /// Appends a record with a unique id.
     pub fn append(&mut self, body: Body) -> Outcome {
         let id = u128::try_from(self.entries.len()).expect("a small count").to_le_bytes();
         self.append_entry(encode(id, body))
     }
 
-    /// Appends a record that must take effect and returns its offset.
+    /// Appends a record, asserts that it is applied, and returns its offset.
     pub fn applied(&mut self, body: Body) -> Offset {
         assert_eq!(self.append(body), Outcome::Applied);
         self.state.next() - 1
     }
 
-    /// Appends a record that must be rejected and change nothing.
+    /// Appends a record and asserts that it is rejected and leaves the state unchanged.
     pub fn rejected(&mut self, body: Body) -> Rejection {
         let before = self.state.to_snapshot();
         let Outcome::Rejected(rejection) = self.append(body) else { panic!("not rejected") };
@@ -90,7 +91,7 @@
         self.applied(attach(member));
     }
 
-    /// Proposes better lessors for a member if there are any, as the member itself does.
+    /// Proposes better lessors for a member if there are any, as its process does.
     pub fn improve_lessors(&mut self, member: MemberId) {
         let member = self.state.member(member).expect("a known member");
         if let Some(lessors) = self.state.better_lessors(member) {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Returns an eviction with the votes of all lessors.
+    /// Returns an eviction record with the votes of all lessors.
     pub fn evict(&self, member: MemberId) -> Body {
         let member = self.state.member(member).expect("a known member");
         let vote = |lessor: &MemberId| Vote {
@@ -129,7 +130,7 @@
         Unit { slot, key: None, version: self.slot(index).version }
     }
 
-    /// Returns records as the log service does, when `oldest` is the oldest kept.
+    /// Returns a batch of records as the log service does, with `oldest` the oldest one retained.
     pub fn batch(&self, oldest: Offset, start: Offset, count: usize) -> Batch {
         let skip = usize::try_from(start - 1).expect("a small offset");
         let entries = self.entries.iter().skip(skip).take(count).cloned().collect();
--- a/acaciaring_core/tests/fold/units.rs
+++ b/acaciaring_core/tests/fold/units.rs
@@ -1,4 +1,4 @@
-//! Units: assignment, planned moves, losses and hot keys.
+//! Tests of units: assignment, planned moves, loss of members, and hot keys.
 
 use acaciaring_core::state::{HOT_MAX, Rejection};
 use acaciaring_core::{KeyHash, MemberId, UnitId};
@@ -32,13 +32,13 @@
     (assignment.owner.expect("owned"), assignment.standby.expect("a standby"))
 }
 
-/// Returns a member that is neither of the two.
+/// Returns a member other than the two.
 fn other(log: &Log, owner: MemberId, standby: MemberId) -> MemberId {
     let mut ids = log.state.members().map(|member| member.id);
     ids.find(|id| *id != owner && *id != standby).expect("enough members")
 }
 
-/// Checks that each owner's standbys are in other data centres, and evenly many of them.
+/// Checks that the standbys of each owner are evenly spread over members in other data centres.
 fn check_spread(log: &Log) {
     for member in log.state.members_of(CONTRACTS) {
         let owned = log.service().slots.iter().filter(|a| a.owner == Some(member.id));
@@ -87,7 +87,7 @@
     assert!(log.service().slots.iter().all(|a| a.standby == Some(third)));
     log.applied(Body::Leave(Leave { member: third.0, applied: log.state.next() }));
     assert!(log.service().slots.iter().all(|a| a.standby.is_none()));
-    // Nobody takes over from the last member, so it stays the owner until it can switch over.
+    // The last member has no standby, so it stays the owner until it can switch over.
     log.applied(Body::Leave(Leave { member: ids[1].0, applied: log.state.next() }));
     assert!(log.service().slots.iter().all(|a| a.owner == Some(ids[1])));
     let fourth = log.join(3);
@@ -136,8 +136,8 @@
     assert_eq!((now.version, now.token), (offset, before.token));
 }
 
-/// A slot moved from H to S; H stands by and may still finish requests. Then S
-/// is lost. H is the owner again and must not wait for its own release.
+/// Guards against an owner that waits for its own release when it gets a slot back after the new
+/// owner is lost.
 #[test]
 fn a_former_owner_that_becomes_owner_again_waits_for_nobody() {
     let mut log = Log::with_service(5, 8);
@@ -149,9 +149,8 @@
     assert!(now.standby.is_some_and(|other| other != owner && other != standby));
 }
 
-/// A slot moved from H to S, then the standby's role went on to T. S is lost
-/// before H released the slot: T is the owner, but H may still serve, so T must
-/// go on waiting for H. Only H's own death ends that.
+/// Guards against two members serving a slot when its new owner is lost before the former one has
+/// released it: the next owner waits for the release or the former owner's death.
 #[test]
 fn a_former_owner_is_waited_for_when_the_new_one_dies() {
     let mut log = Log::with_service(6, 8);
@@ -168,9 +167,8 @@
     assert_eq!(later.token, now.token);
 }
 
-/// A data centre is lost with the owner of a slot and its standby in it. Both
-/// are evicted one after the other; the slot is never without a plan as long as
-/// a member of the workspace is left, and its token grows with each new owner.
+/// Guards against a slot without owner when owner and standby are lost together: it gets an owner
+/// while members remain, and its token rises each time.
 #[test]
 fn owner_and_standby_die_together() {
     let mut log = Log::with_service(4, 8);
@@ -215,7 +213,7 @@
     assert_eq!(log.rejected(split(owner, vec![hot, hot])), unknown);
     let before = log.slot(index);
     let offset = log.applied(split(owner, vec![hot]));
-    // A standby that has not read the split must not take the slot under its old version.
+    // The version rises so that a standby that has not read the split cannot take the slot over.
     assert_eq!((log.slot(index).version, log.slot(index).token), (offset, before.token));
     let unit = UnitId { slot, key: Some(key) };
     assert_eq!(log.service().unit_of(key), unit);
@@ -231,8 +229,8 @@
     assert_eq!((log.slot(index).owner, log.slot(index).prior), (Some(owner), Some(standby)));
 }
 
-/// A hot key went from its owner to C and back; its slot went to B and back. A
-/// merge keeps one former owner, but a later owner may have to wait for both.
+/// Guards against a merge that loses a former owner: a slot and its hot key may have different
+/// ones, and a later owner may have to wait for both.
 #[test]
 fn a_hot_key_with_another_standby_or_former_owner_does_not_merge() {
     let mut log = Log::with_service(6, 1);
@@ -253,8 +251,8 @@
     log.applied(merge(owner, hot));
 }
 
-/// A slot moved from H to S, H's upstream went and came back, and S was lost
-/// with nobody to stand by. The slot is given to H, which need not wait for itself.
+/// Guards against an assigned member that waits for its own release because it was the former
+/// owner.
 #[test]
 fn an_assigned_member_does_not_wait_for_itself() {
     let mut log = Log::with_service(2, 1);
