--- a/acaciaring_core/examples/fold_cost.rs
+++ b/acaciaring_core/examples/fold_cost.rs
@@ -22,7 +22,7 @@
 const SLOTS: [usize; 2] = [16_384, 65_536];
 
 /// Data centres, each with its region.
-const CENTRES: [(&str, &str); 5] = [
+const DATA_CENTRES: [(&str, &str); 5] = [
     ("bethlehem", "free-state"),
     ("kroonstad", "free-state"),
     ("welkom", "free-state"),
@@ -103,9 +103,9 @@
         micros(publish),
         micros(leave),
         micros(evict),
-        micros(middle(encode)),
-        micros(middle(decode)),
-        micros(middle(clone)),
+        micros(median_of(encode)),
+        micros(median_of(decode)),
+        micros(median_of(clone)),
         bytes.to_string(),
         memory.to_string(),
     ]
@@ -209,10 +209,10 @@
 }
 
 fn median(run: impl FnMut(usize) -> Duration) -> Duration {
-    middle((0..RUNS).map(run).collect())
+    median_of((0..RUNS).map(run).collect())
 }
 
-fn middle(mut times: Vec<Duration>) -> Duration {
+fn median_of(mut times: Vec<Duration>) -> Duration {
     times.sort_unstable();
     times[times.len() / 2]
 }
@@ -225,7 +225,7 @@
 }
 
 fn join(index: usize) -> Body {
-    let (data_centre, region) = CENTRES[index % CENTRES.len()];
+    let (data_centre, region) = DATA_CENTRES[index % DATA_CENTRES.len()];
     Body::Join(Join {
         vm: format!("vm-{index}"),
         nonce: 0x0123_4567_89ab_cdef,
--- a/acaciaring_core/examples/policy.rs
+++ b/acaciaring_core/examples/policy.rs
@@ -24,8 +24,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use self::fleet::{Fleet, Policy, Shape};
-use self::upstream::{Gate, Retries, Stream, Tally, run};
+use self::fleet::{Fleet, FleetSettings, Policy};
+use self::upstream::{Discipline, Retries, Stream, Tally, simulate};
 
 const MINUTE: Duration = Duration::from_mins(1);
 
@@ -115,7 +115,7 @@
         {
             for (name, policy, weights) in POLICIES {
                 let rate = f64::from(members) * if members >= 100 { 100.0 } else { 500.0 };
-                let shape = Shape {
+                let settings = FleetSettings {
                     members,
                     slots,
                     rate,
@@ -123,25 +123,25 @@
                     weights,
                     period: Duration::from_secs(10),
                     overlap: if members > 19 { 4 } else { 2 },
-                    ..Shape::default()
+                    ..FleetSettings::default()
                 };
-                row(seed, scenario, name, shape);
+                row(seed, scenario, name, settings);
             }
         }
     }
 }
 
-fn row(seed: u64, scenario: Scenario, name: &str, shape: Shape) {
-    let (members, slots) = (shape.members, shape.slots);
-    let mut fleet = Fleet::new(seed, shape);
-    fleet.play(2 * MINUTE);
+fn row(seed: u64, scenario: Scenario, name: &str, settings: FleetSettings) {
+    let (members, slots) = (settings.members, settings.slots);
+    let mut fleet = Fleet::new(seed, settings);
+    fleet.run(2 * MINUTE);
     let (before, unserved) = (fleet.moved.len(), fleet.unserved);
     let mut worst: f64 = 0.0;
     let mut last = Vec::new();
     let mut watched = None;
     for step in 0..36 {
-        watched = watched.or(happen(scenario, &mut fleet, step));
-        fleet.play(Duration::from_secs(10));
+        watched = watched.or(apply_scenario(scenario, &mut fleet, step));
+        fleet.run(Duration::from_secs(10));
         let now = fleet.imbalance();
         worst = worst.max(now.0);
         if step >= 30 {
@@ -161,11 +161,11 @@
         (fleet.unserved.saturating_sub(unserved)).as_millis(),
         fleet.forced,
         fleet.splits,
-        watched.map_or_else(String::new, |id| watch(&fleet, id)),
+        watched.map_or_else(String::new, |id| watched_cell(&fleet, id)),
     );
 }
 
-fn watch(fleet: &Fleet, id: MemberId) -> String {
+fn watched_cell(fleet: &Fleet, id: MemberId) -> String {
     let ids = fleet.members();
     let float = |count: usize| f64::from(u32::try_from(count).unwrap());
     let units = float(fleet.owned(id)) * float(ids.len()) / float(fleet.service.slots.len());
@@ -175,7 +175,7 @@
 }
 
 /// Lets happen what the scenario has at this step; returns the member to watch.
-fn happen(scenario: Scenario, fleet: &mut Fleet, step: u64) -> Option<MemberId> {
+fn apply_scenario(scenario: Scenario, fleet: &mut Fleet, step: u64) -> Option<MemberId> {
     let members = fleet.members();
     let count = f64::from(u32::try_from(members.len()).unwrap());
     let middle = members[members.len() / 2];
@@ -183,10 +183,10 @@
         // Thirteen other keys each three minutes; each has a quarter of a member's fair load.
         (Scenario::HotSpell, 0 | 18) => {
             let key = |n: u64| KeyHash::of(&(step * HOT + n).to_le_bytes());
-            fleet.heat_up((0..HOT).map(|n| (key(n), 0.25 / count)).collect());
+            fleet.set_hot_keys((0..HOT).map(|n| (key(n), 0.25 / count)).collect());
         }
         (Scenario::Join, 0) => return Some(fleet.join()),
-        (Scenario::Loss, 0) => fleet.lose(middle),
+        (Scenario::Loss, 0) => fleet.lose_member(middle),
         (Scenario::SlowServer, 0) => {
             fleet.slow_down(middle, 10.0);
             return Some(middle);
@@ -215,23 +215,30 @@
     ];
     for load in [0.8, 1.0, 2.0] {
         for (name, retries) in &retries {
-            let gate = Gate::Admission(AdmissionSettings::default());
-            admission_row(seed, load, "admission", &gate, name, retries);
-            let gate = Gate::Remembered(AdmissionSettings::default());
-            admission_row(seed, load, "admission, entry remembers", &gate, name, retries);
+            let discipline = Discipline::Admission(AdmissionSettings::default());
+            admission_row(seed, load, "admission", &discipline, name, retries);
+            let discipline = Discipline::CachedRefusals(AdmissionSettings::default());
+            admission_row(seed, load, "admission, entry remembers", &discipline, name, retries);
         }
         admission_row(
             seed,
             load,
             "unbounded FIFO",
-            &Gate::Fifo { slots: 20 },
+            &Discipline::Fifo { slots: 20 },
             "none",
             &Retries::Never,
         );
     }
 }
 
-fn admission_row(seed: u64, load: f64, gate: &str, front: &Gate, name: &str, retries: &Retries) {
+fn admission_row(
+    seed: u64,
+    load: f64,
+    label: &str,
+    discipline: &Discipline,
+    name: &str,
+    retries: &Retries,
+) {
     let stream = |rank, part: f64, deadline| Stream {
         rank,
         rate: 1_000.0 * part * load,
@@ -244,20 +251,20 @@
         stream(Rank::Bulk, 0.3, 10_000),
         stream(Rank::Background, 0.1, 20_000),
     ];
-    let mut tallies = run(seed, &streams, front, retries, MINUTE);
+    let mut tallies = simulate(seed, &streams, discipline, retries, MINUTE);
     let sum = |of: fn(&Tally) -> u32| tallies.iter().map(|tally| f64::from(of(tally))).sum::<f64>();
-    let goodput = sum(|tally| tally.within) / MINUTE.as_secs_f64();
-    let tries = sum(|tally| tally.tries) / sum(|tally| tally.requests);
-    let hops = sum(|tally| tally.hops) / sum(|tally| tally.requests);
+    let goodput = sum(|tally| tally.in_span) / MINUTE.as_secs_f64();
+    let attempts = sum(|tally| tally.attempts) / sum(|tally| tally.requests);
+    let forwarded = sum(|tally| tally.forwarded) / sum(|tally| tally.requests);
     let cells: Vec<_> = tallies.iter_mut().map(cell).collect();
     println!(
-        "| {load}x | {gate} | {name} | {goodput:.0} | {tries:.2} | {hops:.2} | {} |",
+        "| {load}x | {label} | {name} | {goodput:.0} | {attempts:.2} | {forwarded:.2} | {} |",
         cells.join(" | ")
     );
 }
 
 fn cell(tally: &mut Tally) -> String {
-    let good = 100.0 * f64::from(tally.good) / f64::from(tally.requests.max(1));
+    let good = 100.0 * f64::from(tally.on_time) / f64::from(tally.requests.max(1));
     let (median, high) = (tally.quantile(0.5).as_millis(), tally.quantile(0.99).as_millis());
     format!("{good:.1} {median}/{high}")
 }
@@ -267,8 +274,8 @@
     println!("| decision | ns |\n| --- | --- |");
     let mut rng = StdRng::seed_from_u64(seed);
     cost_admission();
-    cost_choice(&mut rng);
-    cost_heat(&mut rng);
+    cost_selection(&mut rng);
+    cost_rates(&mut rng);
     cost_dedup();
     cost_plan(seed, &mut rng);
 }
@@ -279,7 +286,7 @@
 
 fn cost_admission() {
     const COUNT: u32 = 1_000_000;
-    let mut gate = Admission::new(AdmissionSettings::default());
+    let mut admission = Admission::new(AdmissionSettings::default());
     let mut started = std::collections::VecDeque::new();
     let start = Instant::now();
     for attempt in 0..u64::from(COUNT) {
@@ -290,46 +297,53 @@
             expiry: now + MINUTE,
             attempt,
         };
-        if let acaciaring_core::admission::Offer::Start(item) = gate.offer(now, ticket, attempt) {
+        if let acaciaring_core::admission::Offer::Start(item) =
+            admission.offer(now, ticket, attempt)
+        {
             started.push_back(item);
         }
-        if gate.waiting() > 30 {
+        if admission.waiting() > 30 {
             let done = started.pop_front().unwrap();
-            started.extend(gate.finish(now, done, Duration::from_millis(1), Completion::Answered));
-            black_box(gate.expire(now));
+            started.extend(admission.finish(
+                now,
+                done,
+                Duration::from_millis(1),
+                Completion::Answered,
+            ));
+            black_box(admission.expire(now));
         }
     }
     print("admission: offer, finish and expire with 30 waiting", start, COUNT);
 }
 
-fn cost_choice(rng: &mut StdRng) {
+fn cost_selection(rng: &mut StdRng) {
     const COUNT: u32 = 1_000_000;
-    let mut choice = Selector::new(SelectorSettings::default());
+    let mut selector = Selector::new(SelectorSettings::default());
     let members: Vec<_> = (1..=470).map(MemberId).collect();
     let start = Instant::now();
     for n in 0..COUNT {
         let now = Time::from_millis(u64::from(n) / 10);
-        let id = choice.choose(now, rng, &members, &[]).unwrap();
-        choice.sent(now, id);
-        choice.report(now, id, 5, 20);
-        choice.done(now, id, Outcome::Answered(Duration::from_millis(5)));
+        let id = selector.choose(now, rng, &members, &[]).unwrap();
+        selector.sent(now, id);
+        selector.report(now, id, 5, 20);
+        selector.done(now, id, Outcome::Answered(Duration::from_millis(5)));
     }
     print("choice: choose, sent, report and done among 470", start, COUNT);
 }
 
-fn cost_heat(rng: &mut StdRng) {
+fn cost_rates(rng: &mut StdRng) {
     const COUNT: u32 = 5_000_000;
-    let mut heat = RequestRates::new(Time::ZERO, RateSettings::default());
+    let mut rates = RequestRates::new(Time::ZERO, RateSettings::default());
     let keys: Vec<_> =
         (0..1 << 16).map(|_| KeyHash(rng.random::<u64>() >> rng.random_range(16..50))).collect();
     let start = Instant::now();
     for n in 0..COUNT {
         let key = keys[n as usize % keys.len()];
-        heat.record(Time::from_millis(u64::from(n) / 12), UnitId::slot(key.slot(140)), key);
+        rates.record(Time::from_millis(u64::from(n) / 12), UnitId::slot(key.slot(140)), key);
     }
     print("heat: record", start, COUNT);
     let start = Instant::now();
-    black_box(heat.hot_keys(Time::from_millis(u64::from(COUNT) / 12), 1.0));
+    black_box(rates.hot_keys(Time::from_millis(u64::from(COUNT) / 12), 1.0));
     print("heat: hot", start, 1);
 }
 
@@ -352,7 +366,8 @@
 
 fn cost_plan(seed: u64, rng: &mut StdRng) {
     const COUNT: u32 = 20;
-    let fleet = Fleet::new(seed, Shape { members: 470, slots: 65_536, ..Shape::default() });
+    let fleet =
+        Fleet::new(seed, FleetSettings { members: 470, slots: 65_536, ..FleetSettings::default() });
     let ids = fleet.members();
     let load = |rate| Some(Load { rate, busy: 10, capacity: 20, speed: 1.0, at: Time::ZERO });
     let members: BTreeMap<_, _> = (ids.iter().enumerate())
@@ -362,18 +377,18 @@
         })
         .collect();
     for (name, factor) in [("even", 1), ("hot", 2)] {
-        let mut heat = RequestRates::new(Time::ZERO, RateSettings::default());
+        let mut rates = RequestRates::new(Time::ZERO, RateSettings::default());
         let own = fleet.service.units().filter(|(_, a)| a.owner == Some(ids[0]));
         let own: Vec<_> = own.map(|(unit, _)| unit).collect();
         let now = Time::from_millis(60_000);
         for (n, unit) in (0..720_000 * factor).zip(own.iter().copied().cycle()) {
-            heat.record(Time::from_millis(n / (12 * factor)), unit, KeyHash(rng.random()));
+            rates.record(Time::from_millis(n / (12 * factor)), unit, KeyHash(rng.random()));
         }
         let view = View {
             local: ids[0],
             service: &fleet.service,
             members: &members,
-            rates: &heat,
+            rates: &rates,
             weights: Weights { churn: 1_000, downtime: 200 },
             service_time: Duration::from_millis(1),
         };
--- a/acaciaring_core/tests/admission.rs
+++ b/acaciaring_core/tests/admission.rs
@@ -11,7 +11,7 @@
 use acaciaring_core::route::Rank;
 use acaciaring_core::{Reason, Time, Verdict};
 
-use self::upstream::{Gate, Retries, Run, Stream, Tally, run};
+use self::upstream::{Discipline, Retries, Simulation, Stream, Tally, simulate};
 
 const SPAN: Duration = Duration::from_secs(30);
 
@@ -35,12 +35,12 @@
     ]
 }
 
-fn gate() -> Gate {
-    Gate::Admission(AdmissionSettings::default())
+fn default_discipline() -> Discipline {
+    Discipline::Admission(AdmissionSettings::default())
 }
 
-fn good(tallies: &[Tally]) -> f64 {
-    tallies.iter().map(|tally| f64::from(tally.within)).sum::<f64>() / SPAN.as_secs_f64()
+fn goodput(tallies: &[Tally]) -> f64 {
+    tallies.iter().map(|tally| f64::from(tally.in_span)).sum::<f64>() / SPAN.as_secs_f64()
 }
 
 fn share(part: u32, whole: u32) -> f64 {
@@ -53,18 +53,19 @@
 // that come in time.
 #[test]
 fn overload_keeps_goodput_and_critical_deadlines() {
-    let mut tallies = run(1, &mixed(2.0), &gate(), &Retries::Never, SPAN);
-    assert!(good(&tallies) > 0.9 * CAPACITY, "goodput {}", good(&tallies));
+    let mut tallies = simulate(1, &mixed(2.0), &default_discipline(), &Retries::Never, SPAN);
+    assert!(goodput(&tallies) > 0.9 * CAPACITY, "goodput {}", goodput(&tallies));
     let critical = &tallies[0];
-    assert!(share(critical.good, critical.requests) > 0.99, "{critical:?}");
+    assert!(share(critical.on_time, critical.requests) > 0.99, "{critical:?}");
     assert!(tallies[0].quantile(0.99) < ms(200));
     for tally in &tallies[2..] {
-        assert!(tally.good > 0);
+        assert!(tally.on_time > 0);
     }
-    let bulk = f64::from(tallies[2].good) / SPAN.as_secs_f64();
+    let bulk = f64::from(tallies[2].on_time) / SPAN.as_secs_f64();
     assert!(bulk > 0.1 * CAPACITY, "bulk {bulk}");
-    let unbounded = run(1, &mixed(2.0), &Gate::Fifo { slots: 20 }, &Retries::Never, SPAN);
-    assert!(good(&unbounded) < 0.7 * good(&tallies));
+    let unbounded =
+        simulate(1, &mixed(2.0), &Discipline::Fifo { slots: 20 }, &Retries::Never, SPAN);
+    assert!(goodput(&unbounded) < 0.7 * goodput(&tallies));
 }
 
 // Clerks (interactive) alone ask for more than the server can do, for as long as the permit rush lasts.
@@ -77,9 +78,14 @@
         stream(Rank::Background, 0.04, 20_000),
     ];
     let retries = Retries::Budget(RetrySettings::default());
-    let tallies = run(2, &streams, &gate(), &retries, SPAN);
+    let tallies = simulate(2, &streams, &default_discipline(), &retries, SPAN);
     for tally in &tallies[1..] {
-        assert!(share(tally.good, tally.requests) > 0.95, "{} of {}", tally.good, tally.requests);
+        assert!(
+            share(tally.on_time, tally.requests) > 0.95,
+            "{} of {}",
+            tally.on_time,
+            tally.requests
+        );
     }
 }
 
@@ -88,42 +94,44 @@
 #[test]
 fn a_retry_budget_prevents_a_storm() {
     let streams = [stream(Rank::Interactive, 2.0, 1_000)];
-    let tries = |retries: &Retries| {
-        let tallies = run(3, &streams, &gate(), retries, SPAN);
-        (share(tallies[0].tries, tallies[0].requests), good(&tallies))
+    let attempt_ratio = |retries: &Retries| {
+        let tallies = simulate(3, &streams, &default_discipline(), retries, SPAN);
+        (share(tallies[0].attempts, tallies[0].requests), goodput(&tallies))
     };
-    let (bounded, good) = tries(&Retries::Budget(RetrySettings::default()));
-    let (storm, _) = tries(&Retries::Always);
+    let (bounded, goodput) = attempt_ratio(&Retries::Budget(RetrySettings::default()));
+    let (unbudgeted, _) = attempt_ratio(&Retries::Always);
     assert!(bounded < 1.12, "tries {bounded}");
-    assert!(storm > 2.0, "tries {storm}");
-    assert!(good > 0.9 * CAPACITY);
+    assert!(unbudgeted > 2.0, "tries {unbudgeted}");
+    assert!(goodput > 0.9 * CAPACITY);
 }
 
 // The upstream turns ten times slower while its health endpoint says that all is well. Requests that can
 // no longer be in time are refused early, so that callers can go elsewhere; and once the upstream is
 // fast again, requests are let in again although the last estimate was past all deadlines.
 #[test]
-fn a_slow_upstream_is_felt_and_its_recovery_too() {
-    let mut gate = Admission::new(AdmissionSettings::default());
-    let offer = |gate: &mut Admission<u64>, now: Time, attempt: u64| {
+fn a_slow_upstream_and_its_recovery_are_detected() {
+    let mut admission = Admission::new(AdmissionSettings::default());
+    let offer = |admission: &mut Admission<u64>, now: Time, attempt: u64| {
         let ticket = ticket(Rank::Interactive, now + ms(300), attempt);
-        gate.offer(now, ticket, attempt)
+        admission.offer(now, ticket, attempt)
     };
     let mut attempt = 0;
-    let mut serve = |gate: &mut Admission<u64>, now: Time, took: Duration, count: u64| {
+    let mut serve = |admission: &mut Admission<u64>, now: Time, took: Duration, count: u64| {
         for _ in 0..count {
             attempt += 1;
-            if let Offer::Start(started) = offer(gate, now, attempt) {
-                assert!(gate.finish(now + took, started, took, Completion::Answered).is_empty());
+            if let Offer::Start(started) = offer(admission, now, attempt) {
+                assert!(
+                    admission.finish(now + took, started, took, Completion::Answered).is_empty()
+                );
             }
         }
     };
-    serve(&mut gate, Time::from_millis(0), ms(2_000), 50);
-    assert!(gate.service_time(Rank::Interactive) > ms(1_000));
+    serve(&mut admission, Time::from_millis(0), ms(2_000), 50);
+    assert!(admission.service_time(Rank::Interactive) > ms(1_000));
     let now = Time::from_millis(10_000);
     let mut refused = 0;
     for attempt in 1_000..1_030 {
-        match offer(&mut gate, now, attempt) {
+        match offer(&mut admission, now, attempt) {
             Offer::Refused(_, refusal) => {
                 assert_eq!(refusal.verdict, Verdict::NotRun);
                 assert!(refusal.retry.is_some());
@@ -135,10 +143,10 @@
     }
     assert_eq!(refused, 10);
     for attempt in 1_000..1_020 {
-        gate.finish(now, attempt, ms(10), Completion::Answered);
+        admission.finish(now, attempt, ms(10), Completion::Answered);
     }
-    serve(&mut gate, Time::from_millis(20_000), ms(10), 50);
-    assert!(gate.service_time(Rank::Interactive) < ms(50));
+    serve(&mut admission, Time::from_millis(20_000), ms(10), 50);
+    assert!(admission.service_time(Rank::Interactive) < ms(50));
 }
 
 // The queue is full of archive lookups when a limit check arrives. The check waits in place of one of
@@ -146,22 +154,22 @@
 #[test]
 fn an_important_request_displaces_the_least_important() {
     let settings = AdmissionSettings { slots: 1, queue: 3, ..AdmissionSettings::default() };
-    let mut gate = Admission::new(settings);
+    let mut admission = Admission::new(settings);
     let now = Time::ZERO;
     let ticket = |rank, attempt| ticket(rank, now + ms(10_000 + attempt), attempt);
-    assert_eq!(gate.offer(now, ticket(Rank::Background, 1), 1), Offer::Start(1));
+    assert_eq!(admission.offer(now, ticket(Rank::Background, 1), 1), Offer::Start(1));
     for attempt in 2..=4 {
-        let offer = gate.offer(now, ticket(Rank::Background, attempt), attempt);
+        let offer = admission.offer(now, ticket(Rank::Background, attempt), attempt);
         assert_eq!(offer, Offer::Queued { displaced: None });
     }
     let Offer::Queued { displaced: Some((4, refusal)) } =
-        gate.offer(now, ticket(Rank::Critical, 5), 5)
+        admission.offer(now, ticket(Rank::Critical, 5), 5)
     else {
         panic!("the last background request must give way");
     };
     assert_eq!((refusal.verdict, refusal.reason), (Verdict::NotRun, Reason::Busy));
-    assert!(matches!(gate.offer(now, ticket(Rank::Background, 6), 6), Offer::Refused(6, _)));
-    assert_eq!(gate.finish(now, 1, ms(10), Completion::Answered), [5]);
+    assert!(matches!(admission.offer(now, ticket(Rank::Background, 6), 6), Offer::Refused(6, _)));
+    assert_eq!(admission.finish(now, 1, ms(10), Completion::Answered), [5]);
 }
 
 // Bulk and interactive requests wait all the time and are owed their shares. A limit check that comes in
@@ -169,27 +177,27 @@
 #[test]
 fn critical_requests_go_before_overdue_ones() {
     let settings = AdmissionSettings { slots: 1, ..AdmissionSettings::default() };
-    let mut gate = Admission::new(settings);
+    let mut admission = Admission::new(settings);
     let deadline = Time::from_millis(60_000);
     let mut now = Time::ZERO;
     let mut running = 0;
-    let offer = |gate: &mut Admission<u64>, now: Time, rank, attempt| {
-        gate.offer(now, ticket(rank, deadline, attempt), attempt)
+    let offer = |admission: &mut Admission<u64>, now: Time, rank, attempt| {
+        admission.offer(now, ticket(rank, deadline, attempt), attempt)
     };
-    assert_eq!(offer(&mut gate, now, Rank::Interactive, 0), Offer::Start(0));
+    assert_eq!(offer(&mut admission, now, Rank::Interactive, 0), Offer::Start(0));
     for round in 1..200 {
         now = now + ms(10);
         for (n, rank) in [Rank::Interactive, Rank::Bulk, Rank::Background].into_iter().enumerate() {
-            offer(&mut gate, now, rank, round * 10 + n as u64);
+            offer(&mut admission, now, rank, round * 10 + n as u64);
         }
         let critical = round * 10 + 9;
-        let waits = round % 3 == 0;
-        if waits {
-            offer(&mut gate, now, Rank::Critical, critical);
+        let queues_critical = round % 3 == 0;
+        if queues_critical {
+            offer(&mut admission, now, Rank::Critical, critical);
         }
-        let started = gate.finish(now, running, ms(10), Completion::Answered);
+        let started = admission.finish(now, running, ms(10), Completion::Answered);
         assert_eq!(started.len(), 1);
-        assert_eq!(started[0] == critical, waits, "round {round}");
+        assert_eq!(started[0] == critical, queues_critical, "round {round}");
         running = started[0];
     }
 }
@@ -200,12 +208,12 @@
 fn a_request_that_must_be_late_is_refused_before_its_deadline() {
     let settings =
         AdmissionSettings { slots: 1, service_time: ms(100), ..AdmissionSettings::default() };
-    let mut gate = Admission::new(settings);
+    let mut admission = Admission::new(settings);
     let ticket = |deadline, attempt| ticket(Rank::Interactive, deadline, attempt);
-    gate.offer(Time::ZERO, ticket(Time::from_millis(5_000), 1), 1);
-    gate.offer(Time::ZERO, ticket(Time::from_millis(400), 2), 2);
-    assert!(gate.expire(Time::from_millis(150)).is_empty());
-    let late = gate.expire(Time::from_millis(310));
+    admission.offer(Time::ZERO, ticket(Time::from_millis(5_000), 1), 1);
+    admission.offer(Time::ZERO, ticket(Time::from_millis(400), 2), 2);
+    assert!(admission.expire(Time::from_millis(150)).is_empty());
+    let late = admission.expire(Time::from_millis(310));
     assert_eq!(late.len(), 1);
     assert_eq!(late[0].1.reason, Reason::Expired);
 }
@@ -214,40 +222,41 @@
 // answers none in time. It gets few at first, and all of its slots after the ramp.
 #[test]
 fn a_cold_upstream_is_ramped_up() {
-    let mut gate = Admission::<u64>::new(AdmissionSettings::default());
+    let mut admission = Admission::<u64>::new(AdmissionSettings::default());
     let now = Time::from_millis(1_000);
-    assert!(gate.ready(now, true).is_empty());
-    assert_eq!(gate.capacity(now), 2);
-    assert_eq!(gate.capacity(now + ms(5_000)), 11);
-    assert_eq!(gate.capacity(now + ms(10_000)), 20);
+    assert!(admission.ready(now, true).is_empty());
+    assert_eq!(admission.capacity(now), 2);
+    assert_eq!(admission.capacity(now + ms(5_000)), 11);
+    assert_eq!(admission.capacity(now + ms(10_000)), 20);
 }
 
 // The upstream answers that it sheds load. What waits would only be shed too; it is refused as not run,
 // with the time that the upstream asked for, and afterwards half of the former concurrency is tried.
 #[test]
 fn an_upstream_that_sheds_is_left_alone() {
-    let mut gate = Admission::new(AdmissionSettings::default());
+    let mut admission = Admission::new(AdmissionSettings::default());
     let now = Time::ZERO;
     let ticket = |attempt| ticket(Rank::Bulk, now + ms(60_000), attempt);
     for attempt in 0..25 {
-        gate.offer(now, ticket(attempt), attempt);
+        admission.offer(now, ticket(attempt), attempt);
     }
-    let refused = gate.shed(now, ms(2_000));
+    let refused = admission.shed(now, ms(2_000));
     assert_eq!(refused.len(), 5);
     assert!(refused.iter().all(|(_, refusal)| refusal.retry >= Some(ms(2_000))));
-    assert!(matches!(gate.offer(now + ms(1_999), ticket(30), 30), Offer::Refused(..)));
+    assert!(matches!(admission.offer(now + ms(1_999), ticket(30), 30), Offer::Refused(..)));
     for attempt in 0..20 {
-        gate.finish(now, attempt, ms(20), Completion::Answered);
+        admission.finish(now, attempt, ms(20), Completion::Answered);
     }
-    assert_eq!(gate.capacity(now + ms(2_000)), 10);
-    assert_eq!(gate.offer(now + ms(2_000), ticket(31), 31), Offer::Start(31));
+    assert_eq!(admission.capacity(now + ms(2_000)), 10);
+    assert_eq!(admission.offer(now + ms(2_000), ticket(31), 31), Offer::Start(31));
 }
 
 #[test]
 fn concurrency_never_exceeds_the_slots() {
-    let mut run = Run::new(4, &mixed(3.0), &gate(), &Retries::Always, ms(5_000));
-    run.play();
-    assert_eq!(run.most, 20);
+    let mut simulation =
+        Simulation::new(4, &mixed(3.0), &default_discipline(), &Retries::Always, ms(5_000));
+    simulation.run();
+    assert_eq!(simulation.max_running, 20);
 }
 
 /// Returns the ticket of a request that is of no use after its deadline.
@@ -263,7 +272,7 @@
 fn under_overload_those_in_time_go_before_those_that_are_late() {
     let settings =
         AdmissionSettings { slots: 1, service_time: ms(100), ..AdmissionSettings::default() };
-    let mut gate = Admission::new(settings);
+    let mut admission = Admission::new(settings);
     let mut now = Time::from_millis(1000);
     let (mut running, mut ends) = (None, now);
     let (mut in_time, mut started) = (0, 0);
@@ -271,9 +280,13 @@
     for attempt in 0..400 {
         let arrival = now;
         while running.is_some() && ends <= arrival {
-            let next =
-                gate.finish(ends, running.take().expect("running"), ms(100), Completion::Answered);
-            gate.expire(ends);
+            let next = admission.finish(
+                ends,
+                running.take().expect("running"),
+                ms(100),
+                Completion::Answered,
+            );
+            admission.expire(ends);
             if let Some(id) = next.first().copied() {
                 started += 1;
                 in_time += u32::from(ends + ms(100) <= arrived[&id] + ms(300));
@@ -284,7 +297,7 @@
         arrived.insert(attempt, now);
         let (deadline, last) = (now + ms(300), now + ms(1200));
         let ticket = Ticket { rank: Rank::Bulk, deadline, expiry: last, attempt };
-        if let Offer::Start(id) = gate.offer(now, ticket, attempt) {
+        if let Offer::Start(id) = admission.offer(now, ticket, attempt) {
             started += 1;
             in_time += 1;
             running = Some(id);
@@ -297,7 +310,7 @@
 }
 
 /// Plays a load at an upstream, at an entry with or without memory.
-fn flood(load: f64, remembers: bool) -> Vec<Tally> {
+fn overload(load: f64, caches: bool) -> Vec<Tally> {
     let streams = [
         stream(Rank::Critical, 0.1 * load, 250),
         stream(Rank::Interactive, 0.5 * load, 1_000),
@@ -305,8 +318,9 @@
         stream(Rank::Background, 0.2 * load, 4_000),
     ];
     let settings = AdmissionSettings::default();
-    let gate = if remembers { Gate::Remembered(settings) } else { Gate::Admission(settings) };
-    run(7, &streams, &gate, &Retries::Always, SPAN)
+    let discipline =
+        if caches { Discipline::CachedRefusals(settings) } else { Discipline::Admission(settings) };
+    simulate(7, &streams, &discipline, &Retries::Always, SPAN)
 }
 
 fn sum(tallies: &[Tally], of: impl Fn(&Tally) -> u32) -> f64 {
@@ -319,23 +333,27 @@
 // does as much useful work in the same order of ranks.
 #[test]
 fn refusals_of_a_flood_end_at_the_entry() {
-    let (without, with) = (flood(3.0, false), flood(3.0, true));
-    let refused = |tallies: &[Tally]| sum(tallies, |tally| tally.hops - tally.good - tally.late);
+    let (without, with) = (overload(3.0, false), overload(3.0, true));
+    let refused =
+        |tallies: &[Tally]| sum(tallies, |tally| tally.forwarded - tally.on_time - tally.late);
     println!("refused by the member: {} without, {} with", refused(&without), refused(&with));
-    let good = |tallies: &[Tally]| sum(tallies, |tally| tally.within);
-    println!("answered in time: {} without, {} with", good(&without), good(&with));
+    let goodput = |tallies: &[Tally]| sum(tallies, |tally| tally.in_span);
+    println!("answered in time: {} without, {} with", goodput(&without), goodput(&with));
     for (without, with) in without.iter().zip(&with) {
-        println!("{} of {} and {} of {}", without.good, without.requests, with.good, with.requests);
+        println!(
+            "{} of {} and {} of {}",
+            without.on_time, without.requests, with.on_time, with.requests
+        );
     }
     assert!(refused(&with) < 0.4 * refused(&without));
-    assert!(good(&with) > 0.98 * good(&without));
-    assert!(with[0].good >= without[0].good, "critical requests");
+    assert!(goodput(&with) > 0.98 * goodput(&without));
+    assert!(with[0].on_time >= without[0].on_time, "critical requests");
 }
 
 #[test]
 fn below_capacity_nothing_is_refused_at_the_entry() {
-    let tallies = flood(0.8, true);
-    assert!(sum(&tallies, |tally| tally.tries - tally.hops) < 1.0);
+    let tallies = overload(0.8, true);
+    assert!(sum(&tallies, |tally| tally.attempts - tally.forwarded) < 1.0);
 }
 
 /// Makes a gate with two slots at which calls take `call` and reads `read`, both slots busy with reads, and
@@ -357,8 +375,8 @@
         let offered = admission.offer(start, ticket(Rank::Bulk, far, attempt), "read");
         assert!(matches!(offered, Offer::Start(_)));
     }
-    let waits = admission.offer(start, ticket(Rank::Bulk, far, 6), "read");
-    assert!(matches!(waits, Offer::Queued { .. }));
+    let queued = admission.offer(start, ticket(Rank::Bulk, far, 6), "read");
+    assert!(matches!(queued, Offer::Queued { .. }));
     let aim = start + ms(5);
     let late = Ticket { expiry: start + ms(2_000), ..ticket(Rank::Interactive, aim, 7) };
     let offered = admission.offer(start, late, "call");
--- a/acaciaring_core/tests/admission_property.rs
+++ b/acaciaring_core/tests/admission_property.rs
@@ -15,7 +15,7 @@
 enum Step {
     Wait(u64),
     Offer { rank: usize, left: u64 },
-    Finish { pick: usize, took: u64, ending: Completion },
+    Finish { pick: usize, took: u64, completion: Completion },
     Expire,
     Cancel(u64),
     Shed(u64),
@@ -25,7 +25,7 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let ending = prop_oneof![
+    let completion = prop_oneof![
         Just(Completion::Answered),
         Just(Completion::Refused),
         Just(Completion::Unanswered)
@@ -33,8 +33,8 @@
     prop_oneof![
         4 => (1u64..300).prop_map(Step::Wait),
         20 => (0usize..4, 0u64..3_000).prop_map(|(rank, left)| Step::Offer { rank, left }),
-        8 => (0usize..64, 0u64..2_000, ending)
-            .prop_map(|(pick, took, ending)| Step::Finish { pick, took, ending }),
+        8 => (0usize..64, 0u64..2_000, completion)
+            .prop_map(|(pick, took, completion)| Step::Finish { pick, took, completion }),
         4 => Just(Step::Expire),
         2 => (0u64..200).prop_map(Step::Cancel),
         1 => (0u64..2_000).prop_map(Step::Shed),
@@ -45,24 +45,24 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum Status {
     Waiting,
     Running,
-    Gone,
+    Ended,
 }
 
 /// Moves each item from one fate to the next and fails when it was somewhere else.
-struct Ledger(BTreeMap<u64, Fate>);
+struct Ledger(BTreeMap<u64, Status>);
 
 impl Ledger {
-    fn pass(&mut self, items: impl IntoIterator<Item = u64>, from: Fate, to: Fate) {
+    fn transition(&mut self, items: impl IntoIterator<Item = u64>, from: Status, to: Status) {
         for item in items {
             assert_eq!(self.0.insert(item, to), Some(from), "item {item}");
         }
     }
 
-    fn all(&self, fate: Fate) -> Vec<u64> {
-        self.0.iter().filter(|(_, f)| **f == fate).map(|(item, _)| *item).collect()
+    fn all(&self, status: Status) -> Vec<u64> {
+        self.0.iter().filter(|(_, f)| **f == status).map(|(item, _)| *item).collect()
     }
 }
 
@@ -77,13 +77,13 @@
     #[test]
     fn each_item_is_started_or_refused_exactly_once(steps in prop::collection::vec(step(), 1..200)) {
         let settings = AdmissionSettings { slots: 4, queue: 6, ..AdmissionSettings::default() };
-        let mut gate = Admission::new(settings.clone());
+        let mut admission = Admission::new(settings.clone());
         let mut ledger = Ledger(BTreeMap::new());
         let mut slots = settings.slots;
         let mut now = Time::ZERO;
         let mut attempt = 0;
         for step in steps {
-            let before = ledger.all(Fate::Running).len();
+            let before = ledger.all(Status::Running).len();
             let mut started = Vec::new();
             match step {
                 Step::Wait(millis) => now = now + Duration::from_millis(millis),
@@ -91,62 +91,80 @@
                     attempt += 1;
                     let deadline = now + Duration::from_millis(left);
                     let ticket = Ticket { rank: RANKS[rank], deadline, expiry: deadline, attempt };
-                    ledger.0.insert(attempt, Fate::Waiting);
-                    match gate.offer(now, ticket, attempt) {
+                    ledger.0.insert(attempt, Status::Waiting);
+                    match admission.offer(now, ticket, attempt) {
                         Offer::Start(item) => started.push(item),
                         Offer::Queued { displaced } => {
-                            ledger.pass(displaced.map(|(item, _)| item), Fate::Waiting, Fate::Gone);
-                            prop_assert_eq!(ledger.0[&attempt], Fate::Waiting);
+                            ledger.transition(
+                                displaced.map(|(item, _)| item),
+                                Status::Waiting,
+                                Status::Ended,
+                            );
+                            prop_assert_eq!(ledger.0[&attempt], Status::Waiting);
                         }
-                        Offer::Refused(item, _) => ledger.pass([item], Fate::Waiting, Fate::Gone),
+                        Offer::Refused(item, _) => ledger.transition(
+                            [item],
+                            Status::Waiting,
+                            Status::Ended,
+                        ),
                     }
                 }
-                Step::Finish { pick, took, ending } => {
-                    let running = ledger.all(Fate::Running);
+                Step::Finish { pick, took, completion } => {
+                    let running = ledger.all(Status::Running);
                     if let Some(item) = running.get(pick % running.len().max(1)).copied() {
-                        ledger.pass([item], Fate::Running, Fate::Gone);
-                        started = gate.finish(now, item, Duration::from_millis(took), ending);
+                        ledger.transition([item], Status::Running, Status::Ended);
+                        started =
+                            admission.finish(now, item, Duration::from_millis(took), completion);
                     }
                 }
                 Step::Expire => {
-                    let late = gate.expire(now).into_iter().map(|(item, _)| item);
-                    ledger.pass(late, Fate::Waiting, Fate::Gone);
+                    let late = admission.expire(now).into_iter().map(|(item, _)| item);
+                    ledger.transition(late, Status::Waiting, Status::Ended);
                 }
                 Step::Cancel(attempt) => {
-                    ledger.pass(gate.cancel(now, attempt), Fate::Waiting, Fate::Gone);
+                    ledger.transition(
+                        admission.cancel(now, attempt),
+                        Status::Waiting,
+                        Status::Ended,
+                    );
                 }
                 Step::Shed(millis) => {
-                    let shed = gate.shed(now, Duration::from_millis(millis));
-                    ledger.pass(shed.into_iter().map(|(item, _)| item), Fate::Waiting, Fate::Gone);
+                    let shed = admission.shed(now, Duration::from_millis(millis));
+                    ledger.transition(
+                        shed.into_iter().map(|(item, _)| item),
+                        Status::Waiting,
+                        Status::Ended,
+                    );
                 }
                 Step::Drain => {
-                    let left = gate.drain(now).into_iter().map(|(item, _)| item);
-                    ledger.pass(left, Fate::Waiting, Fate::Gone);
-                    prop_assert_eq!(gate.waiting(), 0);
+                    let left = admission.drain(now).into_iter().map(|(item, _)| item);
+                    ledger.transition(left, Status::Waiting, Status::Ended);
+                    prop_assert_eq!(admission.waiting(), 0);
                 }
-                Step::Ready(cold) => started = gate.ready(now, cold),
+                Step::Ready(cold) => started = admission.ready(now, cold),
                 Step::Resize(to) => {
                     slots = to;
-                    started = gate.resize(now, to);
+                    started = admission.resize(now, to);
                 }
             }
             let grew = !started.is_empty();
-            ledger.pass(started, Fate::Waiting, Fate::Running);
-            let running = ledger.all(Fate::Running);
+            ledger.transition(started, Status::Waiting, Status::Running);
+            let running = ledger.all(Status::Running);
             prop_assert!(!grew || running.len() <= slots as usize, "{} run", running.len());
             prop_assert!(grew || running.len() <= before);
-            prop_assert_eq!(running.len(), gate.running());
-            prop_assert_eq!(ledger.all(Fate::Waiting).len(), gate.waiting());
-            prop_assert!(gate.waiting() <= settings.queue);
+            prop_assert_eq!(running.len(), admission.running());
+            prop_assert_eq!(ledger.all(Status::Waiting).len(), admission.waiting());
+            prop_assert!(admission.waiting() <= settings.queue);
         }
         // Nothing waits for good: once all that runs has ended, all that waits has started or is refused.
-        while let Some(item) = ledger.all(Fate::Running).first().copied() {
-            ledger.pass([item], Fate::Running, Fate::Gone);
-            let started = gate.finish(now, item, Duration::from_millis(10), Completion::Answered);
-            ledger.pass(started, Fate::Waiting, Fate::Running);
-            let late = gate.expire(now).into_iter().map(|(item, _)| item);
-            ledger.pass(late, Fate::Waiting, Fate::Gone);
+        while let Some(item) = ledger.all(Status::Running).first().copied() {
+            ledger.transition([item], Status::Running, Status::Ended);
+            let started =
+                admission.finish(now, item, Duration::from_millis(10), Completion::Answered);
+            ledger.transition(started, Status::Waiting, Status::Running);
+            let late = admission.expire(now).into_iter().map(|(item, _)| item);
+            ledger.transition(late, Status::Waiting, Status::Ended);
         }
-        prop_assert_eq!(gate.waiting(), 0);
+        prop_assert_eq!(admission.waiting(), 0);
     }
 }
--- a/acaciaring_core/tests/attempt.rs
+++ b/acaciaring_core/tests/attempt.rs
@@ -10,7 +10,7 @@
 use acaciaring_core::attempt::{Arrival, AttemptSettings, Attempts, Fetched};
 use acaciaring_schema::peer::Answer;
 
-const MEMORY: Duration = Duration::from_secs(30);
+const RETENTION: Duration = Duration::from_secs(30);
 
 fn answer(body: usize) -> Answer {
     Answer { status: 200, body: vec![1; body], ..Answer::default() }
@@ -107,11 +107,12 @@
 
 impl Model {
     fn is_refused(&self, now: Time, id: u64) -> bool {
-        self.refused.get(&id).is_some_and(|since| now.since(*since) < MEMORY)
+        self.refused.get(&id).is_some_and(|since| now.since(*since) < RETENTION)
     }
 
     fn has_arrived(&self, now: Time, id: u64) -> bool {
-        let finished = self.finished.get(&id).is_some_and(|(since, _)| now.since(*since) < MEMORY);
+        let finished =
+            self.finished.get(&id).is_some_and(|(since, _)| now.since(*since) < RETENTION);
         finished || self.running.contains(&id)
     }
 }
@@ -127,7 +128,7 @@
     #[test]
     fn attempts_run_at_most_once(steps in prop::collection::vec(step(), 1..80)) {
         let settings = AttemptSettings {
-            retention: MEMORY,
+            retention: RETENTION,
             max_attempts: 4,
             max_refusals: 1,
             max_bytes: 2000,
--- a/acaciaring_core/tests/balance.rs
+++ b/acaciaring_core/tests/balance.rs
@@ -13,39 +13,39 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use self::fleet::{Fleet, Policy, Shape};
+use self::fleet::{Fleet, FleetSettings, Policy};
 
 const MINUTE: Duration = Duration::from_mins(1);
 
 /// A key of slot 17 in a service of 256 slots.
-const RUSH: KeyHash = KeyHash(17 + 256 * 9_999);
+const HOT_KEY: KeyHash = KeyHash(17 + 256 * 9_999);
 
 // At month end one contract gets a third of a server's requests. It is split out of its slot, load is
 // even again within minutes, few units move, and when the rush is over the key returns to its slot.
 #[test]
 fn a_hot_key_is_split_out_balanced_and_merged_back() {
     let balance = BalanceSettings { merge_after: MINUTE, ..BalanceSettings::default() };
-    let mut fleet = Fleet::new(1, Shape { balance, ..Shape::default() });
-    fleet.play(MINUTE);
+    let mut fleet = Fleet::new(1, FleetSettings { balance, ..FleetSettings::default() });
+    fleet.run(MINUTE);
     let before = fleet.moved.len();
-    fleet.heat_up(vec![(RUSH, 0.10)]);
-    fleet.play(Duration::from_secs(15));
+    fleet.set_hot_keys(vec![(HOT_KEY, 0.10)]);
+    fleet.run(Duration::from_secs(15));
     assert!(fleet.imbalance().0 > 1.35, "{:?}", fleet.imbalance());
-    fleet.play(3 * MINUTE);
-    assert!(fleet.service.hot.contains_key(&RUSH));
+    fleet.run(3 * MINUTE);
+    assert!(fleet.service.hot.contains_key(&HOT_KEY));
     assert!(fleet.imbalance().0 < 1.3, "{:?}", fleet.imbalance());
     let moved = fleet.moved.len() - before;
     assert!((1..=30).contains(&moved), "{moved} units moved");
-    fleet.heat_up(Vec::new());
-    fleet.play(7 * MINUTE);
+    fleet.set_hot_keys(Vec::new());
+    fleet.run(7 * MINUTE);
     assert!(fleet.service.hot.is_empty(), "still {:?}", fleet.service.hot.keys());
 }
 
 // Load is even but for chance. Each move would put a booking at risk for nothing.
 #[test]
 fn nothing_moves_while_load_is_even() {
-    let mut fleet = Fleet::new(2, Shape { skew: 0.1, ..Shape::default() });
-    fleet.play(10 * MINUTE);
+    let mut fleet = Fleet::new(2, FleetSettings { skew: 0.1, ..FleetSettings::default() });
+    fleet.run(10 * MINUTE);
     assert_eq!(fleet.moved, []);
     assert_eq!(fleet.splits, 0);
 }
@@ -56,19 +56,20 @@
 fn units_are_not_swapped_to_and_fro() {
     // Without tolerance and price only the rest after a move holds units back.
     let eager = BalanceSettings { tolerance: 0.0, min_gain: 0.0, ..BalanceSettings::default() };
-    for (balance, most) in [(BalanceSettings::default(), 3), (eager, 5)] {
-        assert_no_swaps(balance, most);
+    for (balance, max_moves) in [(BalanceSettings::default(), 3), (eager, 5)] {
+        assert_no_swaps(balance, max_moves);
     }
 }
 
 /// Asserts that no unit moves twice within five minutes, nor more than `most` times in twenty.
-fn assert_no_swaps(balance: BalanceSettings, most: usize) {
-    let shape = Shape { members: 2, rate: 500.0, skew: 0.8, balance, ..Shape::default() };
-    let mut fleet = Fleet::new(3, shape);
+fn assert_no_swaps(balance: BalanceSettings, max_moves: usize) {
+    let settings =
+        FleetSettings { members: 2, rate: 500.0, skew: 0.8, balance, ..FleetSettings::default() };
+    let mut fleet = Fleet::new(3, settings);
     for round in 0..10 {
         let part = if round % 2 == 0 { 0.15 } else { 0.05 };
-        fleet.heat_up(vec![(RUSH, part)]);
-        fleet.play(2 * MINUTE);
+        fleet.set_hot_keys(vec![(HOT_KEY, part)]);
+        fleet.run(2 * MINUTE);
     }
     let mut moves = BTreeMap::<UnitId, Vec<Time>>::new();
     for (at, unit, _) in &fleet.moved {
@@ -77,7 +78,7 @@
     for (unit, times) in &moves {
         let again = times.windows(2).any(|pair| pair[1].since(pair[0]) < 5 * MINUTE);
         assert!(!again, "{unit:?} moved at {times:?}");
-        assert!(times.len() <= most, "{unit:?} moved at {times:?}");
+        assert!(times.len() <= max_moves, "{unit:?} moved at {times:?}");
     }
 }
 
@@ -85,16 +86,16 @@
 // its fair share although six members give at once, and no unit moves between the others.
 #[test]
 fn a_newcomer_is_filled_without_overshoot() {
-    let mut fleet = Fleet::new(4, Shape::default());
-    fleet.play(2 * MINUTE);
+    let mut fleet = Fleet::new(4, FleetSettings::default());
+    fleet.run(2 * MINUTE);
     let before = fleet.moved.len();
     let newcomer = fleet.join();
     let fair = 256 / 7;
     for _ in 0..60 {
-        fleet.play(Duration::from_secs(10));
+        fleet.run(Duration::from_secs(10));
         assert!(fleet.owned(newcomer) <= fair, "owns {}", fleet.owned(newcomer));
-        let (most, _) = fleet.imbalance();
-        assert!(most < 1.4, "{most}");
+        let (max, _) = fleet.imbalance();
+        assert!(max < 1.4, "{max}");
     }
     assert!(fleet.owned(newcomer) >= fair * 7 / 10, "owns {}", fleet.owned(newcomer));
     assert!(fleet.rate(newcomer) > 0.5 * 3_000.0 / 7.0, "{}", fleet.rate(newcomer));
@@ -106,12 +107,12 @@
 // is like the others'. Requests pile up in front of it, and that is what makes it give units away.
 #[test]
 fn a_slow_server_gives_units_away() {
-    let mut fleet = Fleet::new(5, Shape::default());
-    fleet.play(MINUTE);
+    let mut fleet = Fleet::new(5, FleetSettings::default());
+    fleet.run(MINUTE);
     let slow = fleet.members()[2];
     let before = fleet.owned(slow);
     fleet.slow_down(slow, 5.0);
-    fleet.play(4 * MINUTE);
+    fleet.run(4 * MINUTE);
     assert!(fleet.owned(slow) < before * 8 / 10, "{} of {before}", fleet.owned(slow));
     assert!(fleet.moved.iter().all(|(_, _, to)| *to != slow));
 }
@@ -122,10 +123,10 @@
 fn a_heavier_weight_on_churn_moves_fewer_units() {
     let moved = |policy, churn| {
         let weights = Weights { churn, downtime: 100 };
-        let shape = Shape { policy, weights, skew: 0.5, ..Shape::default() };
-        let mut fleet = Fleet::new(6, shape);
-        fleet.heat_up(vec![(RUSH, 0.08)]);
-        fleet.play(5 * MINUTE);
+        let settings = FleetSettings { policy, weights, skew: 0.5, ..FleetSettings::default() };
+        let mut fleet = Fleet::new(6, settings);
+        fleet.set_hot_keys(vec![(HOT_KEY, 0.08)]);
+        fleet.run(5 * MINUTE);
         fleet.moved.len()
     };
     let light = moved(Policy::Weighted, 100);
@@ -139,42 +140,43 @@
 // minutes later. All thirteen must be known within a minute, without a counter for each key.
 #[test]
 fn the_hottest_keys_are_found_within_a_minute() {
-    let mut heat = RequestRates::new(Time::ZERO, RateSettings::default());
+    let mut rates = RequestRates::new(Time::ZERO, RateSettings::default());
     let mut rng = StdRng::seed_from_u64(7);
     let mut now = Time::ZERO;
-    for rush in 0..2_u64 {
+    for round in 0..2_u64 {
         for _ in 0..60_000 {
             now = now + MINUTE / 60_000;
             let key = if rng.random_bool(0.13) {
-                KeyHash(u64::MAX - rush * 13 - rng.random_range(0..13))
+                KeyHash(u64::MAX - round * 13 - rng.random_range(0..13))
             } else {
                 KeyHash(rng.random_range(0..1_000_000))
             };
-            heat.record(now, UnitId::slot(key.slot(64)), key);
+            rates.record(now, UnitId::slot(key.slot(64)), key);
         }
-        let hot = heat.hot_keys(now, 5.0);
+        let hot = rates.hot_keys(now, 5.0);
         let mut keys: Vec<_> = hot.iter().take(13).map(|hot| u64::MAX - hot.key.0).collect();
         keys.sort_unstable();
-        assert_eq!(keys, (rush * 13..rush * 13 + 13).collect::<Vec<_>>());
+        assert_eq!(keys, (round * 13..round * 13 + 13).collect::<Vec<_>>());
         // Each gets 10 requests a second.
         assert!(hot[..13].iter().all(|hot| (5.0..15.0).contains(&hot.rate)), "{hot:?}");
     }
     // Keys that were asked for once share counters with many others; none of them may look hot.
-    assert!(heat.hot_keys(now, 0.4).len() <= 26, "{:?}", heat.hot_keys(now, 0.4));
-    let total = heat.total(now);
+    assert!(rates.hot_keys(now, 0.4).len() <= 26, "{:?}", rates.hot_keys(now, 0.4));
+    let total = rates.total(now);
     assert!((total - 1_000.0).abs() < 20.0, "{total}");
-    assert!(heat.total(now + MINUTE) < 20.0);
+    assert!(rates.total(now + MINUTE) < 20.0);
 }
 
 // A lost server's units pass to their standbys. Load is even again in minutes, with few more moves.
 #[test]
 fn the_loss_of_a_member_is_levelled_out() {
-    let mut fleet = Fleet::new(8, Shape { members: 19, slots: 1_024, ..Shape::default() });
-    fleet.play(MINUTE);
+    let mut fleet =
+        Fleet::new(8, FleetSettings { members: 19, slots: 1_024, ..FleetSettings::default() });
+    fleet.run(MINUTE);
     let before = fleet.moved.len();
     let lost: MemberId = fleet.members()[3];
-    fleet.lose(lost);
-    fleet.play(4 * MINUTE);
+    fleet.lose_member(lost);
+    fleet.run(4 * MINUTE);
     assert!(fleet.imbalance().0 < 1.3, "{:?}", fleet.imbalance());
     assert!(fleet.moved.len() - before <= fleet.forced, "{} moves", fleet.moved.len() - before);
 }
--- a/acaciaring_core/tests/choice.rs
+++ b/acaciaring_core/tests/choice.rs
@@ -12,49 +12,49 @@
 
 /// Four servers that answer at fixed speeds, and one entry that chooses among them.
 struct Fleet {
-    choice: Selector,
+    selector: Selector,
     rng: StdRng,
     now: Time,
     /// Milliseconds between two requests.
-    gap: u64,
+    interval_ms: u64,
     /// True when members report with each answer; else every 100 ms and on nothing else.
-    answers: bool,
+    piggybacked: bool,
     /// Requests that each member runs at once.
     slots: BTreeMap<MemberId, u32>,
     /// Answer time of each member, in milliseconds; none when it fails at once.
-    speeds: BTreeMap<MemberId, Option<u64>>,
+    latencies: BTreeMap<MemberId, Option<u64>>,
     /// When requests in flight end.
-    flying: Vec<(Time, MemberId, Duration)>,
+    in_flight: Vec<(Time, MemberId, Duration)>,
     counts: BTreeMap<MemberId, u32>,
 }
 
 impl Fleet {
     fn new() -> Self {
         Self {
-            choice: Selector::new(SelectorSettings::default()),
+            selector: Selector::new(SelectorSettings::default()),
             rng: StdRng::seed_from_u64(5),
             now: Time::ZERO,
-            gap: 1,
-            answers: false,
+            interval_ms: 1,
+            piggybacked: false,
             slots: MEMBERS.map(|id| (id, 20)).into(),
-            speeds: MEMBERS.map(|id| (id, Some(20))).into(),
-            flying: Vec::new(),
+            latencies: MEMBERS.map(|id| (id, Some(20))).into(),
+            in_flight: Vec::new(),
             counts: BTreeMap::new(),
         }
     }
 
     /// Sends requests at the set pace.
-    fn play(&mut self, millis: u64) -> BTreeMap<MemberId, u32> {
+    fn run(&mut self, millis: u64) -> BTreeMap<MemberId, u32> {
         self.counts.clear();
         for milli in 0..millis {
             self.now = self.now + Duration::from_millis(1);
-            self.land();
-            if !self.answers && self.now.since_start().as_millis().is_multiple_of(100) {
+            self.complete_due();
+            if !self.piggybacked && self.now.since_start().as_millis().is_multiple_of(100) {
                 for id in MEMBERS {
                     self.report(id);
                 }
             }
-            if milli.is_multiple_of(self.gap) {
+            if milli.is_multiple_of(self.interval_ms) {
                 self.send();
             }
         }
@@ -62,33 +62,33 @@
     }
 
     fn report(&mut self, id: MemberId) {
-        let busy = self.flying.iter().filter(|(_, member, _)| *member == id).count();
-        self.choice.report(self.now, id, u32::try_from(busy).unwrap(), self.slots[&id]);
+        let busy = self.in_flight.iter().filter(|(_, member, _)| *member == id).count();
+        self.selector.report(self.now, id, u32::try_from(busy).unwrap(), self.slots[&id]);
     }
 
-    fn land(&mut self) {
+    fn complete_due(&mut self) {
         let now = self.now;
-        let (landed, flying) = self.flying.drain(..).partition(|(end, ..)| *end <= now);
-        self.flying = flying;
-        let landed: Vec<_> = landed;
-        for (_, member, took) in landed {
-            self.choice.done(now, member, Outcome::Answered(took));
-            if self.answers {
+        let (completed, in_flight) = self.in_flight.drain(..).partition(|(end, ..)| *end <= now);
+        self.in_flight = in_flight;
+        let completed: Vec<_> = completed;
+        for (_, member, took) in completed {
+            self.selector.done(now, member, Outcome::Answered(took));
+            if self.piggybacked {
                 self.report(member);
             }
         }
     }
 
     fn send(&mut self) {
-        let Some(id) = self.choice.choose(self.now, &mut self.rng, &MEMBERS, &[]) else { return };
+        let Some(id) = self.selector.choose(self.now, &mut self.rng, &MEMBERS, &[]) else { return };
         *self.counts.entry(id).or_default() += 1;
-        self.choice.sent(self.now, id);
-        match self.speeds[&id] {
+        self.selector.sent(self.now, id);
+        match self.latencies[&id] {
             Some(millis) => {
                 let took = Duration::from_millis(millis);
-                self.flying.push((self.now + took, id, took));
+                self.in_flight.push((self.now + took, id, took));
             }
-            None => self.choice.done(self.now, id, Outcome::Failed),
+            None => self.selector.done(self.now, id, Outcome::Failed),
         }
     }
 }
@@ -101,7 +101,7 @@
 #[test]
 fn equal_members_get_equal_shares() {
     let mut fleet = Fleet::new();
-    let counts = fleet.play(20_000);
+    let counts = fleet.run(20_000);
     for id in MEMBERS {
         assert!((share(&counts, id) - 0.25).abs() < 0.02, "{counts:?}");
     }
@@ -112,28 +112,28 @@
 #[test]
 fn a_slow_member_is_avoided_and_found_again() {
     let mut fleet = Fleet::new();
-    fleet.play(5_000);
-    fleet.speeds.insert(MEMBERS[0], Some(200));
-    fleet.play(2_000);
-    let slow = share(&fleet.play(10_000), MEMBERS[0]);
+    fleet.run(5_000);
+    fleet.latencies.insert(MEMBERS[0], Some(200));
+    fleet.run(2_000);
+    let slow = share(&fleet.run(10_000), MEMBERS[0]);
     assert!(slow > 0.0 && slow < 0.1, "{slow}");
-    fleet.speeds.insert(MEMBERS[0], Some(20));
-    fleet.play(10_000);
-    let again = share(&fleet.play(10_000), MEMBERS[0]);
+    fleet.latencies.insert(MEMBERS[0], Some(20));
+    fleet.run(10_000);
+    let again = share(&fleet.run(10_000), MEMBERS[0]);
     assert!(again > 0.2, "{again}");
 }
 
 // One answer took ten seconds. No later answer corrects that, because nothing is sent to a server that
 // looks so slow; the old measurement must fade by itself.
 #[test]
-fn an_old_latency_fades() {
+fn an_old_latency_decays() {
     let mut fleet = Fleet::new();
-    fleet.choice.sent(Time::ZERO, MEMBERS[0]);
-    fleet.choice.done(Time::ZERO, MEMBERS[0], Outcome::Answered(Duration::from_secs(100)));
-    fleet.play(2_000);
-    assert_eq!(fleet.play(1_000).get(&MEMBERS[0]), None);
-    fleet.play(120_000);
-    assert!(share(&fleet.play(5_000), MEMBERS[0]) > 0.2);
+    fleet.selector.sent(Time::ZERO, MEMBERS[0]);
+    fleet.selector.done(Time::ZERO, MEMBERS[0], Outcome::Answered(Duration::from_secs(100)));
+    fleet.run(2_000);
+    assert_eq!(fleet.run(1_000).get(&MEMBERS[0]), None);
+    fleet.run(120_000);
+    assert!(share(&fleet.run(5_000), MEMBERS[0]) > 0.2);
 }
 
 // A server refuses all connections at once. Failing fast, it would look like the fastest of all and draw
@@ -141,13 +141,13 @@
 #[test]
 fn a_member_that_fails_fast_does_not_draw_requests() {
     let mut fleet = Fleet::new();
-    fleet.speeds.insert(MEMBERS[0], None);
-    fleet.play(2_000);
-    let down = share(&fleet.play(20_000), MEMBERS[0]);
+    fleet.latencies.insert(MEMBERS[0], None);
+    fleet.run(2_000);
+    let down = share(&fleet.run(20_000), MEMBERS[0]);
     assert!(down < 0.005, "{down}");
-    fleet.speeds.insert(MEMBERS[0], Some(20));
-    fleet.play(10_000);
-    assert!(share(&fleet.play(10_000), MEMBERS[0]) > 0.2);
+    fleet.latencies.insert(MEMBERS[0], Some(20));
+    fleet.run(10_000);
+    assert!(share(&fleet.run(10_000), MEMBERS[0]) > 0.2);
 }
 
 // A server has just started and its caches are cold. It gets few requests at first and its full share
@@ -155,10 +155,10 @@
 #[test]
 fn a_cold_member_is_ramped_up() {
     let mut fleet = Fleet::new();
-    fleet.choice.join(Time::ZERO, MEMBERS[0], true);
-    let early = share(&fleet.play(1_000), MEMBERS[0]);
-    fleet.play(10_000);
-    let warm = share(&fleet.play(5_000), MEMBERS[0]);
+    fleet.selector.join(Time::ZERO, MEMBERS[0], true);
+    let early = share(&fleet.run(1_000), MEMBERS[0]);
+    fleet.run(10_000);
+    let warm = share(&fleet.run(5_000), MEMBERS[0]);
     assert!(early < 0.1, "{early}");
     assert!((warm - 0.25).abs() < 0.03, "{warm}");
 }
@@ -168,15 +168,15 @@
 // It is tried now and then, seldom enough that few callers wait for it.
 #[test]
 fn a_newcomer_that_was_slow_while_cold_is_used_soon() {
-    let mut fleet = Fleet { gap: 4, answers: true, ..Fleet::new() };
-    fleet.speeds.insert(MEMBERS[0], Some(200));
+    let mut fleet = Fleet { interval_ms: 4, piggybacked: true, ..Fleet::new() };
+    fleet.latencies.insert(MEMBERS[0], Some(200));
     fleet.slots.insert(MEMBERS[0], 2);
-    fleet.play(1_000);
-    let cold = share(&fleet.play(3_000), MEMBERS[0]);
-    fleet.speeds.insert(MEMBERS[0], Some(20));
+    fleet.run(1_000);
+    let cold = share(&fleet.run(3_000), MEMBERS[0]);
+    fleet.latencies.insert(MEMBERS[0], Some(20));
     fleet.slots.insert(MEMBERS[0], 20);
-    fleet.play(4_000);
-    let warm = share(&fleet.play(2_000), MEMBERS[0]);
+    fleet.run(4_000);
+    let warm = share(&fleet.run(2_000), MEMBERS[0]);
     println!("share {cold} while cold, {warm} from the fourth second on");
     assert!(cold < 0.05, "{cold}");
     assert!(warm > 0.15, "{warm}");
@@ -187,12 +187,12 @@
 #[test]
 fn a_member_that_sheds_is_left_alone_until_its_time() {
     let mut fleet = Fleet::new();
-    fleet.choice.shed(Time::ZERO, MEMBERS[0], Duration::from_secs(2));
-    let counts = fleet.play(1_999);
+    fleet.selector.shed(Time::ZERO, MEMBERS[0], Duration::from_secs(2));
+    let counts = fleet.run(1_999);
     assert_eq!(counts.get(&MEMBERS[0]), None);
     let now = Time::from_millis(1_999);
-    assert_eq!(fleet.choice.choose(now, &mut fleet.rng, &MEMBERS, &MEMBERS[1..]), None);
-    assert!(share(&fleet.play(2_000), MEMBERS[0]) > 0.2);
+    assert_eq!(fleet.selector.choose(now, &mut fleet.rng, &MEMBERS, &MEMBERS[1..]), None);
+    assert!(share(&fleet.run(2_000), MEMBERS[0]) > 0.2);
 }
 
 // This process's own network fails and each member seems to fail. Quarantine for all would be an outage
@@ -201,9 +201,9 @@
 fn failures_of_all_members_leave_some_choice() {
     let mut fleet = Fleet::new();
     for id in MEMBERS {
-        fleet.choice.sent(Time::ZERO, id);
-        fleet.choice.done(Time::ZERO, id, Outcome::Failed);
+        fleet.selector.sent(Time::ZERO, id);
+        fleet.selector.done(Time::ZERO, id, Outcome::Failed);
     }
-    assert!(fleet.choice.choose(Time::ZERO, &mut fleet.rng, &MEMBERS, &[]).is_some());
-    assert_eq!(fleet.choice.choose(Time::ZERO, &mut fleet.rng, &MEMBERS, &MEMBERS), None);
+    assert!(fleet.selector.choose(Time::ZERO, &mut fleet.rng, &MEMBERS, &[]).is_some());
+    assert_eq!(fleet.selector.choose(Time::ZERO, &mut fleet.rng, &MEMBERS, &MEMBERS), None);
 }
--- a/acaciaring_core/tests/choice_near.rs
+++ b/acaciaring_core/tests/choice_near.rs
@@ -11,99 +11,99 @@
 
 /// Members in all, and of them in each data centre.
 const MEMBERS: usize = 8;
-const CENTRE: usize = 2;
+const CENTRE_SIZE: usize = 2;
 
 const SLOTS: u32 = 10;
 
 /// Members that are an entry and an upstream each, in data centres of two.
 struct Mesh {
-    choices: Vec<Selector>,
+    selectors: Vec<Selector>,
     rng: StdRng,
     now: Time,
     /// Requests at each upstream.
     busy: [u32; MEMBERS],
     /// Answer time of each upstream in milliseconds.
-    speeds: [u64; MEMBERS],
+    latencies: [u64; MEMBERS],
     /// End, entry, member and time of each request in flight.
-    flying: Vec<(Time, usize, usize, Duration)>,
+    in_flight: Vec<(Time, usize, usize, Duration)>,
     /// Requests by entry and member.
     sent: BTreeMap<(usize, usize), u32>,
     /// Most requests at each upstream.
-    most: [u32; MEMBERS],
+    max_busy: [u32; MEMBERS],
     near: bool,
 }
 
 impl Mesh {
     fn new() -> Self {
         Self {
-            choices: (0..MEMBERS).map(|_| Selector::new(SelectorSettings::default())).collect(),
+            selectors: (0..MEMBERS).map(|_| Selector::new(SelectorSettings::default())).collect(),
             rng: StdRng::seed_from_u64(7),
             now: Time::ZERO,
             busy: [0; MEMBERS],
-            speeds: [20; MEMBERS],
-            flying: Vec::new(),
+            latencies: [20; MEMBERS],
+            in_flight: Vec::new(),
             sent: BTreeMap::new(),
-            most: [0; MEMBERS],
+            max_busy: [0; MEMBERS],
             near: true,
         }
     }
 
     /// Plays a span in which each entry gets so many requests in ten milliseconds.
-    fn play(&mut self, millis: u64, rates: [u32; MEMBERS]) {
+    fn run(&mut self, millis: u64, rates: [u32; MEMBERS]) {
         self.sent.clear();
-        self.most = self.busy;
-        let mut owed = [0; MEMBERS];
+        self.max_busy = self.busy;
+        let mut credit = [0; MEMBERS];
         for _ in 0..millis {
             self.now = self.now + Duration::from_millis(1);
-            self.land();
+            self.complete_due();
             for entry in 0..MEMBERS {
-                owed[entry] += rates[entry];
-                while owed[entry] >= 10 {
-                    owed[entry] -= 10;
+                credit[entry] += rates[entry];
+                while credit[entry] >= 10 {
+                    credit[entry] -= 10;
                     self.send(entry);
                 }
             }
         }
     }
 
-    fn land(&mut self) {
+    fn complete_due(&mut self) {
         let now = self.now;
-        let (landed, flying): (Vec<_>, Vec<_>) =
-            self.flying.drain(..).partition(|(end, ..)| *end <= now);
-        self.flying = flying;
-        for (_, entry, member, took) in landed {
+        let (completed, in_flight): (Vec<_>, Vec<_>) =
+            self.in_flight.drain(..).partition(|(end, ..)| *end <= now);
+        self.in_flight = in_flight;
+        for (_, entry, member, took) in completed {
             self.busy[member] -= 1;
-            let choice = &mut self.choices[entry];
-            choice.done(now, id(member), Outcome::Answered(took));
-            choice.report(now, id(member), self.busy[member], SLOTS);
+            let selector = &mut self.selectors[entry];
+            selector.done(now, id(member), Outcome::Answered(took));
+            selector.report(now, id(member), self.busy[member], SLOTS);
         }
     }
 
     fn send(&mut self, entry: usize) {
         let all: Vec<_> = (0..MEMBERS).map(id).collect();
-        let centre = entry / CENTRE * CENTRE;
+        let first = entry / CENTRE_SIZE * CENTRE_SIZE;
         let own = LocalMember { member: id(entry), busy: self.busy[entry], capacity: SLOTS };
-        let near = NearbyMembers { local: Some(own), others: &all[centre..centre + CENTRE] };
-        let choice = &mut self.choices[entry];
+        let near = NearbyMembers { local: Some(own), others: &all[first..first + CENTRE_SIZE] };
+        let selector = &mut self.selectors[entry];
         let near = if self.near { near } else { NearbyMembers::default() };
-        let target = choice.choose_near(self.now, &mut self.rng, near, &all, &[]);
+        let target = selector.choose_near(self.now, &mut self.rng, near, &all, &[]);
         let target = target.expect("all members are open");
-        choice.sent(self.now, target);
+        selector.sent(self.now, target);
         let member = (0..MEMBERS).find(|member| id(*member) == target).unwrap();
         self.busy[member] += 1;
-        self.most[member] = self.most[member].max(self.busy[member]);
+        self.max_busy[member] = self.max_busy[member].max(self.busy[member]);
         // What finds no slot waits for those before it.
         let turns = u64::from(self.busy[member].div_ceil(SLOTS));
-        let took = Duration::from_millis(self.speeds[member] * turns);
-        self.flying.push((self.now + took, entry, member, took));
+        let took = Duration::from_millis(self.latencies[member] * turns);
+        self.in_flight.push((self.now + took, entry, member, took));
         *self.sent.entry((entry, member)).or_default() += 1;
     }
 
     /// Share of the requests that passes.
     fn share(&self, passes: impl Fn(usize, usize) -> bool) -> f64 {
         let all: u32 = self.sent.values().sum();
-        let some = self.sent.iter().filter(|((entry, member), _)| passes(*entry, *member));
-        f64::from(some.map(|(_, count)| count).sum::<u32>()) / f64::from(all)
+        let passing = self.sent.iter().filter(|((entry, member), _)| passes(*entry, *member));
+        f64::from(passing.map(|(_, count)| count).sum::<u32>()) / f64::from(all)
     }
 
     /// Share of the requests that each member gets.
@@ -117,7 +117,7 @@
 }
 
 fn same_centre(entry: usize, member: usize) -> bool {
-    entry / CENTRE == member / CENTRE
+    entry / CENTRE_SIZE == member / CENTRE_SIZE
 }
 
 // Every process of a wide deployment is an entry and has an upstream beside it. Each request went to one of
@@ -126,7 +126,7 @@
 #[test]
 fn a_request_stays_where_there_is_room() {
     let mut mesh = Mesh::new();
-    mesh.play(10_000, [2; MEMBERS]);
+    mesh.run(10_000, [2; MEMBERS]);
     let stays = mesh.share(|entry, member| entry == member);
     assert!(stays > 0.9, "{stays}");
 }
@@ -141,12 +141,12 @@
     let mut most = [0; 2];
     for near in [false, true] {
         let mut mesh = Mesh { near, ..Mesh::new() };
-        mesh.play(1_000, rates);
-        mesh.play(10_000, rates);
+        mesh.run(1_000, rates);
+        mesh.run(10_000, rates);
         let shares = mesh.shares();
-        println!("near {near}: {shares:?}, most {:?}", mesh.most);
+        println!("near {near}: {shares:?}, most {:?}", mesh.max_busy);
         assert!(shares.iter().all(|share| *share > 0.08 && *share < 0.2), "{shares:?}");
-        most[usize::from(near)] = mesh.most.into_iter().max().unwrap();
+        most[usize::from(near)] = mesh.max_busy.into_iter().max().unwrap();
     }
     assert!(most[1] <= most[0] + 3, "{most:?}");
 }
@@ -156,15 +156,15 @@
 #[test]
 fn a_slow_own_upstream_gets_less() {
     let mut mesh = Mesh::new();
-    mesh.play(5_000, [2; MEMBERS]);
-    mesh.speeds[0] = 200;
-    mesh.play(3_000, [2; MEMBERS]);
-    mesh.play(10_000, [2; MEMBERS]);
+    mesh.run(5_000, [2; MEMBERS]);
+    mesh.latencies[0] = 200;
+    mesh.run(3_000, [2; MEMBERS]);
+    mesh.run(10_000, [2; MEMBERS]);
     let slow = mesh.share(|_, member| member == 0);
     assert!(slow > 0.0 && slow < 0.06, "{slow}");
-    mesh.speeds[0] = 20;
-    mesh.play(20_000, [2; MEMBERS]);
-    mesh.play(5_000, [2; MEMBERS]);
+    mesh.latencies[0] = 20;
+    mesh.run(20_000, [2; MEMBERS]);
+    mesh.run(5_000, [2; MEMBERS]);
     let again = mesh.share(|_, member| member == 0);
     assert!(again > 0.1, "{again}");
 }
@@ -172,29 +172,29 @@
 // The own upstream sheds load, fails, or has no place left: the request goes to the neighbour. Both are full:
 // it goes to another data centre, and so it does when a member there has more room than one that is half full.
 #[test]
-fn a_near_member_that_cannot_take_it_is_passed_by() {
+fn an_unavailable_near_member_is_skipped() {
     let mut rng = StdRng::seed_from_u64(3);
     let all = [id(0), id(1), id(2)];
     let own = |busy, capacity| Some(LocalMember { member: id(0), busy, capacity });
-    let mut choice = Selector::new(SelectorSettings::default());
-    let mut choose = |choice: &Selector, own, exclude: &[MemberId]| {
+    let mut selector = Selector::new(SelectorSettings::default());
+    let mut choose = |selector: &Selector, own, exclude: &[MemberId]| {
         let near = NearbyMembers { local: own, others: &all[..2] };
-        choice.choose_near(Time::ZERO, &mut rng, near, &all, exclude).unwrap()
+        selector.choose_near(Time::ZERO, &mut rng, near, &all, exclude).unwrap()
     };
-    assert_eq!(choose(&choice, own(0, SLOTS), &[]), id(0));
-    assert_eq!(choose(&choice, own(0, SLOTS), &[id(0)]), id(1));
-    assert_eq!(choose(&choice, own(0, 0), &[id(0)]), id(1));
-    choice.sent(Time::ZERO, id(0));
-    choice.done(Time::ZERO, id(0), Outcome::Failed);
-    assert_eq!(choose(&choice, own(0, SLOTS), &[]), id(1));
-    choice.report(Time::ZERO, id(1), 7, SLOTS);
-    choice.report(Time::ZERO, id(2), 8, SLOTS);
-    assert_eq!(choose(&choice, own(0, SLOTS), &[]), id(1));
-    choice.report(Time::ZERO, id(2), 2, SLOTS);
-    assert_eq!(choose(&choice, own(0, SLOTS), &[]), id(2));
-    choice.report(Time::ZERO, id(1), SLOTS, SLOTS);
-    choice.report(Time::ZERO, id(2), SLOTS - 1, SLOTS);
-    assert_eq!(choose(&choice, own(0, SLOTS), &[]), id(2));
+    assert_eq!(choose(&selector, own(0, SLOTS), &[]), id(0));
+    assert_eq!(choose(&selector, own(0, SLOTS), &[id(0)]), id(1));
+    assert_eq!(choose(&selector, own(0, 0), &[id(0)]), id(1));
+    selector.sent(Time::ZERO, id(0));
+    selector.done(Time::ZERO, id(0), Outcome::Failed);
+    assert_eq!(choose(&selector, own(0, SLOTS), &[]), id(1));
+    selector.report(Time::ZERO, id(1), 7, SLOTS);
+    selector.report(Time::ZERO, id(2), 8, SLOTS);
+    assert_eq!(choose(&selector, own(0, SLOTS), &[]), id(1));
+    selector.report(Time::ZERO, id(2), 2, SLOTS);
+    assert_eq!(choose(&selector, own(0, SLOTS), &[]), id(2));
+    selector.report(Time::ZERO, id(1), SLOTS, SLOTS);
+    selector.report(Time::ZERO, id(2), SLOTS - 1, SLOTS);
+    assert_eq!(choose(&selector, own(0, SLOTS), &[]), id(2));
 }
 
 proptest! {
@@ -203,7 +203,7 @@
     /// However callers are spread, half of what all can carry overloads no upstream for long, and more
     /// stays in its data centre than without the preference.
     #[test]
-    fn uneven_callers_overload_nobody(weights in proptest::array::uniform8(0_u32..20)) {
+    fn uneven_callers_overload_no_upstream(weights in proptest::array::uniform8(0_u32..20)) {
         let total: u32 = weights.iter().sum();
         prop_assume!(total > 0);
         // Twenty requests in ten milliseconds are half of eighty slots of twenty milliseconds.
@@ -212,9 +212,9 @@
         let mut stay = [0.0; 2];
         for near in [false, true] {
             let mut mesh = Mesh { near, ..Mesh::new() };
-            mesh.play(2_000, rates);
-            mesh.play(4_000, rates);
-            prop_assert!(mesh.most.iter().all(|most| *most <= SLOTS * 2), "{:?}", mesh.most);
+            mesh.run(2_000, rates);
+            mesh.run(4_000, rates);
+            prop_assert!(mesh.max_busy.iter().all(|max| *max <= SLOTS * 2), "{:?}", mesh.max_busy);
             stay[usize::from(near)] = mesh.share(same_centre);
         }
         prop_assert!(stay[1] > stay[0], "{stay:?}");
--- a/acaciaring_core/tests/dedup.rs
+++ b/acaciaring_core/tests/dedup.rs
@@ -67,7 +67,7 @@
 // The owner's VM is lost while an issuance runs. The standby was told of it before the run, but not of
 // its end. It answers "may have run"; what it was never told of did not run and runs.
 #[test]
-fn a_crash_leaves_noted_requests_unknown() {
+fn a_crash_leaves_requests_with_an_intent_unknown() {
     let (mut owner, mut standby) = pair();
     assert_eq!(owner.begin(NOW, id(1), UNIT), Begin::Run);
     assert!(standby.intent(NOW, id(1), UNIT, 5));
@@ -160,7 +160,7 @@
 // The owner had to drop an answer that the standby still has, and then syncs the standby or moves to it.
 // The answer must not be lost a second time.
 #[test]
-fn what_is_known_better_is_kept() {
+fn a_known_answer_is_not_lost_by_a_sync() {
     let (mut owner, mut standby) = pair();
     assert_eq!(owner.begin(NOW, id(1), UNIT), Begin::Run);
     assert!(standby.intent(NOW, id(1), UNIT, 5));
@@ -194,7 +194,7 @@
 // A note whose outcome was lost on the way is kept for twice the window, then forgotten. Else the
 // standby's memory would fill with requests that ended long ago.
 #[test]
-fn a_note_without_outcome_fades() {
+fn an_intent_without_outcome_expires() {
     let (_, mut standby) = pair();
     assert!(standby.intent(NOW, id(1), UNIT, 5));
     standby.expire(NOW + WINDOW);
--- a/acaciaring_core/tests/dedup_property.rs
+++ b/acaciaring_core/tests/dedup_property.rs
@@ -15,15 +15,15 @@
 enum Step {
     Wait(u64),
     /// A try reaches the owner; `reply` is false when the standby's reply is lost.
-    Try {
+    Attempt {
         id: u8,
         reply: bool,
     },
     /// A request that runs ends; `told` is false when the standby does not hear of it yet.
     End {
         id: u8,
-        ending: Ending,
-        told: bool,
+        completion: Completion,
+        notified: bool,
     },
     /// The owner moves the unit to its standby.
     Move,
@@ -39,19 +39,24 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ending {
+enum Completion {
     Answered,
     Unknown,
     NotRun,
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let ending = prop_oneof![Just(Ending::Answered), Just(Ending::Unknown), Just(Ending::NotRun)];
+    let completion = prop_oneof![
+        Just(Completion::Answered),
+        Just(Completion::Unknown),
+        Just(Completion::NotRun)
+    ];
     prop_oneof![
         2 => (1u64..200).prop_map(Step::Wait),
-        12 => (0..IDS, prop::bool::weighted(0.8)).prop_map(|(id, reply)| Step::Try { id, reply }),
-        8 => (0..IDS, ending, any::<bool>())
-            .prop_map(|(id, ending, told)| Step::End { id, ending, told }),
+        12 => (0..IDS, prop::bool::weighted(0.8))
+            .prop_map(|(id, reply)| Step::Attempt { id, reply }),
+        8 => (0..IDS, completion, any::<bool>())
+            .prop_map(|(id, completion, notified)| Step::End { id, completion, notified }),
         2 => Just(Step::Move),
         2 => Just(Step::Crash),
         1 => Just(Step::CrashBoth),
@@ -62,7 +67,7 @@
 }
 
 /// Owner and standby of one unit, and what has really run.
-struct World {
+struct Simulation {
     settings: DedupSettings,
     now: Time,
     version: u64,
@@ -71,33 +76,33 @@
     /// Given to the upstream at the present owner and not ended.
     running: BTreeSet<u8>,
     /// When each request ended that has run, or was lost while it ran.
-    ran: [Option<Time>; IDS as usize],
-    last: Option<(u8, Option<(u8, usize)>)>,
+    ended: [Option<Time>; IDS as usize],
+    last_outcome: Option<(u8, Option<(u8, usize)>)>,
 }
 
 fn id(n: u8) -> RequestId {
     RequestId([n; 16])
 }
 
-impl World {
+impl Simulation {
     fn new(bytes: usize) -> Self {
         let settings = DedupSettings { window: Duration::from_secs(1), max_bytes: bytes };
         let mut owner = DedupTable::new(settings.clone());
         owner.become_first_owner(UNIT);
         let standby = DedupTable::new(settings.clone());
         let now = Time::from_millis(10_000);
-        let mut world = Self {
+        let mut simulation = Self {
             settings,
             now,
             version: 1,
             owner,
             standby,
             running: BTreeSet::new(),
-            ran: [None; IDS as usize],
-            last: None,
+            ended: [None; IDS as usize],
+            last_outcome: None,
         };
-        world.new_standby();
-        world
+        simulation.new_standby();
+        simulation
     }
 
     fn new_standby(&mut self) {
@@ -109,15 +114,15 @@
     fn step(&mut self, step: &Step) {
         match step {
             Step::Wait(millis) => self.now = self.now + Duration::from_millis(*millis),
-            Step::Try { id, reply } => self.attempt(*id, *reply),
-            Step::End { id, ending, told } => self.end(*id, *ending, *told),
+            Step::Attempt { id, reply } => self.attempt(*id, *reply),
+            Step::End { id, completion, notified } => self.end(*id, *completion, *notified),
             Step::Move => {
                 while let Some(id) = self.running.first().copied() {
-                    self.end(id, Ending::Answered, false);
+                    self.end(id, Completion::Answered, false);
                 }
                 let entries = self.owner.export(self.now, UNIT);
-                let blind = self.owner.gap(self.now, UNIT);
-                self.standby.become_owner(self.now, UNIT, entries, blind);
+                let gap = self.owner.gap(self.now, UNIT);
+                self.standby.become_owner(self.now, UNIT, entries, gap);
                 self.version += 1;
                 self.owner.become_standby(UNIT, self.version);
                 std::mem::swap(&mut self.owner, &mut self.standby);
@@ -137,11 +142,11 @@
             Step::Handoff => self.new_standby(),
             Step::Sync => {
                 let entries = self.owner.export(self.now, UNIT);
-                let blind = self.owner.gap(self.now, UNIT);
-                self.standby.sync(self.now, UNIT, entries, blind);
+                let gap = self.owner.gap(self.now, UNIT);
+                self.standby.sync(self.now, UNIT, entries, gap);
             }
             Step::Repeat => {
-                if let Some((n, answer)) = self.last {
+                if let Some((n, answer)) = self.last_outcome {
                     self.standby.outcome(self.now, id(n), UNIT, answer);
                 }
             }
@@ -157,7 +162,7 @@
                 }
                 let window = self.settings.window;
                 let again =
-                    self.ran[usize::from(n)].is_some_and(|end| self.now.since(end) < window);
+                    self.ended[usize::from(n)].is_some_and(|end| self.now.since(end) < window);
                 assert!(!again && !self.running.contains(&n), "request {n} runs twice");
                 self.running.insert(n);
             }
@@ -167,31 +172,31 @@
         }
     }
 
-    fn end(&mut self, n: u8, ending: Ending, told: bool) {
+    fn end(&mut self, n: u8, completion: Completion, notified: bool) {
         if !self.running.remove(&n) {
             return;
         }
-        let answer = match ending {
-            Ending::NotRun => return self.owner.not_run(id(n), UNIT),
-            Ending::Answered => {
+        let answer = match completion {
+            Completion::NotRun => return self.owner.not_run(id(n), UNIT),
+            Completion::Answered => {
                 self.owner.finish(self.now, id(n), UNIT, n, 100);
                 Some((n, 100))
             }
-            Ending::Unknown => {
+            Completion::Unknown => {
                 self.owner.unknown(self.now, id(n), UNIT);
                 None
             }
         };
-        self.ran[usize::from(n)] = Some(self.now);
-        if told {
+        self.ended[usize::from(n)] = Some(self.now);
+        if notified {
             self.standby.outcome(self.now, id(n), UNIT, answer);
-            self.last = Some((n, answer));
+            self.last_outcome = Some((n, answer));
         }
     }
 
     fn lose_running(&mut self) {
         for n in std::mem::take(&mut self.running) {
-            self.ran[usize::from(n)] = Some(self.now);
+            self.ended[usize::from(n)] = Some(self.now);
         }
     }
 }
@@ -209,10 +214,10 @@
         steps in prop::collection::vec(step(), 1..120),
         bytes in prop_oneof![Just(600usize), Just(1_100), Just(1 << 20)],
     ) {
-        let mut world = World::new(bytes);
+        let mut simulation = Simulation::new(bytes);
         for step in &steps {
-            world.step(step);
-            prop_assert!(world.owner.bytes() <= bytes);
+            simulation.step(step);
+            prop_assert!(simulation.owner.bytes() <= bytes);
         }
     }
 }
--- a/acaciaring_core/tests/examples.rs
+++ b/acaciaring_core/tests/examples.rs
@@ -20,12 +20,12 @@
 fn routes(tenant: &str) -> Vec<Route> {
     let templates = read(&format!("{tenant}/templates"), DocumentKind::Template);
     let parameters = read(&format!("{tenant}/parameters"), DocumentKind::Parameters);
-    let fill = |parameters: &Document| {
+    let build_route = |parameters: &Document| {
         let name = parameters.template().expect("parameters name a template");
         let template = templates.iter().find(|template| template.name == *name);
         build(template.expect("the template is there"), parameters).expect("the example builds")
     };
-    parameters.iter().map(fill).collect()
+    parameters.iter().map(build_route).collect()
 }
 
 fn all() -> Routes {
--- a/acaciaring_core/tests/full.rs
+++ b/acaciaring_core/tests/full.rs
@@ -22,45 +22,45 @@
 // clerk's request is more urgent: both may find a place, so both are sent.
 #[test]
 fn a_refusal_holds_for_requests_with_no_more_time() {
-    let mut full = RefusalCache::default();
+    let mut cache = RefusalCache::default();
     let now = Time::from_millis(1_000);
-    full.record(now, ONE, slack(Rank::Bulk, 500, 2_000), ms(320));
-    assert_eq!(full.retry_after(now, ONE, slack(Rank::Bulk, 500, 2_000)), Some(ms(320)));
-    assert_eq!(full.retry_after(now, ONE, slack(Rank::Bulk, 400, 1_000)), Some(ms(320)));
-    assert_eq!(full.retry_after(now, ONE, slack(Rank::Bulk, 501, 2_000)), None);
-    assert_eq!(full.retry_after(now, ONE, slack(Rank::Bulk, 500, 2_001)), None);
-    assert_eq!(full.retry_after(now, ONE, slack(Rank::Interactive, 500, 2_000)), None);
-    assert_eq!(full.retry_after(now, ONE, slack(Rank::Background, 500, 2_000)), None);
-    assert_eq!(full.retry_after(now, TWO, slack(Rank::Bulk, 500, 2_000)), None);
+    cache.record(now, ONE, slack(Rank::Bulk, 500, 2_000), ms(320));
+    assert_eq!(cache.retry_after(now, ONE, slack(Rank::Bulk, 500, 2_000)), Some(ms(320)));
+    assert_eq!(cache.retry_after(now, ONE, slack(Rank::Bulk, 400, 1_000)), Some(ms(320)));
+    assert_eq!(cache.retry_after(now, ONE, slack(Rank::Bulk, 501, 2_000)), None);
+    assert_eq!(cache.retry_after(now, ONE, slack(Rank::Bulk, 500, 2_001)), None);
+    assert_eq!(cache.retry_after(now, ONE, slack(Rank::Interactive, 500, 2_000)), None);
+    assert_eq!(cache.retry_after(now, ONE, slack(Rank::Background, 500, 2_000)), None);
+    assert_eq!(cache.retry_after(now, TWO, slack(Rank::Bulk, 500, 2_000)), None);
 }
 
 // A queue was full for a moment. The place that is free a sixteenth of its time later is found by
 // the next request: callers are not refused for longer than the queue is full.
 #[test]
 fn a_refusal_is_forgotten_soon() {
-    let mut full = RefusalCache::default();
+    let mut cache = RefusalCache::default();
     let now = Time::from_millis(1_000);
     let request = slack(Rank::Bulk, 500, 2_000);
-    full.record(now, ONE, request, ms(320));
-    assert!(full.retry_after(now + ms(19), ONE, request).is_some());
-    assert_eq!(full.retry_after(now + ms(20), ONE, request), None);
+    cache.record(now, ONE, request, ms(320));
+    assert!(cache.retry_after(now + ms(19), ONE, request).is_some());
+    assert_eq!(cache.retry_after(now + ms(20), ONE, request), None);
 }
 
 // Of two lab servers one is full. Requests go to the other one; only when both are full is the
 // caller told to come back, and then at the earlier time of the two.
 #[test]
 fn members_that_are_full_are_left_out() {
-    let mut full = RefusalCache::default();
+    let mut cache = RefusalCache::default();
     let now = Time::from_millis(1_000);
     let request = slack(Rank::Bulk, 500, 2_000);
     let mut members = vec![ONE, TWO];
-    assert_eq!(full.retain(now, &mut members, request), None);
+    assert_eq!(cache.retain(now, &mut members, request), None);
     assert_eq!(members, [ONE, TWO]);
-    full.record(now, ONE, request, ms(320));
-    assert_eq!(full.retain(now, &mut members, request), Some(ms(320)));
+    cache.record(now, ONE, request, ms(320));
+    assert_eq!(cache.retain(now, &mut members, request), Some(ms(320)));
     assert_eq!(members, [TWO]);
-    full.record(now, TWO, request, ms(160));
+    cache.record(now, TWO, request, ms(160));
     let mut members = vec![ONE, TWO];
-    assert_eq!(full.retain(now, &mut members, request), Some(ms(160)));
+    assert_eq!(cache.retain(now, &mut members, request), Some(ms(160)));
     assert!(members.is_empty());
 }
--- a/acaciaring_core/tests/retry.rs
+++ b/acaciaring_core/tests/retry.rs
@@ -66,9 +66,9 @@
         let decision = budget.decide(Time::ZERO, &mut rng, &Failure { redirects, ..redirect });
         assert_eq!(decision, RetryDecision::Retry { after: Duration::ZERO });
     }
-    let over = Failure { redirects: settings.max_redirects + 1, ..redirect };
-    assert_eq!(budget.decide(Time::ZERO, &mut rng, &over), RetryDecision::GiveUp);
-    assert!(matches!(decide(&over), RetryDecision::Retry { after } if after > Duration::ZERO));
+    let exhausted = Failure { redirects: settings.max_redirects + 1, ..redirect };
+    assert_eq!(budget.decide(Time::ZERO, &mut rng, &exhausted), RetryDecision::GiveUp);
+    assert!(matches!(decide(&exhausted), RetryDecision::Retry { after } if after > Duration::ZERO));
 }
 
 // All servers of a service are down and every try fails. Retries must stay a tenth of the requests, or
--- a/acaciaring_core/tests/route.rs
+++ b/acaciaring_core/tests/route.rs
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn an_escape_does_not_lead_around_a_class() {
+fn an_escape_does_not_bypass_a_class() {
     // A caller writes a letter of the path as an escape. The upstream decodes it and signs a
     // commitment; if the router did not, the request would count as one that may be repeated.
     let route = route(TEMPLATE);
@@ -283,7 +283,7 @@
 }
 
 /// Runs a property with a fixed seed, so that its verdict is the same each time.
-fn run<S: Strategy>(strategy: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
+fn check_property<S: Strategy>(strategy: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let config = Config { cases: 512, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     TestRunner::new_with_rng(config, rng).run(&strategy, test).expect("the property holds");
@@ -293,7 +293,7 @@
 fn no_text_makes_the_functions_panic() {
     let line = "(\\[[a-z ]{0,9}\\]|[a-z]{0,5} ?[=:]? ?[a-z0-9${}/%:.]{0,9}|[^\\r]{0,6})";
     let files = (prop::collection::vec(line, 0..12), prop::collection::vec(line, 0..6));
-    run(files, |(first, second)| {
+    check_property(files, |(first, second)| {
         let first = format!("[template]\nname = contracts\n{}", first.join("\n"));
         let second = format!("[workspace]\nname = w\n{}", second.join("\n"));
         let template = parse_any("a", &first);
@@ -309,7 +309,7 @@
 #[test]
 fn a_key_and_its_escaped_form_have_one_owner() {
     let route = route(TEMPLATE);
-    run("[a-zA-Z0-9._~-]{3,12}", |key| {
+    check_property("[a-zA-Z0-9._~-]{3,12}", |key| {
         let escaped = key.bytes().fold(String::new(), |text, byte| format!("{text}%{byte:02X}"));
         let hash = |key: &str| route.key(&format!("/free-state/contracts/orders/{key}"), []);
         prop_assert_eq!(hash(&key), hash(&escaped));
--- a/acaciaring_core/tests/support/fleet.rs
+++ b/acaciaring_core/tests/support/fleet.rs
@@ -13,10 +13,10 @@
 use rand::{Rng, SeedableRng};
 
 /// Requests that one member can run at once.
-const SLOTS: u32 = 20;
+const MEMBER_CAPACITY: u32 = 20;
 
 /// Time that a request takes.
-const SERVICE: Duration = Duration::from_millis(20);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
 /// How members decide on moves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 
 /// Shape of a fleet.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct FleetSettings {
     pub members: u32,
     pub slots: u32,
     /// Requests a second of the whole fleet.
@@ -47,7 +47,7 @@
     pub overlap: usize,
 }
 
-impl Default for Shape {
+impl Default for FleetSettings {
     fn default() -> Self {
         Self {
             members: 6,
@@ -65,7 +65,7 @@
 
 struct Server {
     data_centre: usize,
-    heat: RequestRates,
+    rates: RequestRates,
     history: History,
     /// Requests in the last period.
     count: u32,
@@ -76,7 +76,7 @@
 
 /// Fleet of members.
 pub struct Fleet {
-    shape: Shape,
+    settings: FleetSettings,
     rng: StdRng,
     pub now: Time,
     pub service: Service,
@@ -97,17 +97,17 @@
 }
 
 impl Fleet {
-    pub fn new(seed: u64, shape: Shape) -> Self {
+    pub fn new(seed: u64, settings: FleetSettings) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let weights: Vec<_> =
-            (0..shape.slots).map(|_| (shape.skew * normal(&mut rng)).exp()).collect();
+            (0..settings.slots).map(|_| (settings.skew * normal(&mut rng)).exp()).collect();
         let popularity = weights.iter().scan(0.0, |sum, weight| {
             *sum += weight;
             Some(*sum)
         });
         let service = Service {
             workspace: "test".into(),
-            slots: vec![Assignment::default(); shape.slots as usize],
+            slots: vec![Assignment::default(); settings.slots as usize],
             hot: BTreeMap::new(),
             numeric: false,
         };
@@ -124,9 +124,9 @@
             splits: 0,
             merges: 0,
             unserved: Duration::ZERO,
-            shape,
+            settings,
         };
-        for _ in 0..fleet.shape.members {
+        for _ in 0..fleet.settings.members {
             fleet.add();
         }
         fleet.assign();
@@ -136,8 +136,8 @@
     /// Lets a new member join; it owns nothing yet, but under hashing what falls to it.
     pub fn join(&mut self) -> MemberId {
         let id = self.add();
-        if self.shape.policy == Policy::Hashing {
-            for slot in 0..self.shape.slots {
+        if self.settings.policy == Policy::Hashing {
+            for slot in 0..self.settings.slots {
                 if self.rendezvous(slot) == id {
                     let unit = UnitId::slot(slot);
                     self.service.slots[slot as usize].owner = Some(id);
@@ -149,14 +149,14 @@
     }
 
     /// Loses a member; its units pass to their standbys, new standbys are drawn.
-    pub fn lose(&mut self, id: MemberId) {
+    pub fn lose_member(&mut self, id: MemberId) {
         self.servers.remove(&id);
         let mut units: Vec<_> = self.service.units().map(|(unit, a)| (unit, *a)).collect();
         units.retain(|(_, a)| a.owner == Some(id) || a.standby == Some(id));
         for (unit, mut assignment) in units {
             if assignment.owner == Some(id) {
                 self.forced += 1;
-                assignment.owner = match self.shape.policy {
+                assignment.owner = match self.settings.policy {
                     Policy::Hashing => Some(self.rendezvous(unit.slot)),
                     Policy::Weighted | Policy::Greedy => assignment.standby,
                 };
@@ -172,7 +172,7 @@
     }
 
     /// Makes keys hot, each with a share of all requests.
-    pub fn heat_up(&mut self, hot: Vec<(KeyHash, f64)>) {
+    pub fn set_hot_keys(&mut self, hot: Vec<(KeyHash, f64)>) {
         self.hot = hot;
     }
 
@@ -187,7 +187,7 @@
 
     /// Returns requests a second of a member in the last period.
     pub fn rate(&self, id: MemberId) -> f64 {
-        f64::from(self.servers[&id].count) / self.shape.period.as_secs_f64()
+        f64::from(self.servers[&id].count) / self.settings.period.as_secs_f64()
     }
 
     /// Returns the highest load and the standard deviation, both relative to the mean.
@@ -201,9 +201,9 @@
             }
         }
         let count = f64::from(u32::try_from(loads.len()).unwrap());
-        let most = loads.values().fold(0.0, |most: f64, load| most.max(*load));
+        let max = loads.values().fold(0.0, |max: f64, load| max.max(*load));
         let variance = loads.values().map(|load| (load * count - 1.0).powi(2)).sum::<f64>() / count;
-        (most * count, variance.sqrt())
+        (max * count, variance.sqrt())
     }
 
     /// Returns the share of all requests that a unit is expected to get.
@@ -221,16 +221,16 @@
     }
 
     /// Passes a span in periods: requests come, loads are reported, members plan.
-    pub fn play(&mut self, span: Duration) {
+    pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.serve();
-            self.now = self.now + self.shape.period;
+            self.now = self.now + self.settings.period;
             let members = self.candidates();
             self.report();
             let mut ids = self.members();
             ids.shuffle(&mut self.rng);
-            for group in ids.chunks(self.shape.overlap) {
+            for group in ids.chunks(self.settings.overlap) {
                 for (id, plan) in self.plans(group, &members) {
                     self.apply(id, &plan);
                 }
@@ -243,7 +243,7 @@
         let id = MemberId(self.version);
         let server = Server {
             data_centre: self.servers.len() % 3,
-            heat: RequestRates::new(self.now, RateSettings::default()),
+            rates: RequestRates::new(self.now, RateSettings::default()),
             history: History::default(),
             count: 0,
             slowness: 1.0,
@@ -255,8 +255,8 @@
 
     fn assign(&mut self) {
         let members = self.members();
-        for slot in 0..self.shape.slots {
-            let owner = match self.shape.policy {
+        for slot in 0..self.settings.slots {
+            let owner = match self.settings.policy {
                 Policy::Hashing => self.rendezvous(slot),
                 Policy::Weighted | Policy::Greedy => members[slot as usize % members.len()],
             };
@@ -281,22 +281,24 @@
     }
 
     fn draw_standby(&mut self, owner: Option<MemberId>) -> Option<MemberId> {
-        let place = owner.and_then(|id| self.servers.get(&id)).map(|server| server.data_centre);
-        let far = self.servers.iter().filter(|(_, server)| Some(server.data_centre) != place);
-        let far: Vec<_> = far.map(|(id, _)| *id).collect();
-        far.choose(&mut self.rng).copied()
+        let data_centre =
+            owner.and_then(|id| self.servers.get(&id)).map(|server| server.data_centre);
+        let candidates =
+            self.servers.iter().filter(|(_, server)| Some(server.data_centre) != data_centre);
+        let candidates: Vec<_> = candidates.map(|(id, _)| *id).collect();
+        candidates.choose(&mut self.rng).copied()
     }
 
     fn serve(&mut self) {
         self.servers.values_mut().for_each(|server| server.count = 0);
-        let step = Duration::from_secs_f64(1.0 / self.shape.rate);
+        let step = Duration::from_secs_f64(1.0 / self.settings.rate);
         let mut at = self.now;
-        while at < self.now + self.shape.period {
+        while at < self.now + self.settings.period {
             let key = self.draw_key();
             let unit = self.service.unit_of(key);
             let owner = self.service.assignment(unit).and_then(|a| a.owner).unwrap();
             let server = self.servers.get_mut(&owner).unwrap();
-            server.heat.record(at, unit, key);
+            server.rates.record(at, unit, key);
             server.count += 1;
             at = at + step;
         }
@@ -304,24 +306,24 @@
 
     fn draw_key(&mut self) -> KeyHash {
         let mut share = self.rng.random::<f64>();
-        for (key, of) in &self.hot {
-            if share < *of {
+        for (key, key_share) in &self.hot {
+            if share < *key_share {
                 return *key;
             }
-            share -= of;
+            share -= key_share;
         }
         let total = self.popularity.last().copied().unwrap();
         let point = self.rng.random::<f64>() * total;
         let slot = self.popularity.partition_point(|sum| *sum <= point);
         let nth = self.rng.random_range(1..7_000);
-        KeyHash(slot as u64 + u64::from(self.shape.slots) * nth)
+        KeyHash(slot as u64 + u64::from(self.settings.slots) * nth)
     }
 
     fn report(&mut self) {
-        let period = self.shape.period.as_secs_f64();
+        let period = self.settings.period.as_secs_f64();
         for server in self.servers.values_mut() {
             let rate = f64::from(server.count) / period;
-            let busy = rate * SERVICE.as_secs_f64() * server.slowness;
+            let busy = rate * SERVICE_TIME.as_secs_f64() * server.slowness;
             #[expect(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
@@ -329,8 +331,9 @@
             )]
             let busy = busy.round() as u32;
             // An upstream that cannot keep up fills its queue.
-            let busy = if busy > SLOTS { busy.min(3 * SLOTS) } else { busy };
-            server.load = Some(Load { rate, busy, capacity: SLOTS, speed: 1.0, at: self.now });
+            let busy = if busy > MEMBER_CAPACITY { busy.min(3 * MEMBER_CAPACITY) } else { busy };
+            server.load =
+                Some(Load { rate, busy, capacity: MEMBER_CAPACITY, speed: 1.0, at: self.now });
         }
     }
 
@@ -349,21 +352,21 @@
         group: &[MemberId],
         members: &BTreeMap<MemberId, Candidate>,
     ) -> Vec<(MemberId, Plan)> {
-        if self.shape.policy == Policy::Hashing {
+        if self.settings.policy == Policy::Hashing {
             return Vec::new();
         }
-        let (now, service, shape) = (self.now, &self.service, &self.shape);
+        let (now, service, settings) = (self.now, &self.service, &self.settings);
         let decide = |id: MemberId, server: &mut Server| {
             let view = View {
                 local: id,
                 service,
                 members,
-                rates: &server.heat,
-                weights: shape.weights,
-                service_time: SERVICE,
+                rates: &server.rates,
+                weights: settings.weights,
+                service_time: SERVICE_TIME,
             };
-            let plan = match shape.policy {
-                Policy::Weighted => plan(now, &view, &shape.balance, &mut server.history),
+            let plan = match settings.policy {
+                Policy::Weighted => plan(now, &view, &settings.balance, &mut server.history),
                 Policy::Greedy | Policy::Hashing => greedy(now, &view),
             };
             server.history.record_plan(now, &plan);
@@ -383,12 +386,12 @@
             let Some(to) = assignment.standby else { continue };
             if assignment.owner == Some(id) && self.servers.contains_key(&to) {
                 self.set(*unit, Assignment { owner: Some(to), standby: Some(id), ..assignment });
-                self.servers.get_mut(&id).unwrap().heat.forget(*unit);
+                self.servers.get_mut(&id).unwrap().rates.forget(*unit);
                 self.servers
                     .values_mut()
                     .for_each(|s| s.history.record_switchover(self.now, *unit, to));
                 self.moved.push((self.now, *unit, to));
-                self.note_unserved(*unit);
+                self.record_unserved(*unit);
             }
         }
         for (unit, target) in &plan.handoffs {
@@ -410,9 +413,9 @@
     }
 
     /// Adds what a planned move takes: one message, and the rest of a request if one is in flight.
-    fn note_unserved(&mut self, unit: UnitId) {
-        let flying = self.expected(unit) * self.shape.rate * SERVICE.as_secs_f64();
-        let rest = SERVICE.mul_f64(1.0 - (-flying).exp());
+    fn record_unserved(&mut self, unit: UnitId) {
+        let in_flight = self.expected(unit) * self.settings.rate * SERVICE_TIME.as_secs_f64();
+        let rest = SERVICE_TIME.mul_f64(1.0 - (-in_flight).exp());
         self.unserved += Duration::from_millis(2) + rest;
     }
 
@@ -434,19 +437,20 @@
         return Plan::default();
     }
     let mean = known.iter().sum::<f64>() / f64::from(u32::try_from(known.len()).unwrap());
-    let mut own = view.rates.total(now);
+    let mut own_rate = view.rates.total(now);
     let mut others: BTreeMap<_, _> =
         view.members.keys().filter_map(|id| Some((*id, rate(id)?))).collect();
-    let mine = view.service.units().filter(|(_, a)| a.owner == Some(view.local));
-    let mut units: Vec<_> =
-        mine.filter_map(|(unit, a)| Some((unit, a.standby?, view.rates.rate(now, unit)))).collect();
+    let owned = view.service.units().filter(|(_, a)| a.owner == Some(view.local));
+    let mut units: Vec<_> = owned
+        .filter_map(|(unit, a)| Some((unit, a.standby?, view.rates.rate(now, unit))))
+        .collect();
     units.sort_by(|a, b| b.2.total_cmp(&a.2));
     let mut plan = Plan::default();
-    for (unit, standby, heat) in units {
-        let Some(theirs) = others.get_mut(&standby) else { continue };
-        if own > mean && heat > 0.0 && *theirs + heat < own {
-            own -= heat;
-            *theirs += heat;
+    for (unit, standby, unit_rate) in units {
+        let Some(standby_rate) = others.get_mut(&standby) else { continue };
+        if own_rate > mean && unit_rate > 0.0 && *standby_rate + unit_rate < own_rate {
+            own_rate -= unit_rate;
+            *standby_rate += unit_rate;
             plan.switchovers.push(unit);
         }
     }
--- a/acaciaring_core/tests/support/upstream.rs
+++ b/acaciaring_core/tests/support/upstream.rs
@@ -24,10 +24,10 @@
 
 /// What stands in front of the upstream's slots.
 #[derive(Debug, Clone)]
-pub enum Gate {
+pub enum Discipline {
     Admission(AdmissionSettings),
     /// The same behind an entry that remembers what was refused.
-    Remembered(AdmissionSettings),
+    CachedRefusals(AdmissionSettings),
     /// First in, first out, without bound; what is late runs all the same.
     Fifo {
         slots: usize,
@@ -47,17 +47,17 @@
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
     pub requests: u32,
-    pub tries: u32,
+    pub attempts: u32,
     /// Answered in time.
-    pub good: u32,
+    pub on_time: u32,
     /// Answered in time and before the run's span was over.
-    pub within: u32,
+    pub in_span: u32,
     /// Answered too late.
     pub late: u32,
     /// Given up as not run.
     pub refused: u32,
     /// Tries that went to the upstream's member; the others were refused at the entry.
-    pub hops: u32,
+    pub forwarded: u32,
     /// Time to a good answer.
     pub latencies: Vec<Duration>,
 }
@@ -77,13 +77,13 @@
 struct Request {
     stream: usize,
     arrived: Time,
-    tries: u32,
+    attempts: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    Try(u64),
+    Attempt(u64),
     Finish(u64, Duration),
     Tick,
 }
@@ -92,43 +92,43 @@
 const MEMBER: MemberId = MemberId(1);
 
 /// One run.
-pub struct Run {
+pub struct Simulation {
     rng: StdRng,
     streams: Vec<Stream>,
     end: Time,
     events: BinaryHeap<std::cmp::Reverse<(Time, u64, Event)>>,
     order: u64,
     requests: BTreeMap<u64, Request>,
-    gate: Box<dyn Front>,
+    queue: Box<dyn Queueing>,
     /// Memory of the one entry, if it has one.
-    full: Option<RefusalCache>,
+    refusal_cache: Option<RefusalCache>,
     retries: Retries,
     /// One budget per stream, so that failures of one rank don't use up another's.
     budgets: Vec<RetryBudget>,
     tallies: Vec<Tally>,
     /// Most requests that ran at once.
-    pub most: usize,
+    pub max_running: usize,
     running: usize,
 }
 
 /// Offers `streams` for `span` and returns a tally per stream.
-pub fn run(
+pub fn simulate(
     seed: u64,
     streams: &[Stream],
-    gate: &Gate,
+    discipline: &Discipline,
     retries: &Retries,
     span: Duration,
 ) -> Vec<Tally> {
-    let mut run = Run::new(seed, streams, gate, retries, span);
-    run.play();
-    run.tallies
+    let mut simulation = Simulation::new(seed, streams, discipline, retries, span);
+    simulation.run();
+    simulation.tallies
 }
 
-impl Run {
+impl Simulation {
     pub fn new(
         seed: u64,
         streams: &[Stream],
-        gate: &Gate,
+        discipline: &Discipline,
         retries: &Retries,
         span: Duration,
     ) -> Self {
@@ -136,45 +136,46 @@
             Retries::Budget(settings) => settings.clone(),
             Retries::Never | Retries::Always => RetrySettings::default(),
         };
-        let full = matches!(gate, Gate::Remembered(_)).then(RefusalCache::default);
-        let gate: Box<dyn Front> = match gate {
-            Gate::Admission(settings) | Gate::Remembered(settings) => {
+        let refusal_cache =
+            matches!(discipline, Discipline::CachedRefusals(_)).then(RefusalCache::default);
+        let queue: Box<dyn Queueing> = match discipline {
+            Discipline::Admission(settings) | Discipline::CachedRefusals(settings) => {
                 Box::new(Admission::new(settings.clone()))
             }
-            Gate::Fifo { slots } => {
+            Discipline::Fifo { slots } => {
                 Box::new(Fifo { slots: *slots, running: 0, queue: VecDeque::new() })
             }
         };
-        let mut run = Self {
+        let mut simulation = Self {
             rng: StdRng::seed_from_u64(seed),
             streams: streams.to_vec(),
             end: Time::ZERO + span,
             events: BinaryHeap::new(),
             order: 0,
             requests: BTreeMap::new(),
-            gate,
-            full,
+            queue,
+            refusal_cache,
             retries: retries.clone(),
             budgets: streams
                 .iter()
                 .map(|_| RetryBudget::new(Time::ZERO, settings.clone()))
                 .collect(),
             tallies: vec![Tally::default(); streams.len()],
-            most: 0,
+            max_running: 0,
             running: 0,
         };
         for stream in 0..streams.len() {
-            run.schedule(Time::ZERO, Event::Arrive(stream));
+            simulation.schedule(Time::ZERO, Event::Arrive(stream));
         }
-        run.schedule(Time::ZERO, Event::Tick);
-        run
+        simulation.schedule(Time::ZERO, Event::Tick);
+        simulation
     }
 
-    pub fn play(&mut self) {
+    pub fn run(&mut self) {
         while let Some(std::cmp::Reverse((now, _, event))) = self.events.pop() {
             match event {
                 Event::Arrive(stream) => self.arrive(now, stream),
-                Event::Try(attempt) => self.offer(now, attempt),
+                Event::Attempt(attempt) => self.offer(now, attempt),
                 Event::Finish(attempt, took) => self.finish(now, attempt, took),
                 Event::Tick => self.tick(now),
             }
@@ -199,45 +200,48 @@
         self.budgets[stream].first_attempt(now);
         self.order += 1;
         let attempt = self.order;
-        self.requests.insert(attempt, Request { stream, arrived: now, tries: 0 });
+        self.requests.insert(attempt, Request { stream, arrived: now, attempts: 0 });
         self.offer(now, attempt);
     }
 
     fn offer(&mut self, now: Time, attempt: u64) {
         let request = self.requests.get_mut(&attempt).unwrap();
-        request.tries += 1;
+        request.attempts += 1;
         let stream = self.streams[request.stream];
-        self.tallies[request.stream].tries += 1;
+        self.tallies[request.stream].attempts += 1;
         let deadline = request.arrived + stream.deadline;
         let ticket = Ticket { rank: stream.rank, deadline, expiry: deadline, attempt };
         let left = deadline.since(now);
         let slack = Slack { rank: stream.rank, aim: left, left };
-        let retry = self.full.as_ref().and_then(|full| full.retry_after(now, MEMBER, slack));
+        let retry = self
+            .refusal_cache
+            .as_ref()
+            .and_then(|refusal_cache| refusal_cache.retry_after(now, MEMBER, slack));
         if let Some(retry) = retry {
             let refusal = Refusal::not_run(Reason::Busy).after(retry);
-            return self.refused(now, attempt, refusal);
+            return self.handle_refusal(now, attempt, refusal);
         }
-        self.tallies[request.stream].hops += 1;
-        let offer = self.gate.offer(now, ticket);
-        if let (Offer::Refused(_, refusal), Some(full)) = (&offer, &mut self.full)
+        self.tallies[request.stream].forwarded += 1;
+        let offer = self.queue.offer(now, ticket);
+        if let (Offer::Refused(_, refusal), Some(refusal_cache)) = (&offer, &mut self.refusal_cache)
             && let Refusal { reason: Reason::Busy, retry: Some(retry), .. } = *refusal
         {
-            full.record(now, MEMBER, slack, retry);
+            refusal_cache.record(now, MEMBER, slack, retry);
         }
         match offer {
             Offer::Start(attempt) => self.start(now, attempt),
             Offer::Queued { displaced } => {
                 if let Some((attempt, refusal)) = displaced {
-                    self.refused(now, attempt, refusal);
+                    self.handle_refusal(now, attempt, refusal);
                 }
             }
-            Offer::Refused(attempt, refusal) => self.refused(now, attempt, refusal),
+            Offer::Refused(attempt, refusal) => self.handle_refusal(now, attempt, refusal),
         }
     }
 
     fn start(&mut self, now: Time, attempt: u64) {
         self.running += 1;
-        self.most = self.most.max(self.running);
+        self.max_running = self.max_running.max(self.running);
         let stream = self.streams[self.requests[&attempt].stream];
         let took = self.exponential(stream.service.as_secs_f64());
         self.schedule(now + took, Event::Finish(attempt, took));
@@ -249,13 +253,13 @@
         let tally = &mut self.tallies[request.stream];
         let latency = now.since(request.arrived);
         if latency <= self.streams[request.stream].deadline {
-            tally.good += 1;
-            tally.within += u32::from(now < self.end);
+            tally.on_time += 1;
+            tally.in_span += u32::from(now < self.end);
             tally.latencies.push(latency);
         } else {
             tally.late += 1;
         }
-        for attempt in self.gate.finish(now, attempt, took) {
+        for attempt in self.queue.finish(now, attempt, took) {
             self.start(now, attempt);
         }
         self.expire(now);
@@ -264,20 +268,20 @@
     fn tick(&mut self, now: Time) {
         self.expire(now);
         // Long past every deadline and any backlog, a request that is left was lost by the gate.
-        let over = now.since(self.end) > Duration::from_mins(5);
-        assert!(!over, "{} requests were lost", self.requests.len());
+        let overdue = now.since(self.end) > Duration::from_mins(5);
+        assert!(!overdue, "{} requests were lost", self.requests.len());
         if !self.requests.is_empty() || now < self.end {
             self.schedule(now + Duration::from_millis(10), Event::Tick);
         }
     }
 
     fn expire(&mut self, now: Time) {
-        for (attempt, refusal) in self.gate.expire(now) {
-            self.refused(now, attempt, refusal);
+        for (attempt, refusal) in self.queue.expire(now) {
+            self.handle_refusal(now, attempt, refusal);
         }
     }
 
-    fn refused(&mut self, now: Time, attempt: u64, refusal: Refusal) {
+    fn handle_refusal(&mut self, now: Time, attempt: u64, refusal: Refusal) {
         let request = self.requests[&attempt];
         let deadline = request.arrived + self.streams[request.stream].deadline;
         let left = deadline.since(now);
@@ -285,7 +289,7 @@
             refusal,
             repeat: Repeat::Once,
             time_left: left,
-            attempts: request.tries,
+            attempts: request.attempts,
             redirects: 0,
             reached_upstream: true,
             has_alternative: false,
@@ -296,12 +300,12 @@
             Retries::Budget(_) => self.budgets[request.stream].decide(now, &mut self.rng, &failure),
             Retries::Always => {
                 let after = refusal.retry.unwrap_or(Duration::from_millis(50));
-                let gone = refusal.reason == Reason::Expired || after >= left;
-                if gone { RetryDecision::GiveUp } else { RetryDecision::Retry { after } }
+                let expired = refusal.reason == Reason::Expired || after >= left;
+                if expired { RetryDecision::GiveUp } else { RetryDecision::Retry { after } }
             }
         };
         match decision {
-            RetryDecision::Retry { after } => self.schedule(now + after, Event::Try(attempt)),
+            RetryDecision::Retry { after } => self.schedule(now + after, Event::Attempt(attempt)),
             RetryDecision::GiveUp => {
                 self.requests.remove(&attempt);
                 self.tallies[request.stream].refused += 1;
@@ -311,13 +315,13 @@
 }
 
 /// Gate as the loop sees it.
-trait Front {
+trait Queueing {
     fn offer(&mut self, now: Time, ticket: Ticket) -> Offer<u64>;
     fn finish(&mut self, now: Time, attempt: u64, took: Duration) -> Vec<u64>;
     fn expire(&mut self, now: Time) -> Vec<(u64, Refusal)>;
 }
 
-impl Front for Admission<u64> {
+impl Queueing for Admission<u64> {
     fn offer(&mut self, now: Time, ticket: Ticket) -> Offer<u64> {
         self.offer(now, ticket, ticket.attempt)
     }
@@ -337,7 +341,7 @@
     queue: VecDeque<u64>,
 }
 
-impl Front for Fifo {
+impl Queueing for Fifo {
     fn offer(&mut self, _now: Time, ticket: Ticket) -> Offer<u64> {
         if self.running < self.slots {
             self.running += 1;
