--- a/acaciaring_core/examples/fold_cost.rs
+++ b/acaciaring_core/examples/fold_cost.rs
@@ -1,8 +1,8 @@
-//! Prints what the fold costs per record, and what a snapshot costs, by members and slots.
+//! Benchmark of folding each kind of record and of snapshots, by number of members and slots.
 //!
-//! Run it with `cargo run --release -p acaciaring_core --example fold_cost`. With a
-//! count of members and one of slots it prints that row alone; the growth of
-//! memory is right only then, for a later row uses what an earlier one freed.
+//! Run it with `cargo run --release -p acaciaring_core --example fold_cost`. With a number of
+//! members and one of slots it prints that row alone. The memory column is valid only then, as
+//! later rows reuse memory that earlier ones freed.
 
 use std::time::{Duration, Instant};
 use std::{env, fs};
@@ -21,7 +21,7 @@
 const MEMBERS: [usize; 3] = [19, 100, 470];
 const SLOTS: [usize; 2] = [16_384, 65_536];
 
-/// Data centres, each with its region.
+/// Data centres and their regions.
 const DATA_CENTRES: [(&str, &str); 5] = [
     ("bethlehem", "free-state"),
     ("kroonstad", "free-state"),
@@ -30,7 +30,7 @@
     ("laval-nord", "qc-centre"),
 ];
 
-/// Repetitions of each record; the median is printed.
+/// Repetitions of each record, of which the median is printed.
 const RUNS: usize = 9;
 
 fn main() {
@@ -111,14 +111,14 @@
     ]
 }
 
-/// State under test and the count of records folded into it.
+/// State under test and the ids of its members.
 struct Bench {
     state: State,
     ids: Vec<u64>,
 }
 
 impl Bench {
-    /// Builds members with lessors, all attached to one service that is not yet assigned.
+    /// Builds members with lessors, all attached to one service not yet assigned.
     fn new(members: usize, slots: usize) -> Self {
         let mut bench = Self { state: State::default(), ids: Vec::new() };
         bench.fold(template(0, "interactive"));
@@ -135,7 +135,7 @@
         bench
     }
 
-    /// Folds a record that must take effect and returns the time that it took.
+    /// Folds a record, asserts that it is applied, and returns the time taken.
     fn fold(&mut self, body: Body) -> Duration {
         let offset = self.state.next().max(1);
         let id = u128::from(offset).to_le_bytes().to_vec();
@@ -192,7 +192,7 @@
 
     fn evict(&mut self, run: usize) -> Duration {
         let id = self.ids[run];
-        // Its lessors may be gone by an earlier run.
+        // An earlier run may have evicted its lessors.
         self.improve_lessors(id);
         let member = self.state.members().find(|member| member.id.0 == id).expect("known");
         let version = member.version;
--- a/acaciaring_core/examples/policy.rs
+++ b/acaciaring_core/examples/policy.rs
@@ -1,8 +1,8 @@
-//! Figures of the bare decisions: balance, admission, and what a decision costs.
+//! Simulations of the balance and admission policies, and benchmarks of single decisions.
 //!
 //! `cargo run --release --example policy -- [--seed N] [--members N] [balance] [admission] [cost]`
 //!
-//! No process and no network takes part, so the figures say how decisions compare, not how the system runs.
+//! No process or network is involved: the figures compare policies, not deployments.
 
 #[path = "../tests/support/fleet.rs"]
 mod fleet;
@@ -29,13 +29,13 @@
 
 const MINUTE: Duration = Duration::from_mins(1);
 
-/// Keys that each member owns.
+/// Keys owned by each member.
 const KEYS: usize = 1_000_000;
 
-/// Hot keys at a time.
+/// Hot keys at one time.
 const HOT: u64 = 13;
 
-/// Members and slots of the deployments.
+/// Members and slots of each simulated deployment.
 const SIZES: [(u32, u32); 4] = [(6, 1_024), (19, 4_096), (100, 16_384), (470, 65_536)];
 
 const POLICIES: [(&str, Policy, Weights); 4] = [
@@ -174,13 +174,13 @@
     format!("{units:.2} {load:.2}")
 }
 
-/// Lets happen what the scenario has at this step; returns the member to watch.
+/// Applies the events of a scenario at a step and returns the member to watch, if any.
 fn apply_scenario(scenario: Scenario, fleet: &mut Fleet, step: u64) -> Option<MemberId> {
     let members = fleet.members();
     let count = f64::from(u32::try_from(members.len()).unwrap());
     let middle = members[members.len() / 2];
     match (scenario, step) {
-        // Thirteen other keys each three minutes; each has a quarter of a member's fair load.
+        // `HOT` new keys every three minutes, each with a quarter of a member's fair share of load.
         (Scenario::HotSpell, 0 | 18) => {
             let key = |n: u64| KeyHash::of(&(step * HOT + n).to_le_bytes());
             fleet.set_hot_keys((0..HOT).map(|n| (key(n), 0.25 / count)).collect());
--- a/acaciaring_core/tests/admission.rs
+++ b/acaciaring_core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission beside one upstream, under overload and when the upstream misbehaves.
+//! Tests of admission control for one upstream, under overload and with a faulty upstream.
 
 #[path = "support/upstream.rs"]
 mod upstream;
@@ -15,7 +15,7 @@
 
 const SPAN: Duration = Duration::from_secs(30);
 
-/// Requests a second that 20 slots carry at 20 ms each.
+/// Requests per second that 20 slots serve at 20 ms each.
 const CAPACITY: f64 = 1000.0;
 
 fn ms(millis: u64) -> Duration {
@@ -47,10 +47,8 @@
     f64::from(part) / f64::from(whole.max(1))
 }
 
-// At month end twice as many requests come as the server can run. Without a bounded queue each
-// waits behind all earlier ones until every answer is late. Limit checks (critical) must still be in
-// time, sample files (bulk) must still get through, and the server's whole capacity must go into answers
-// that come in time.
+// Guards against an unbounded queue under overload, in which every answer is late: goodput stays
+// near capacity, critical requests are on time and lower ranks still run.
 #[test]
 fn overload_keeps_goodput_and_critical_deadlines() {
     let mut tallies = simulate(1, &mixed(2.0), &default_discipline(), &Retries::Never, SPAN);
@@ -68,8 +66,7 @@
     assert!(goodput(&unbounded) < 0.7 * goodput(&tallies));
 }
 
-// Clerks (interactive) alone ask for more than the server can do, for as long as the permit rush lasts.
-// Served strictly by rank, lab reports (bulk) would never run, and a compliance period would be void.
+// Guards against starvation of lower ranks by strict priority under lasting interactive overload.
 #[test]
 fn a_flood_of_interactive_requests_does_not_starve_bulk() {
     let streams = [
@@ -89,8 +86,7 @@
     }
 }
 
-// The server refuses half of the requests, and each caller tries again at once. The tries multiply until
-// refusing is all that the process does. With a budget the tries stay within a tenth of the requests.
+// Guards against a retry storm: retries stay within a tenth of the requests.
 #[test]
 fn a_retry_budget_prevents_a_storm() {
     let streams = [stream(Rank::Interactive, 2.0, 1_000)];
@@ -100,14 +96,13 @@
     };
     let (bounded, goodput) = attempt_ratio(&Retries::Budget(RetrySettings::default()));
     let (unbudgeted, _) = attempt_ratio(&Retries::Always);
-    assert!(bounded < 1.12, "tries {bounded}");
-    assert!(unbudgeted > 2.0, "tries {unbudgeted}");
+    assert!(bounded < 1.12, "attempts per request {bounded}");
+    assert!(unbudgeted > 2.0, "attempts per request {unbudgeted}");
     assert!(goodput > 0.9 * CAPACITY);
 }
 
-// The upstream turns ten times slower while its health endpoint says that all is well. Requests that can
-// no longer be in time are refused early, so that callers can go elsewhere; and once the upstream is
-// fast again, requests are let in again although the last estimate was past all deadlines.
+// Guards against requests queued at a slow upstream that cannot be on time, and against an estimate
+// that still refuses them after it has recovered.
 #[test]
 fn a_slow_upstream_and_its_recovery_are_detected() {
     let mut admission = Admission::new(AdmissionSettings::default());
@@ -138,7 +133,7 @@
                 refused += 1;
             }
             Offer::Start(_) => {}
-            Offer::Queued { .. } => panic!("a request that must be late was left to wait"),
+            Offer::Queued { .. } => panic!("a request that cannot be on time was queued"),
         }
     }
     assert_eq!(refused, 10);
@@ -149,8 +144,8 @@
     assert!(admission.service_time(Rank::Interactive) < ms(50));
 }
 
-// The queue is full of archive lookups when a limit check arrives. The check waits in place of one of
-// them, and the one that gave way is told at once that it did not run.
+// Guards against a full queue of low rank that shuts out a higher one: the displaced request is
+// refused as not run.
 #[test]
 fn an_important_request_displaces_the_least_important() {
     let settings = AdmissionSettings { slots: 1, queue: 3, ..AdmissionSettings::default() };
@@ -165,15 +160,14 @@
     let Offer::Queued { displaced: Some((4, refusal)) } =
         admission.offer(now, ticket(Rank::Critical, 5), 5)
     else {
-        panic!("the last background request must give way");
+        panic!("the last background request must be displaced");
     };
     assert_eq!((refusal.verdict, refusal.reason), (Verdict::NotRun, Reason::Busy));
     assert!(matches!(admission.offer(now, ticket(Rank::Background, 6), 6), Offer::Refused(6, _)));
     assert_eq!(admission.finish(now, 1, ms(10), Completion::Answered), [5]);
 }
 
-// Bulk and interactive requests wait all the time and are owed their shares. A limit check that comes in
-// between still goes before both, or the issuance that waits for it would be late.
+// Guards against critical requests delayed by lower ranks that are due their guaranteed share.
 #[test]
 fn critical_requests_go_before_overdue_ones() {
     let settings = AdmissionSettings { slots: 1, ..AdmissionSettings::default() };
@@ -202,8 +196,7 @@
     }
 }
 
-// A request waits whose deadline comes close while slower ones hold the slots. Its caller hears that it
-// did not run as soon as that is certain, with time left to do something else.
+// Guards against a caller that learns only at its deadline that its queued request did not run.
 #[test]
 fn a_request_that_must_be_late_is_refused_before_its_deadline() {
     let settings =
@@ -218,8 +211,7 @@
     assert_eq!(late[0].1.reason, Reason::Expired);
 }
 
-// An upstream that has just started gets all its slots' worth of requests at once, and with cold caches
-// answers none in time. It gets few at first, and all of its slots after the ramp.
+// Guards against a new upstream that gets its full concurrency with cold caches.
 #[test]
 fn a_cold_upstream_is_ramped_up() {
     let mut admission = Admission::<u64>::new(AdmissionSettings::default());
@@ -230,8 +222,8 @@
     assert_eq!(admission.capacity(now + ms(10_000)), 20);
 }
 
-// The upstream answers that it sheds load. What waits would only be shed too; it is refused as not run,
-// with the time that the upstream asked for, and afterwards half of the former concurrency is tried.
+// Guards against requests sent to an upstream that sheds load: queued ones are refused with its
+// retry time, and concurrency then resumes at half.
 #[test]
 fn an_upstream_that_sheds_is_left_alone() {
     let mut admission = Admission::new(AdmissionSettings::default());
@@ -259,15 +251,13 @@
     assert_eq!(simulation.max_running, 20);
 }
 
-/// Returns the ticket of a request that is of no use after its deadline.
+/// Returns the ticket of a request that expires at its deadline.
 fn ticket(rank: Rank, deadline: Time, attempt: u64) -> Ticket {
     Ticket { rank, deadline, expiry: deadline, attempt }
 }
 
-// A server runs at half of what callers ask for, for seconds. Each request waits in turn until its
-// answer is late, so that nobody is served in time although half of them could be. Those that
-// can be in time go first; the late ones are served once there is room, or refused when it is
-// too late for them too.
+// Guards against an overload in which requests served in order of arrival are all late: those that
+// can be on time go first.
 #[test]
 fn under_overload_those_in_time_go_before_those_that_are_late() {
     let settings =
@@ -305,11 +295,11 @@
         }
         now = now + ms(50);
     }
-    assert!(started >= 190, "{started} of 200 that fit");
+    assert!(started >= 190, "{started} of 200 started");
     assert!(in_time * 10 >= started * 8, "{in_time} of {started} in time");
 }
 
-/// Plays a load at an upstream, at an entry with or without memory.
+/// Simulates a load at an upstream behind an entry with or without a refusal cache.
 fn overload(load: f64, caches: bool) -> Vec<Tally> {
     let streams = [
         stream(Rank::Critical, 0.1 * load, 250),
@@ -327,10 +317,8 @@
     tallies.iter().map(|tally| f64::from(of(tally))).sum()
 }
 
-// At month end three times as many requests come as the servers can run, and each refused caller
-// comes back when it is told. Without memory each of these tries goes to the full member, which
-// spends its processor on refusals. With it most of them end at the entry, and the server
-// does as much useful work in the same order of ranks.
+// Guards against a full member that spends its processor on refusals: most retries are refused at
+// the entry, with the same goodput and rank order.
 #[test]
 fn refusals_of_a_flood_end_at_the_entry() {
     let (without, with) = (overload(3.0, false), overload(3.0, true));
@@ -356,9 +344,8 @@
     assert!(sum(&tallies, |tally| tally.attempts - tally.forwarded) < 1.0);
 }
 
-/// Makes a gate with two slots at which calls take `call` and reads `read`, both slots busy with reads, and
-/// one more read that waits. Then a call comes that can only be late by its own aim.
-/// Returns what starts when the first read ends.
+/// Returns what starts when the first of two running reads of duration `read` ends, with another
+/// read and a late call of duration `call` queued, or `refused` if the call is not queued.
 fn next_after_a_late_call(call: Duration, read: Duration) -> Vec<&'static str> {
     let mut admission =
         Admission::new(AdmissionSettings { slots: 2, ..AdmissionSettings::default() });
@@ -386,9 +373,8 @@
     admission.finish(start + ms(20), 4, read, Completion::Answered)
 }
 
-// A clerk's request runs and asks the records service for a limit. All places there are taken by archive
-// reads ten times as long. The call is late by its own short aim, and the clerk's request fails without it:
-// it must get the next place. Among requests of like length the late one must not pass one in time.
+// Guards against a short late call that waits for long reads while its caller fails without it.
+// Among requests of similar length, one on time goes first.
 #[test]
 fn a_short_call_passes_long_reads_though_it_is_late() {
     assert_eq!(next_after_a_late_call(ms(50), ms(500)), ["call"]);
--- a/acaciaring_core/tests/admission_property.rs
+++ b/acaciaring_core/tests/admission_property.rs
@@ -1,4 +1,4 @@
-//! Admission under any order of events.
+//! Property test of admission control under random sequences of events.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -51,7 +51,7 @@
     Ended,
 }
 
-/// Moves each item from one fate to the next and fails when it was somewhere else.
+/// Status of each item; a transition from an unexpected status fails the test.
 struct Ledger(BTreeMap<u64, Status>);
 
 impl Ledger {
@@ -156,7 +156,7 @@
             prop_assert_eq!(ledger.all(Status::Waiting).len(), admission.waiting());
             prop_assert!(admission.waiting() <= settings.queue);
         }
-        // Nothing waits for good: once all that runs has ended, all that waits has started or is refused.
+        // No item waits forever: once all running items have finished, the queue is empty.
         while let Some(item) = ledger.all(Status::Running).first().copied() {
             ledger.transition([item], Status::Running, Status::Ended);
             let started =
--- a/acaciaring_core/tests/attempt.rs
+++ b/acaciaring_core/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! Table of attempts.
+//! Tests of the attempt table, which lets each attempt run at most once.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -20,9 +20,8 @@
     Time::from_millis(secs * 1000)
 }
 
-/// A clerk's payment goes out on a connection that is stuck. The entry asks, is
-/// told that it never arrived, and gives it to another member. Then the stuck
-/// packets get through: the payment must not run a second time.
+/// Guards against a second run: an attempt delayed beyond its probe was given to another member, so
+/// it must be refused when it arrives.
 #[test]
 fn attempt_that_arrives_after_its_probe_is_refused() {
     let mut attempts = Attempts::default();
@@ -31,8 +30,7 @@
     assert!(!attempts.probe(at(29), 7));
 }
 
-/// A caller goes away while the request is still on its way; the cancellation
-/// overtakes it on another stream. The request must not run for nobody.
+/// Guards against a run without caller when a cancellation arrives before its request.
 #[test]
 fn cancellation_that_overtakes_its_request_refuses_it() {
     let mut attempts = Attempts::default();
@@ -42,9 +40,8 @@
     assert!(attempts.cancel(at(1), 8));
 }
 
-/// A flood of questions about unknown attempts fills the table. A question that
-/// it cannot remember must not be answered "never arrived", for the attempt
-/// could arrive later and run after it was given to another member.
+/// Guards against a second run when the table is full: a probe that cannot be recorded must not be
+/// answered as not arrived.
 #[test]
 fn probe_that_cannot_be_remembered_is_answered_as_arrived() {
     let settings =
@@ -97,7 +94,7 @@
     ]
 }
 
-/// What a table that forgets nothing too early would know.
+/// Reference model that retains everything for the full retention time.
 #[derive(Debug, Default)]
 struct Model {
     running: HashSet<u64>,
--- a/acaciaring_core/tests/balance.rs
+++ b/acaciaring_core/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Moves of units between members that each decide for themselves.
+//! Tests of load balancing by members that plan moves of units independently.
 
 #[path = "support/fleet.rs"]
 mod fleet;
@@ -20,8 +20,8 @@
 /// A key of slot 17 in a service of 256 slots.
 const HOT_KEY: KeyHash = KeyHash(17 + 256 * 9_999);
 
-// At month end one contract gets a third of a server's requests. It is split out of its slot, load is
-// even again within minutes, few units move, and when the rush is over the key returns to its slot.
+// Guards against a hot key that stays with its slot: it must be split out, balanced within minutes
+// with few moves, and merged back once it cools down.
 #[test]
 fn a_hot_key_is_split_out_balanced_and_merged_back() {
     let balance = BalanceSettings { merge_after: MINUTE, ..BalanceSettings::default() };
@@ -41,7 +41,7 @@
     assert!(fleet.service.hot.is_empty(), "still {:?}", fleet.service.hot.keys());
 }
 
-// Load is even but for chance. Each move would put a booking at risk for nothing.
+// Guards against moves without gain while load differs only by chance.
 #[test]
 fn nothing_moves_while_load_is_even() {
     let mut fleet = Fleet::new(2, FleetSettings { skew: 0.1, ..FleetSettings::default() });
@@ -50,18 +50,18 @@
     assert_eq!(fleet.splits, 0);
 }
 
-// Two servers are about equally hot. Each sees the other's load of a while ago, and without hysteresis a
-// unit would be swapped between them to and fro, unserved for a moment each time.
+// Guards against oscillation: with delayed load reports, members of similar load could swap a unit
+// back and forth.
 #[test]
 fn units_are_not_swapped_to_and_fro() {
-    // Without tolerance and price only the rest after a move holds units back.
+    // Without tolerance and minimum gain, only the pause after a move prevents oscillation.
     let eager = BalanceSettings { tolerance: 0.0, min_gain: 0.0, ..BalanceSettings::default() };
     for (balance, max_moves) in [(BalanceSettings::default(), 3), (eager, 5)] {
         assert_no_swaps(balance, max_moves);
     }
 }
 
-/// Asserts that no unit moves twice within five minutes, nor more than `most` times in twenty.
+/// Asserts that no unit moves twice within five minutes, or more than `max_moves` times in twenty.
 fn assert_no_swaps(balance: BalanceSettings, max_moves: usize) {
     let settings =
         FleetSettings { members: 2, rate: 500.0, skew: 0.8, balance, ..FleetSettings::default() };
@@ -82,8 +82,8 @@
     }
 }
 
-// A seventh server joins. It has neither units nor standby roles. It is filled in minutes, never beyond
-// its fair share although six members give at once, and no unit moves between the others.
+// Guards against a new member that is overloaded because all others move units to it at once, and
+// against moves between the others.
 #[test]
 fn a_newcomer_is_filled_without_overshoot() {
     let mut fleet = Fleet::new(4, FleetSettings::default());
@@ -103,8 +103,8 @@
     assert!(elsewhere <= 6, "{elsewhere} units moved between the others");
 }
 
-// One server turns five times slower; its health endpoint claims that all is well and its request rate
-// is like the others'. Requests pile up in front of it, and that is what makes it give units away.
+// Guards against a slow server that keeps its units because its health and request rate look
+// normal: its busy requests must count.
 #[test]
 fn a_slow_server_gives_units_away() {
     let mut fleet = Fleet::new(5, FleetSettings::default());
@@ -117,8 +117,8 @@
     assert!(fleet.moved.iter().all(|(_, _, to)| *to != slow));
 }
 
-// The tenant for whom each move is a risk moves no more units than the one who cares less, in the
-// same hot spell; both move far fewer than greedy moves do.
+// Guards against a churn weight without effect: a higher weight must not move more units, and both
+// weights move far fewer than the greedy policy.
 #[test]
 fn a_heavier_weight_on_churn_moves_fewer_units() {
     let moved = |policy, churn| {
@@ -136,8 +136,8 @@
     assert!(light * 2 < greedy, "{light} against {greedy}");
 }
 
-// During a rush thirteen permits out of a million draw many requests, and others take their place a few
-// minutes later. All thirteen must be known within a minute, without a counter for each key.
+// Guards against hot keys that are detected late or confused with cold ones, without a counter for
+// each key.
 #[test]
 fn the_hottest_keys_are_found_within_a_minute() {
     let mut rates = RequestRates::new(Time::ZERO, RateSettings::default());
@@ -157,17 +157,18 @@
         let mut keys: Vec<_> = hot.iter().take(13).map(|hot| u64::MAX - hot.key.0).collect();
         keys.sort_unstable();
         assert_eq!(keys, (round * 13..round * 13 + 13).collect::<Vec<_>>());
-        // Each gets 10 requests a second.
+        // Each gets 10 requests per second.
         assert!(hot[..13].iter().all(|hot| (5.0..15.0).contains(&hot.rate)), "{hot:?}");
     }
-    // Keys that were asked for once share counters with many others; none of them may look hot.
+    // Keys requested once share counters with many others and must not appear hot.
     assert!(rates.hot_keys(now, 0.4).len() <= 26, "{:?}", rates.hot_keys(now, 0.4));
     let total = rates.total(now);
     assert!((total - 1_000.0).abs() < 20.0, "{total}");
     assert!(rates.total(now + MINUTE) < 20.0);
 }
 
-// A lost server's units pass to their standbys. Load is even again in minutes, with few more moves.
+// Guards against load that stays uneven after a member is lost and its units pass to their
+// standbys.
 #[test]
 fn the_loss_of_a_member_is_levelled_out() {
     let mut fleet =
--- a/acaciaring_core/tests/choice.rs
+++ b/acaciaring_core/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choice among the members of a service that is not divided by key.
+//! Tests of member selection for a service that is not partitioned by key.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 
 const MEMBERS: [MemberId; 4] = [MemberId(1), MemberId(2), MemberId(3), MemberId(4)];
 
-/// Four servers that answer at fixed speeds, and one entry that chooses among them.
+/// Four servers with fixed latencies, and one entry that selects among them.
 struct Fleet {
     selector: Selector,
     rng: StdRng,
     now: Time,
-    /// Milliseconds between two requests.
+    /// Time between two requests.
     interval_ms: u64,
-    /// True when members report with each answer; else every 100 ms and on nothing else.
+    /// Whether load reports come with each answer, rather than every 100 ms.
     piggybacked: bool,
-    /// Requests that each member runs at once.
+    /// Requests that each member runs concurrently.
     slots: BTreeMap<MemberId, u32>,
-    /// Answer time of each member, in milliseconds; none when it fails at once.
+    /// Latency of each member in milliseconds; `None` when it fails at once.
     latencies: BTreeMap<MemberId, Option<u64>>,
-    /// When requests in flight end.
+    /// Requests in flight: end, member and duration.
     in_flight: Vec<(Time, MemberId, Duration)>,
     counts: BTreeMap<MemberId, u32>,
 }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends requests at the set pace.
+    /// Sends requests at the configured interval and returns the count of each member.
     fn run(&mut self, millis: u64) -> BTreeMap<MemberId, u32> {
         self.counts.clear();
         for milli in 0..millis {
@@ -107,8 +107,8 @@
     }
 }
 
-// One lab server turns ten times slower while its health endpoint says that all is well. Requests go
-// round it within seconds, but it is tried now and then, and gets its share back once it is fast again.
+// Guards against a slow member that keeps its share because its health looks normal, and against
+// one that is never tried again after it has recovered.
 #[test]
 fn a_slow_member_is_avoided_and_found_again() {
     let mut fleet = Fleet::new();
@@ -123,8 +123,8 @@
     assert!(again > 0.2, "{again}");
 }
 
-// One answer took ten seconds. No later answer corrects that, because nothing is sent to a server that
-// looks so slow; the old measurement must fade by itself.
+// Guards against a member excluded for good by one slow answer: it gets no requests to correct the
+// estimate, so the estimate must decay.
 #[test]
 fn an_old_latency_decays() {
     let mut fleet = Fleet::new();
@@ -136,8 +136,8 @@
     assert!(share(&fleet.run(5_000), MEMBERS[0]) > 0.2);
 }
 
-// A server refuses all connections at once. Failing fast, it would look like the fastest of all and draw
-// every request; it is left alone, longer with each failure, and used again when it answers.
+// Guards against a member that attracts requests by failing fast: it is backed off, and used again
+// once it answers.
 #[test]
 fn a_member_that_fails_fast_does_not_draw_requests() {
     let mut fleet = Fleet::new();
@@ -150,8 +150,7 @@
     assert!(share(&fleet.run(10_000), MEMBERS[0]) > 0.2);
 }
 
-// A server has just started and its caches are cold. It gets few requests at first and its full share
-// after the ramp.
+// Guards against a new member that gets its full share with cold caches.
 #[test]
 fn a_cold_member_is_ramped_up() {
     let mut fleet = Fleet::new();
@@ -163,9 +162,8 @@
     assert!((warm - 0.25).abs() < 0.03, "{warm}");
 }
 
-// A server joins with cold caches: it has two slots and answers ten times slower than the others, which
-// carry the load by themselves. Seconds later it is warm, and nobody finds out: nothing is sent to what looks slow.
-// It is tried now and then, seldom enough that few callers wait for it.
+// Guards against a new member that stays unused because it was slow while cold: it is probed,
+// seldom enough that few callers wait for it.
 #[test]
 fn a_newcomer_that_was_slow_while_cold_is_used_soon() {
     let mut fleet = Fleet { interval_ms: 4, piggybacked: true, ..Fleet::new() };
@@ -182,8 +180,8 @@
     assert!(warm > 0.15, "{warm}");
 }
 
-// A server that sheds load asks for two seconds of peace. It gets none until then, not even when all
-// others fail; a request that can go nowhere is refused rather than sent there.
+// Guards against requests to a member that sheds load before its retry time, even when all others
+// fail.
 #[test]
 fn a_member_that_sheds_is_left_alone_until_its_time() {
     let mut fleet = Fleet::new();
@@ -195,8 +193,8 @@
     assert!(share(&fleet.run(2_000), MEMBERS[0]) > 0.2);
 }
 
-// This process's own network fails and each member seems to fail. Quarantine for all would be an outage
-// of the whole service; the members are tried all the same.
+// Guards against an outage of the whole service when the local network makes every member seem to
+// fail.
 #[test]
 fn failures_of_all_members_leave_some_choice() {
     let mut fleet = Fleet::new();
--- a/acaciaring_core/tests/choice_near.rs
+++ b/acaciaring_core/tests/choice_near.rs
@@ -1,4 +1,4 @@
-//! Choice of a member where some are near: the own one first, then those of the data centre.
+//! Tests of locality in member selection: the local member first, then those of its data centre.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,26 +9,27 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Members in all, and of them in each data centre.
 const MEMBERS: usize = 8;
+
+/// Members in each data centre.
 const CENTRE_SIZE: usize = 2;
 
 const SLOTS: u32 = 10;
 
-/// Members that are an entry and an upstream each, in data centres of two.
+/// Members that are an entry and an upstream each, in data centres of `CENTRE_SIZE` members.
 struct Mesh {
     selectors: Vec<Selector>,
     rng: StdRng,
     now: Time,
-    /// Requests at each upstream.
+    /// Running requests of each upstream.
     busy: [u32; MEMBERS],
-    /// Answer time of each upstream in milliseconds.
+    /// Latency of each upstream in milliseconds.
     latencies: [u64; MEMBERS],
-    /// End, entry, member and time of each request in flight.
+    /// Requests in flight: end, entry, member and duration.
     in_flight: Vec<(Time, usize, usize, Duration)>,
-    /// Requests by entry and member.
+    /// Requests sent, by entry and member.
     sent: BTreeMap<(usize, usize), u32>,
-    /// Most requests at each upstream.
+    /// Highest number of running requests of each upstream.
     max_busy: [u32; MEMBERS],
     near: bool,
 }
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Plays a span in which each entry gets so many requests in ten milliseconds.
+    /// Simulates a span; `rates` are the requests per 10 ms of each entry.
     fn run(&mut self, millis: u64, rates: [u32; MEMBERS]) {
         self.sent.clear();
         self.max_busy = self.busy;
@@ -92,21 +93,21 @@
         let member = (0..MEMBERS).find(|member| id(*member) == target).unwrap();
         self.busy[member] += 1;
         self.max_busy[member] = self.max_busy[member].max(self.busy[member]);
-        // What finds no slot waits for those before it.
+        // A request without a free slot waits for those before it.
         let turns = u64::from(self.busy[member].div_ceil(SLOTS));
         let took = Duration::from_millis(self.latencies[member] * turns);
         self.in_flight.push((self.now + took, entry, member, took));
         *self.sent.entry((entry, member)).or_default() += 1;
     }
 
-    /// Share of the requests that passes.
+    /// Returns the share of requests whose entry and member satisfy the predicate.
     fn share(&self, passes: impl Fn(usize, usize) -> bool) -> f64 {
         let all: u32 = self.sent.values().sum();
         let passing = self.sent.iter().filter(|((entry, member), _)| passes(*entry, *member));
         f64::from(passing.map(|(_, count)| count).sum::<u32>()) / f64::from(all)
     }
 
-    /// Share of the requests that each member gets.
+    /// Returns the share of requests of each member.
     fn shares(&self) -> [f64; MEMBERS] {
         std::array::from_fn(|place| self.share(|_, member| member == place))
     }
@@ -120,9 +121,7 @@
     entry / CENTRE_SIZE == member / CENTRE_SIZE
 }
 
-// Every process of a wide deployment is an entry and has an upstream beside it. Each request went to one of
-// all members alike, so seven of eight needed a second process and its answer crossed data centres, while
-// the entry's own upstream had room.
+// Guards against requests that cross data centres while the entry's local upstream has room.
 #[test]
 fn a_request_stays_where_there_is_room() {
     let mut mesh = Mesh::new();
@@ -131,9 +130,8 @@
     assert!(stays > 0.9, "{stays}");
 }
 
-// All callers come to one entry, with more than its upstream can carry but less than all can. What has no
-// room at home goes to the neighbour, and what has none there to everybody, about as evenly as if nothing
-// were preferred.
+// Guards against an overloaded local upstream when all callers use one entry: the excess spreads
+// about as evenly as without locality.
 #[test]
 fn callers_of_one_entry_spread_over_all() {
     let mut rates = [0; MEMBERS];
@@ -151,8 +149,8 @@
     assert!(most[1] <= most[0] + 3, "{most:?}");
 }
 
-// The upstream beside an entry turns ten times slower and has room all the while. It gets less, and its share
-// again once it is fast.
+// Guards against a slow local upstream that keeps its share because it has room, and against one
+// that stays avoided after it has recovered.
 #[test]
 fn a_slow_own_upstream_gets_less() {
     let mut mesh = Mesh::new();
@@ -169,8 +167,8 @@
     assert!(again > 0.1, "{again}");
 }
 
-// The own upstream sheds load, fails, or has no place left: the request goes to the neighbour. Both are full:
-// it goes to another data centre, and so it does when a member there has more room than one that is half full.
+// Guards against a nearby member chosen although it fails, sheds load, is full or is much busier
+// than a remote one.
 #[test]
 fn an_unavailable_near_member_is_skipped() {
     let mut rng = StdRng::seed_from_u64(3);
@@ -200,13 +198,13 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// However callers are spread, half of what all can carry overloads no upstream for long, and more
-    /// stays in its data centre than without the preference.
+    /// Guards against an upstream overloaded by locality at half of the total capacity; locality
+    /// must also raise the share that stays in its data centre.
     #[test]
     fn uneven_callers_overload_no_upstream(weights in proptest::array::uniform8(0_u32..20)) {
         let total: u32 = weights.iter().sum();
         prop_assume!(total > 0);
-        // Twenty requests in ten milliseconds are half of eighty slots of twenty milliseconds.
+        // 20 requests per 10 ms are half the capacity of 80 slots at 20 ms each.
         let rates = weights.map(|weight| weight * 20 / total);
         prop_assume!(rates.iter().sum::<u32>() > 10);
         let mut stay = [0.0; 2];
--- a/acaciaring_core/tests/dedup.rs
+++ b/acaciaring_core/tests/dedup.rs
@@ -1,4 +1,4 @@
-//! Requests that may run at most once, across moves and losses of their owner.
+//! Tests of deduplication: requests run at most once across moves and losses of their owner.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     DedupTable::new(DedupSettings::default())
 }
 
-/// Returns an owner of the unit and its synced standby.
+/// Returns the owner of the unit and its synchronised standby.
 fn pair() -> (DedupTable<&'static str>, DedupTable<&'static str>) {
     let (mut owner, mut standby) = (table(), table());
     owner.become_first_owner(UNIT);
@@ -26,8 +26,8 @@
     (owner, standby)
 }
 
-// A clerk's payment is running when the clerk, tired of waiting, sends it again. The second try must not
-// run; once the first has its answer, a third gets the same answer.
+// Guards against a second run of a request repeated while the first attempt runs; later attempts
+// get the first answer.
 #[test]
 fn a_second_try_while_the_first_runs_does_not_run() {
     let (mut owner, _) = pair();
@@ -43,15 +43,15 @@
     assert_eq!(owner.begin(NOW, id(3), UNIT), Begin::Run);
 }
 
-// The unit moves between two tries of a payment. The new owner got the old one's memory with the release
-// and gives the first answer; the old owner, now standby, refuses to run anything.
+// Guards against a second run after a planned move: the new owner gets the deduplication state, and
+// the old one refuses to run requests.
 #[test]
 fn an_answer_survives_a_planned_move() {
     let (mut old, mut new) = pair();
     assert_eq!(old.begin(NOW, id(1), UNIT), Begin::Run);
     assert!(new.intent(NOW, id(1), UNIT, 5));
     old.finish(NOW, id(1), UNIT, "paid", 4);
-    // This one was noted at the standby, but the upstream shed it: it did not run.
+    // The standby has an intent for this request, but the upstream shed it, so it did not run.
     assert_eq!(old.begin(NOW, id(2), UNIT), Begin::Run);
     assert!(new.intent(NOW, id(2), UNIT, 5));
     old.not_run(id(2), UNIT);
@@ -64,8 +64,8 @@
     assert!(old.intent(NOW, id(3), UNIT, 6));
 }
 
-// The owner's VM is lost while an issuance runs. The standby was told of it before the run, but not of
-// its end. It answers "may have run"; what it was never told of did not run and runs.
+// Guards against a second run after the owner crashed: the standby answers requests with an intent
+// but no outcome as unknown, and runs the others.
 #[test]
 fn a_crash_leaves_requests_with_an_intent_unknown() {
     let (mut owner, mut standby) = pair();
@@ -77,13 +77,13 @@
     assert_eq!(standby.begin(NOW, id(1), UNIT), Begin::Unknown(Reason::LostAnswer));
     assert_eq!(standby.begin(NOW, id(2), UNIT), Begin::Done("issued"));
     assert_eq!(standby.begin(NOW, id(3), UNIT), Begin::Run);
-    // The result was on its way when the owner was lost.
+    // The outcome was in flight when the owner was lost.
     standby.outcome(NOW, id(1), UNIT, Some(("late", 4)));
     assert_eq!(standby.begin(NOW, id(1), UNIT), Begin::Done("late"));
 }
 
-// The owner is only paused. It wakes after the standby has taken over and asks to run a request. The
-// standby refuses, because it might have run the same request itself.
+// Guards against a paused owner that runs a request after its standby took over: the standby
+// refuses its intent.
 #[test]
 fn an_owner_that_was_replaced_gets_no_intent_through() {
     let (_, mut standby) = pair();
@@ -96,8 +96,8 @@
     assert!(standby.intent(NOW, id(1), UNIT, 9), "the first reply was lost");
 }
 
-// Owner and standby are lost in a row, and a member without memory takes over. For the whole window it
-// cannot tell whether a request has run, and says so; blindness goes along when the unit moves on.
+// Guards against a second run by an owner without deduplication state: for the whole window it
+// answers as unknown, and the gap is passed on when the unit moves.
 #[test]
 fn a_member_without_memory_runs_nothing_for_the_window() {
     let (mut first, mut second) = (table(), table());
@@ -115,8 +115,8 @@
     assert_eq!(second.begin(end, id(1), UNIT), Begin::Run);
 }
 
-// A burst of payments fills the memory. Answers are dropped first, their requests are then "may have
-// run"; when ids alone fill it, new requests are refused as not run. None is forgotten before its time.
+// Guards against ids dropped early when the table is full: answers are dropped first, then new
+// requests are refused as not run.
 #[test]
 fn a_full_table_drops_answers_but_no_ids() {
     let settings = DedupSettings { max_bytes: 1_024, window: WINDOW };
@@ -137,8 +137,8 @@
     assert_eq!(owner.begin(NOW + WINDOW + Duration::from_secs(1), id(5), UNIT), Begin::Run);
 }
 
-// A standby that has no room for an id must not let its request run: after a takeover it would not know
-// of it. A sync that does not fit leaves it unsynced.
+// Guards against a request that runs without its intent recorded because the standby is full; a
+// sync that does not fit leaves the standby unsynchronised.
 #[test]
 fn a_full_standby_refuses_intents_and_sync() {
     let mut standby = DedupTable::new(DedupSettings { max_bytes: 512, window: WINDOW });
@@ -157,8 +157,8 @@
     assert_eq!(standby.begin(NOW, id(9), UNIT), Begin::Unknown(Reason::DedupLost));
 }
 
-// The owner had to drop an answer that the standby still has, and then syncs the standby or moves to it.
-// The answer must not be lost a second time.
+// Guards against an answer lost on the standby when the owner, which had to drop it, syncs or moves
+// the unit.
 #[test]
 fn a_known_answer_is_not_lost_by_a_sync() {
     let (mut owner, mut standby) = pair();
@@ -171,8 +171,7 @@
     assert_eq!(standby.begin(NOW, id(1), UNIT), Begin::Done("paid"));
 }
 
-// A hot contract is split out of its slot, moves away and is merged back. What ran under the slot before
-// the split is known under the key after it, and the other way round.
+// Guards against deduplication state lost when a hot key is split from its slot or merged back.
 #[test]
 fn a_split_key_keeps_what_its_slot_remembered() {
     let key = UnitId { slot: UNIT.slot, key: Some(acaciaring_core::KeyHash(42)) };
@@ -191,8 +190,8 @@
     assert_eq!(owner.begin(NOW, id(1), UNIT), Begin::Done("booked"));
 }
 
-// A note whose outcome was lost on the way is kept for twice the window, then forgotten. Else the
-// standby's memory would fill with requests that ended long ago.
+// Guards against a standby that fills up with intents whose outcomes were lost: they expire after
+// twice the window.
 #[test]
 fn an_intent_without_outcome_expires() {
     let (_, mut standby) = pair();
--- a/acaciaring_core/tests/dedup_property.rs
+++ b/acaciaring_core/tests/dedup_property.rs
@@ -1,4 +1,4 @@
-//! At most once, under any order of tries, moves, crashes and delayed messages.
+//! Property test of at-most-once execution under random attempts, moves, crashes and delays.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 #[derive(Debug, Clone)]
 enum Step {
     Wait(u64),
-    /// A try reaches the owner; `reply` is false when the standby's reply is lost.
+    /// An attempt reaches the owner; `reply` is false when the standby's reply is lost.
     Attempt {
         id: u8,
         reply: bool,
     },
-    /// A request that runs ends; `told` is false when the standby does not hear of it yet.
+    /// A running request ends; `notified` is false when the standby is not told yet.
     End {
         id: u8,
         completion: Completion,
@@ -27,7 +27,7 @@
     },
     /// The owner moves the unit to its standby.
     Move,
-    /// The owner is lost, its standby takes over, a new member without memory stands by.
+    /// The owner is lost and its standby takes over, with an empty new standby.
     Crash,
     /// Owner and standby are lost.
     CrashBoth,
@@ -66,16 +66,16 @@
     ]
 }
 
-/// Owner and standby of one unit, and what has really run.
+/// Owner and standby of one unit, and the requests that have run.
 struct Simulation {
     settings: DedupSettings,
     now: Time,
     version: u64,
     owner: DedupTable<u8>,
     standby: DedupTable<u8>,
-    /// Given to the upstream at the present owner and not ended.
+    /// Requests running on the upstream for the current owner.
     running: BTreeSet<u8>,
-    /// When each request ended that has run, or was lost while it ran.
+    /// End of each request that has run, or the time at which its owner was lost.
     ended: [Option<Time>; IDS as usize],
     last_outcome: Option<(u8, Option<(u8, usize)>)>,
 }
--- a/acaciaring_core/tests/examples.rs
+++ b/acaciaring_core/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples build and route as the tenants need.
+//! Tests that the example documents build and route requests as intended.
 
 use std::fs;
 use std::path::Path;
--- a/acaciaring_core/tests/fold/resume.rs
+++ b/acaciaring_core/tests/fold/resume.rs
@@ -1,5 +1,5 @@
-//! Tests of processes that replace a former one beside the same upstream, and of services created by
-//! an assignment.
+//! Tests of processes that replace a former one beside the same upstream, and of services created
+//! by an assignment.
 
 use acaciaring_core::state::{Phase, Rejection, State};
 use acaciaring_core::{KeyHash, MemberId, UnitId};
--- a/acaciaring_core/tests/full.rs
+++ b/acaciaring_core/tests/full.rs
@@ -1,4 +1,4 @@
-//! Memory of full queues at an entry.
+//! Tests of the refusal cache of an entry.
 
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
     Slack { rank, aim: ms(aim), left: ms(left) }
 }
 
-// A lab report was refused, since the time left for it was short. Another one has longer, and a
-// clerk's request is more urgent: both may find a place, so both are sent.
+// Guards against requests refused at the entry that the member could accept: those with more time
+// or another rank are forwarded.
 #[test]
 fn a_refusal_holds_for_requests_with_no_more_time() {
     let mut cache = RefusalCache::default();
@@ -34,8 +34,8 @@
     assert_eq!(cache.retry_after(now, TWO, slack(Rank::Bulk, 500, 2_000)), None);
 }
 
-// A queue was full for a moment. The place that is free a sixteenth of its time later is found by
-// the next request: callers are not refused for longer than the queue is full.
+// Guards against callers refused longer than the queue is full: an entry lasts a sixteenth of its
+// retry time.
 #[test]
 fn a_refusal_is_forgotten_soon() {
     let mut cache = RefusalCache::default();
@@ -46,8 +46,8 @@
     assert_eq!(cache.retry_after(now + ms(20), ONE, request), None);
 }
 
-// Of two lab servers one is full. Requests go to the other one; only when both are full is the
-// caller told to come back, and then at the earlier time of the two.
+// Guards against requests refused while a member has room: only when all are full is the caller
+// refused, with the earliest retry time.
 #[test]
 fn members_that_are_full_are_left_out() {
     let mut cache = RefusalCache::default();
--- a/acaciaring_core/tests/holds.rs
+++ b/acaciaring_core/tests/holds.rs
@@ -78,7 +78,7 @@
     let mut holds = Holds::new(at(0), HOLD);
     let rows = report_and_grant(&mut holds, at(0), 1, &[], &[], &[wanted(1, 7)]);
     assert_eq!(rows.len(), 1);
-    assert!(!holds.serves(at(0), UNIT, Token(7)), "the reply is on its way");
+    assert!(!holds.serves(at(0), UNIT, Token(7)), "the reply is in flight");
     let effect = holds.next_effect(at(0)).expect("one is coming");
     assert!(holds.serves(effect, UNIT, Token(7)));
     assert!(!holds.serves(effect, UNIT, Token(8)));
--- a/acaciaring_core/tests/lag.rs
+++ b/acaciaring_core/tests/lag.rs
@@ -1,4 +1,4 @@
-//! Delays of messages between processes whose clocks have nothing in common.
+//! Tests of message delay estimation between processes with unsynchronised clocks.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
     Duration::from_millis(millis)
 }
 
-/// The receiver started long after the sender.
+/// Offset between the clocks of sender and receiver.
 const CLOCK_OFFSET_MS: u64 = 5_000_000;
 
-// A link loses packets, and a request gets to its server's member after 700 ms. Its caller wanted
-// an answer within 500 ms and has gone; only the delay tells.
+// Guards against a request that runs after its caller has given up because its delay in transit
+// went unnoticed.
 #[test]
 fn a_delayed_message_is_detected() {
     let mut estimator = DelayEstimator::default();
@@ -26,8 +26,8 @@
     assert_eq!(estimator.delay(Time::from_millis(2000 + 701), ms(CLOCK_OFFSET_MS + 1000)), ms(700));
 }
 
-// The very first message was itself held up. Until a faster one comes nothing better is known, and
-// no request may lose time for it.
+// Guards against requests that lose time because the first message was slow: until a faster one
+// arrives, it counts as not delayed.
 #[test]
 fn the_first_message_counts_as_fast() {
     let mut estimator = DelayEstimator::default();
@@ -36,7 +36,7 @@
     assert_eq!(estimator.delay(Time::from_millis(9200), ms(580)), ms(20));
 }
 
-// One clock runs faster by a thousandth, for an hour. Requests must not seem to be late for it.
+// Guards against clock drift that is mistaken for delay.
 #[test]
 fn drift_is_no_delay() {
     let mut estimator = DelayEstimator::default();
--- a/acaciaring_core/tests/pace.rs
+++ b/acaciaring_core/tests/pace.rs
@@ -1,4 +1,4 @@
-//! When the log is read next.
+//! Tests of the pacing of log reads.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const RATE: u32 = 200;
 
-/// A member of so many that has just read up to an offset.
+/// Returns the pacer of one of `members` members that has read the log up to `next`.
 fn reader(members: usize, next: u64) -> ReadPacer {
     let mut pacer = ReadPacer::new();
     pacer.set_rate(members, RATE);
@@ -29,8 +29,8 @@
     assert_eq!(interval(usize::MAX), 1000);
 }
 
-/// Records come one after the other, one each five milliseconds.
-/// Each member reads after its rest, and all together keep to the rate.
+/// Guards against a read rate that grows with the members: with frequent records, all of them
+/// together stay within the limit.
 #[test]
 fn all_members_together_keep_to_the_rate() {
     for members in [8_u32, 66] {
@@ -47,8 +47,8 @@
     }
 }
 
-/// The own record was appended, or another member speaks of one that was not read here.
-/// The wait for it is not prolonged by the rest, and ends with the record.
+/// Guards against a pacing delay for a required record, such as an own append or an offset named by
+/// another member.
 #[test]
 fn a_needed_record_is_read_at_once() {
     let mut pacer = reader(66, 7);
@@ -58,7 +58,7 @@
     assert_eq!(pacer.remaining(now), Duration::ZERO);
     pacer.answered(now);
     pacer.folded(8);
-    assert_eq!(pacer.remaining(now), Duration::ZERO, "it did not come with the first read");
+    assert_eq!(pacer.remaining(now), Duration::ZERO, "the first read did not include it");
     pacer.folded(9);
     assert_eq!(pacer.remaining(now), Duration::from_millis(330));
 }
@@ -70,7 +70,8 @@
     assert_eq!(pacer.remaining(Time::from_millis(1000)), Duration::from_millis(330));
 }
 
-/// The answer to an append was lost: whether the record stands in the log is seen by a read only.
+/// Guards against a pacing delay after a lost append answer, when only a read shows whether the
+/// record is in the log.
 #[test]
 fn a_record_in_doubt_is_looked_for_at_once() {
     let mut pacer = reader(66, 7);
--- a/acaciaring_core/tests/retry.rs
+++ b/acaciaring_core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Which failed tries are repeated, when, and how many in all.
+//! Tests of which failed attempts are retried, when, and within which budget.
 
 use std::time::Duration;
 
@@ -26,8 +26,8 @@
     budget.decide(Time::ZERO, &mut StdRng::seed_from_u64(1), failure)
 }
 
-// A payment was given to the server and the answer was lost. A second run would be a doubled payment, so
-// the caller is told "unknown"; a status query in the same place is simply asked again.
+// Guards against a second run of a request whose answer was lost: only requests that did not run or
+// are idempotent are retried.
 #[test]
 fn only_what_did_not_run_or_is_idempotent_is_repeated() {
     let lost = failure(Refusal::unknown(Reason::LostAnswer));
@@ -41,8 +41,7 @@
     }
 }
 
-// The server asks callers to come back after the request's deadline. Waiting would end in nothing, so the
-// caller hears at once.
+// Guards against a wait for a retry that cannot meet the deadline.
 #[test]
 fn a_pause_longer_than_the_time_left_gives_up_at_once() {
     let busy = Refusal::not_run(Reason::Busy);
@@ -54,8 +53,7 @@
     assert_eq!(decide(&elsewhere), RetryDecision::Retry { after: Duration::ZERO });
 }
 
-// During a move two members each take the other for the owner. A request goes to and fro between them
-// until the new owner serves; after a few redirects it pauses and counts as tries.
+// Guards against an endless redirect loop between members that each take the other for the owner.
 #[test]
 fn redirects_are_free_but_bounded() {
     let settings = RetrySettings { burst: 0.0, ..RetrySettings::default() };
@@ -71,8 +69,8 @@
     assert!(matches!(decide(&exhausted), RetryDecision::Retry { after } if after > Duration::ZERO));
 }
 
-// All servers of a service are down and every try fails. Retries must stay a tenth of the requests, or
-// they would be the load that keeps the servers from coming back.
+// Guards against retries that keep failed servers overloaded: they stay within a tenth of the
+// requests.
 #[test]
 fn retries_stay_within_their_share() {
     let mut budget = RetryBudget::new(Time::ZERO, RetrySettings::default());
@@ -86,13 +84,12 @@
             retries += 1;
         }
     }
-    // The share, what was saved up, and the least rate over ten seconds.
+    // The retry share, the burst and the minimum rate over ten seconds.
     assert!((1_000..=1_000 + 20 + 10).contains(&retries), "{retries} retries");
 }
 
-// One member of a pooled service is full and says so; no server has seen the request. The budget that
-// all members share is used up, and another member has room: it is asked once all the same. A server
-// that turned the request away itself is another matter, and so is a service that is full as a whole.
+// Guards against a refusal while another member has room: it is tried once even if the budget is
+// spent. A refusal by a server itself, or by a service without alternative, is not retried then.
 #[test]
 fn a_full_member_leads_to_another_one_without_budget() {
     let settings = RetrySettings { burst: 0.0, min_rate: 0.0, ..RetrySettings::default() };
--- a/acaciaring_core/tests/route.rs
+++ b/acaciaring_core/tests/route.rs
@@ -1,4 +1,4 @@
-//! Documents, routes built from them, and lookups.
+//! Tests of documents, the routes built from them, and route lookups.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -130,8 +130,8 @@
 
 #[test]
 fn a_pooled_service_has_no_class_that_runs_once() {
-    // A caller whose answer was lost tries again with its idempotency key. Nobody owns the key in
-    // a pooled service, so nobody remembers the first run, and a second upstream runs it again.
+    // Guards against a second run after a lost answer: no member of a pooled service owns the
+    // idempotency key, so another upstream would run the request again.
     let pooled =
         TEMPLATE.replace("kind = keyed\nslots = ${slots}\nkey = segment:1", "kind = pooled");
     let found = faults(&pooled, PARAMETERS);
@@ -170,8 +170,7 @@
 
 #[test]
 fn a_line_without_equals_sign_is_not_swallowed() {
-    // An operator forgets the '='. The reader joins the line with the next one into one key, and
-    // both settings would silently be lost.
+    // Guards against two settings lost silently: the parser joins a line without '=' with the next.
     let text = TEMPLATE.replace("rank = background", "rank background");
     let found = parse(DocumentKind::Template, "a.ini", &text).expect_err("the file has a fault");
     assert!(found.iter().any(|fault| fault.message == "a line has no '='" && fault.line == 27));
@@ -195,8 +194,8 @@
 
 #[test]
 fn an_escape_does_not_bypass_a_class() {
-    // A caller writes a letter of the path as an escape. The upstream decodes it and signs a
-    // commitment; if the router did not, the request would count as one that may be repeated.
+    // Guards against a repeated run of a request that escapes a letter of its path: the upstream
+    // decodes it, so the router must as well when it selects the class.
     let route = route(TEMPLATE);
     let class = route.class("POST", "/free-state/contracts/commit%6Dents/k1");
     assert_eq!(class.repeat, Repeat::Once);
@@ -282,7 +281,7 @@
     }
 }
 
-/// Runs a property with a fixed seed, so that its verdict is the same each time.
+/// Runs a property with a fixed seed, so that its result is reproducible.
 fn check_property<S: Strategy>(strategy: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let config = Config { cases: 512, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
--- a/acaciaring_core/tests/support/fleet.rs
+++ b/acaciaring_core/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Members that each plan for themselves over one folded service; requests are only counted.
+//! Simulation of members that plan moves independently over one service; requests are only counted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,38 +12,38 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 
-/// Requests that one member can run at once.
+/// Requests that one member can run concurrently.
 const MEMBER_CAPACITY: u32 = 20;
 
-/// Time that a request takes.
+/// Service time of a request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// How members decide on moves.
+/// Policy by which members decide on moves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The product's plan.
+    /// The planner of the core crate.
     Weighted,
-    /// Whoever is above the mean moves its hottest units, whatever it costs.
+    /// A member above the mean load moves its hottest units, regardless of the cost of a move.
     Greedy,
-    /// Rendezvous hashing; units move only when members come and go.
+    /// Rendezvous hashing: units move only when members join or leave.
     Hashing,
 }
 
-/// Shape of a fleet.
+/// Settings of a simulated fleet.
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
     pub members: u32,
     pub slots: u32,
-    /// Requests a second of the whole fleet.
+    /// Requests per second over the whole fleet.
     pub rate: f64,
-    /// Standard deviation of the logarithm of a slot's popularity.
+    /// Standard deviation of the logarithm of slot popularity.
     pub skew: f64,
     pub policy: Policy,
     pub weights: Weights,
     pub balance: BalanceSettings,
     /// Time between plans.
     pub period: Duration,
-    /// Members that plan at the same time, before they hear of each other's moves.
+    /// Members that plan concurrently, before they see each other's moves.
     pub overlap: usize,
 }
 
@@ -81,18 +81,18 @@
     pub now: Time,
     pub service: Service,
     servers: BTreeMap<MemberId, Server>,
-    /// Cumulated popularity of slots.
+    /// Cumulative popularity of the slots.
     popularity: Vec<f64>,
-    /// Hot keys and their shares of all requests.
+    /// Hot keys and their share of all requests.
     hot: Vec<(KeyHash, f64)>,
     version: u64,
-    /// Slots and hot keys that a plan has moved.
+    /// Planned moves of slots and hot keys: time, unit and new owner.
     pub moved: Vec<(Time, UnitId, MemberId)>,
-    /// Units that had to move because their owner was lost.
+    /// Units that moved because their owner was lost.
     pub forced: usize,
     pub splits: usize,
     pub merges: usize,
-    /// Time for which moved units were not served, summed, if requests in flight are Poisson.
+    /// Total time for which moved units were not served, with Poisson requests in flight.
     pub unserved: Duration,
 }
 
@@ -133,7 +133,7 @@
         fleet
     }
 
-    /// Lets a new member join; it owns nothing yet, but under hashing what falls to it.
+    /// Adds a member. It owns nothing yet, except under hashing the slots that map to it.
     pub fn join(&mut self) -> MemberId {
         let id = self.add();
         if self.settings.policy == Policy::Hashing {
@@ -148,7 +148,7 @@
         id
     }
 
-    /// Loses a member; its units pass to their standbys, new standbys are drawn.
+    /// Removes a member: its units pass to their standbys, and new standbys are drawn.
     pub fn lose_member(&mut self, id: MemberId) {
         self.servers.remove(&id);
         let mut units: Vec<_> = self.service.units().map(|(unit, a)| (unit, *a)).collect();
@@ -166,12 +166,12 @@
         }
     }
 
-    /// Slows a member down while it goes on to report as before.
+    /// Slows a member down, which its load reports show only in the busy requests.
     pub fn slow_down(&mut self, id: MemberId, factor: f64) {
         self.servers.get_mut(&id).unwrap().slowness = factor;
     }
 
-    /// Makes keys hot, each with a share of all requests.
+    /// Sets the hot keys, each with its share of all requests.
     pub fn set_hot_keys(&mut self, hot: Vec<(KeyHash, f64)>) {
         self.hot = hot;
     }
@@ -180,19 +180,19 @@
         self.servers.keys().copied().collect()
     }
 
-    /// Returns how many slots a member owns.
+    /// Returns the number of slots that a member owns.
     pub fn owned(&self, id: MemberId) -> usize {
         self.service.slots.iter().filter(|a| a.owner == Some(id)).count()
     }
 
-    /// Returns requests a second of a member in the last period.
+    /// Returns the requests per second of a member in the last period.
     pub fn rate(&self, id: MemberId) -> f64 {
         f64::from(self.servers[&id].count) / self.settings.period.as_secs_f64()
     }
 
     /// Returns the highest load and the standard deviation, both relative to the mean.
     ///
-    /// Loads are those that the keys' popularity makes expected, without the noise of single requests.
+    /// Loads are expected values by key popularity, without the noise of single requests.
     pub fn imbalance(&self) -> (f64, f64) {
         let mut loads: BTreeMap<_, _> = self.servers.keys().map(|id| (*id, 0.0)).collect();
         for (unit, assignment) in self.service.units() {
@@ -206,7 +206,7 @@
         (max * count, variance.sqrt())
     }
 
-    /// Returns the share of all requests that a unit is expected to get.
+    /// Returns the expected share of all requests for a unit.
     fn expected(&self, unit: UnitId) -> f64 {
         let covered = self.hot.iter().filter(|(key, _)| self.service.unit_of(*key) == unit);
         let hot: f64 = covered.map(|(_, part)| part).sum();
@@ -220,7 +220,7 @@
         hot + part * (1.0 - all)
     }
 
-    /// Passes a span in periods: requests come, loads are reported, members plan.
+    /// Simulates a span: in each period, requests arrive, loads are reported and members plan.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -330,14 +330,14 @@
                 reason = "a small count"
             )]
             let busy = busy.round() as u32;
-            // An upstream that cannot keep up fills its queue.
+            // An overloaded upstream has its queue full.
             let busy = if busy > MEMBER_CAPACITY { busy.min(3 * MEMBER_CAPACITY) } else { busy };
             server.load =
                 Some(Load { rate, busy, capacity: MEMBER_CAPACITY, speed: 1.0, at: self.now });
         }
     }
 
-    /// Returns the loads as they were reported a period ago.
+    /// Returns the loads as reported one period ago.
     fn candidates(&self) -> BTreeMap<MemberId, Candidate> {
         let candidate = |server: &Server| {
             let data_centre = server.data_centre.to_string().into();
@@ -346,7 +346,7 @@
         self.servers.iter().map(|(id, server)| (*id, candidate(server))).collect()
     }
 
-    /// Lets the members of a group plan at the same time, from the same state.
+    /// Lets the members of a group plan concurrently from the same state.
     fn plans(
         &mut self,
         group: &[MemberId],
@@ -412,7 +412,7 @@
         }
     }
 
-    /// Adds what a planned move takes: one message, and the rest of a request if one is in flight.
+    /// Adds the cost of a planned move: one message, and the rest of a request if one is in flight.
     fn record_unserved(&mut self, unit: UnitId) {
         let in_flight = self.expected(unit) * self.settings.rate * SERVICE_TIME.as_secs_f64();
         let rest = SERVICE_TIME.mul_f64(1.0 - (-in_flight).exp());
@@ -429,7 +429,8 @@
     }
 }
 
-/// Moves the hottest units while this member is above the mean and each move lowers the higher load.
+/// Moves the hottest units while this member is above the mean and each move lowers the higher load
+/// of the two members.
 fn greedy(now: Time, view: &View<'_>) -> Plan {
     let rate = |id: &MemberId| view.members[id].load.map(|load| load.rate);
     let known: Vec<_> = view.members.keys().filter_map(rate).collect();
--- a/acaciaring_core/tests/support/upstream.rs
+++ b/acaciaring_core/tests/support/upstream.rs
@@ -1,4 +1,5 @@
-//! Event loop around one upstream: seeded arrivals, a gate, slots, and callers that try again.
+//! Discrete-event simulation of one upstream: seeded arrivals, a queueing discipline, slots and
+//! retrying callers.
 
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
@@ -15,50 +16,50 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Stream {
     pub rank: Rank,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     pub deadline: Duration,
     /// Mean of the exponential service time.
     pub service: Duration,
 }
 
-/// What stands in front of the upstream's slots.
+/// Queueing discipline in front of the upstream's slots.
 #[derive(Debug, Clone)]
 pub enum Discipline {
     Admission(AdmissionSettings),
-    /// The same behind an entry that remembers what was refused.
+    /// Admission behind an entry that caches refusals.
     CachedRefusals(AdmissionSettings),
-    /// First in, first out, without bound; what is late runs all the same.
+    /// Unbounded first in, first out; late requests run as well.
     Fifo {
         slots: usize,
     },
 }
 
-/// How callers try again.
+/// Retry policy of the callers.
 #[derive(Debug, Clone)]
 pub enum Retries {
     Never,
     Budget(RetrySettings),
-    /// After the pause that the refusal names, while time is left.
+    /// Retry after the pause given by the refusal, while time is left.
     Always,
 }
 
-/// What came of the requests of one rank.
+/// Outcome counts of the requests of one rank.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
     pub requests: u32,
     pub attempts: u32,
-    /// Answered in time.
+    /// Answered by the deadline.
     pub on_time: u32,
-    /// Answered in time and before the run's span was over.
+    /// Answered by the deadline and before the end of the simulated span.
     pub in_span: u32,
-    /// Answered too late.
+    /// Answered after the deadline.
     pub late: u32,
-    /// Given up as not run.
+    /// Given up without having run.
     pub refused: u32,
-    /// Tries that went to the upstream's member; the others were refused at the entry.
+    /// Attempts forwarded to the upstream's member; the others were refused at the entry.
     pub forwarded: u32,
-    /// Time to a good answer.
+    /// Latencies of the answers on time.
     pub latencies: Vec<Duration>,
 }
 
@@ -91,7 +92,7 @@
 /// Member beside the upstream.
 const MEMBER: MemberId = MemberId(1);
 
-/// One run.
+/// State of one simulation.
 pub struct Simulation {
     rng: StdRng,
     streams: Vec<Stream>,
@@ -100,18 +101,18 @@
     order: u64,
     requests: BTreeMap<u64, Request>,
     queue: Box<dyn Queueing>,
-    /// Memory of the one entry, if it has one.
+    /// Refusal cache of the single entry, if it has one.
     refusal_cache: Option<RefusalCache>,
     retries: Retries,
-    /// One budget per stream, so that failures of one rank don't use up another's.
+    /// One budget per stream, so that failures of one rank do not use up another's.
     budgets: Vec<RetryBudget>,
     tallies: Vec<Tally>,
-    /// Most requests that ran at once.
+    /// Highest number of concurrent requests.
     pub max_running: usize,
     running: usize,
 }
 
-/// Offers `streams` for `span` and returns a tally per stream.
+/// Offers `streams` for `span` and returns the tally of each stream.
 pub fn simulate(
     seed: u64,
     streams: &[Stream],
@@ -267,7 +268,7 @@
 
     fn tick(&mut self, now: Time) {
         self.expire(now);
-        // Long past every deadline and any backlog, a request that is left was lost by the gate.
+        // Long after every deadline and any backlog, a remaining request was lost by the queue.
         let overdue = now.since(self.end) > Duration::from_mins(5);
         assert!(!overdue, "{} requests were lost", self.requests.len());
         if !self.requests.is_empty() || now < self.end {
@@ -314,7 +315,7 @@
     }
 }
 
-/// Gate as the loop sees it.
+/// Queueing discipline as used by the event loop.
 trait Queueing {
     fn offer(&mut self, now: Time, ticket: Ticket) -> Offer<u64>;
     fn finish(&mut self, now: Time, attempt: u64, took: Duration) -> Vec<u64>;
