--- a/acaciaring_core/tests/fold/resume.rs
+++ b/acaciaring_core/tests/fold/resume.rs
@@ -43,14 +43,14 @@
 }
 
 fn owned(state: &State, member: MemberId) -> Vec<u32> {
-    let units = state.service(WORKSPACE).expect("founded").units();
+    let units = state.service(WORKSPACE).expect("assigned").units();
     units.filter(|(_, a)| a.owner == Some(member)).map(|(unit, _)| unit.slot).collect()
 }
 
 #[test]
 fn an_assignment_makes_a_service_whose_slots_are_ranges() {
     let (log, members) = service(3, 4096);
-    let service = log.state.service(WORKSPACE).expect("founded");
+    let service = log.state.service(WORKSPACE).expect("assigned");
     assert_eq!(service.key_ranges(UnitId::slot(1)), [16..=31]);
     assert_eq!(service.unit_of(KeyHash(31)), UnitId::slot(1));
     assert_eq!(service.unit_of(KeyHash(65_535)), UnitId::slot(4095));
@@ -87,10 +87,10 @@
     let (mut log, members) = service(3, 64);
     let before: Vec<_> = owned(&log.state, members[0]);
     let slot = usize::try_from(before[0]).expect("a small slot");
-    let old = log.state.service(WORKSPACE).expect("founded").slots[slot];
+    let old = log.state.service(WORKSPACE).expect("assigned").slots[slot];
     let later = join_and_attach(&mut log, "a", "i-a");
     assert_eq!(owned(&log.state, later), before);
-    let new = log.state.service(WORKSPACE).expect("founded").slots[slot];
+    let new = log.state.service(WORKSPACE).expect("assigned").slots[slot];
     assert_eq!((new.standby, new.prior_standby, new.prior), (old.standby, old.standby, None));
     assert!(new.token > old.token);
     assert_eq!(log.state.member(members[0]).map(|member| member.phase), Some(Phase::Dead));
@@ -120,7 +120,7 @@
     let (mut log, members) = service(3, 64);
     log.applied(Body::Leave(Leave { member: members[0].0, applied: log.state.next() }));
     let later = join_and_attach(&mut log, "a", "i-a");
-    let service = log.state.service(WORKSPACE).expect("founded");
+    let service = log.state.service(WORKSPACE).expect("assigned");
     let unreleased = service.units().filter(|(_, a)| a.prior == Some(later)).count();
     assert!(unreleased > 0);
     assert!(service.units().all(|(_, a)| a.prior != Some(members[0])));
@@ -132,19 +132,19 @@
 #[test]
 fn a_member_that_has_not_read_what_it_owns_does_not_leave() {
     let (mut log, members) = service(3, 64);
-    let slots = &log.state.service(WORKSPACE).expect("founded").slots;
+    let slots = &log.state.service(WORKSPACE).expect("assigned").slots;
     let slot = slots.iter().position(|a| a.owner == Some(members[0])).expect("it owns some");
     let second = slots[slot].standby.expect("a standby");
     let read = log.state.next();
     log.applied(Body::Leave(Leave { member: members[0].0, applied: read }));
-    let between = log.state.service(WORKSPACE).expect("founded").slots[slot];
+    let between = log.state.service(WORKSPACE).expect("assigned").slots[slot];
     assert_eq!((between.owner, between.prior), (Some(second), Some(members[0])));
     let leave = log.rejected(Body::Leave(Leave { member: second.0, applied: read }));
     assert!(matches!(leave, Rejection::Conflict { .. }), "{leave:?}");
-    assert_eq!(log.state.service(WORKSPACE).expect("founded").slots[slot], between);
+    assert_eq!(log.state.service(WORKSPACE).expect("assigned").slots[slot], between);
     let read = log.state.next();
     log.applied(Body::Leave(Leave { member: second.0, applied: read }));
-    let after = log.state.service(WORKSPACE).expect("founded").slots[slot];
+    let after = log.state.service(WORKSPACE).expect("assigned").slots[slot];
     assert_eq!(after.prior, Some(second));
 }
 
@@ -156,13 +156,13 @@
     let slot = owned(&log.state, members[0])[0];
     let later = join_and_attach(&mut log, "a", "i-a");
     let index = usize::try_from(slot).expect("a small slot");
-    let version = log.state.service(WORKSPACE).expect("founded").slots[index].version;
+    let version = log.state.service(WORKSPACE).expect("assigned").slots[index].version;
     let units = vec![acaciaring_schema::log::Unit { slot, key: None, version }];
     log.applied(Body::Switchover(Switchover {
         member: later.0,
         workspace: WORKSPACE.into(),
         units,
     }));
-    let after = log.state.service(WORKSPACE).expect("founded").slots[index];
+    let after = log.state.service(WORKSPACE).expect("assigned").slots[index];
     assert_eq!((after.prior_standby, after.prior), (None, Some(later)));
 }
--- a/acaciaring_core/tests/lease.rs
+++ b/acaciaring_core/tests/lease.rs
@@ -384,7 +384,7 @@
 /// Delay of a slow lessor's answers in milliseconds, twice the pause before a renewal is repeated.
 const ANSWER_DELAY_MS: u64 = 400;
 
-/// Settings with a longer term and a shorter pause before a renewal is repeated.
+/// Settings with a term of 3 s and a longer renewal interval.
 fn long_term_settings() -> LeaseSettings {
     LeaseSettings {
         interval: Duration::from_millis(700),
