--- a/acaciaring_core/tests/admission.rs
+++ b/acaciaring_core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission beside one upstream, under overload and when the upstream misbehaves.
+//! Tests of admission control for one upstream, under overload and with a faulty upstream.
 
 #[path = "support/upstream.rs"]
 mod upstream;
@@ -11,11 +11,11 @@
 use acaciaring_core::route::Rank;
 use acaciaring_core::{Reason, Time, Verdict};
 
-use self::upstream::{Gate, Retries, Run, Stream, Tally, run};
+use self::upstream::{Discipline, Retries, Simulation, Stream, Tally, simulate};
 
 const SPAN: Duration = Duration::from_secs(30);
 
-/// Requests a second that 20 slots carry at 20 ms each.
+/// Requests per second that 20 slots serve at 20 ms each.
 const CAPACITY: f64 = 1000.0;
 
 fn ms(millis: u64) -> Duration {
@@ -35,40 +35,38 @@
     ]
 }
 
-fn gate() -> Gate {
-    Gate::Admission(AdmissionSettings::default())
+fn default_discipline() -> Discipline {
+    Discipline::Admission(AdmissionSettings::default())
 }
 
-fn good(tallies: &[Tally]) -> f64 {
-    tallies.iter().map(|tally| f64::from(tally.within)).sum::<f64>() / SPAN.as_secs_f64()
+fn goodput(tallies: &[Tally]) -> f64 {
+    tallies.iter().map(|tally| f64::from(tally.in_span)).sum::<f64>() / SPAN.as_secs_f64()
 }
 
 fn share(part: u32, whole: u32) -> f64 {
     f64::from(part) / f64::from(whole.max(1))
 }
 
-// At month end twice as many requests come as the server can run. Without a bounded queue each
-// waits behind all earlier ones until every answer is late. Limit checks (critical) must still be in
-// time, sample files (bulk) must still get through, and the server's whole capacity must go into answers
-// that come in time.
+// Guards against an unbounded queue under overload, in which every answer is late: goodput stays
+// near capacity, critical requests are on time and lower ranks still run.
 #[test]
 fn overload_keeps_goodput_and_critical_deadlines() {
-    let mut tallies = run(1, &mixed(2.0), &gate(), &Retries::Never, SPAN);
-    assert!(good(&tallies) > 0.9 * CAPACITY, "goodput {}", good(&tallies));
+    let mut tallies = simulate(1, &mixed(2.0), &default_discipline(), &Retries::Never, SPAN);
+    assert!(goodput(&tallies) > 0.9 * CAPACITY, "goodput {}", goodput(&tallies));
     let critical = &tallies[0];
-    assert!(share(critical.good, critical.requests) > 0.99, "{critical:?}");
+    assert!(share(critical.on_time, critical.requests) > 0.99, "{critical:?}");
     assert!(tallies[0].quantile(0.99) < ms(200));
     for tally in &tallies[2..] {
-        assert!(tally.good > 0);
+        assert!(tally.on_time > 0);
     }
-    let bulk = f64::from(tallies[2].good) / SPAN.as_secs_f64();
+    let bulk = f64::from(tallies[2].on_time) / SPAN.as_secs_f64();
     assert!(bulk > 0.1 * CAPACITY, "bulk {bulk}");
-    let unbounded = run(1, &mixed(2.0), &Gate::Fifo { slots: 20 }, &Retries::Never, SPAN);
-    assert!(good(&unbounded) < 0.7 * good(&tallies));
+    let unbounded =
+        simulate(1, &mixed(2.0), &Discipline::Fifo { slots: 20 }, &Retries::Never, SPAN);
+    assert!(goodput(&unbounded) < 0.7 * goodput(&tallies));
 }
 
-// Clerks (interactive) alone ask for more than the server can do, for as long as the permit rush lasts.
-// Served strictly by rank, lab reports (bulk) would never run, and a compliance period would be void.
+// Guards against starvation of lower ranks by strict priority under lasting interactive overload.
 #[test]
 fn a_flood_of_interactive_requests_does_not_starve_bulk() {
     let streams = [
@@ -77,193 +75,194 @@
         stream(Rank::Background, 0.04, 20_000),
     ];
     let retries = Retries::Budget(RetrySettings::default());
-    let tallies = run(2, &streams, &gate(), &retries, SPAN);
+    let tallies = simulate(2, &streams, &default_discipline(), &retries, SPAN);
     for tally in &tallies[1..] {
-        assert!(share(tally.good, tally.requests) > 0.95, "{} of {}", tally.good, tally.requests);
+        assert!(
+            share(tally.on_time, tally.requests) > 0.95,
+            "{} of {}",
+            tally.on_time,
+            tally.requests
+        );
     }
 }
 
-// The server refuses half of the requests, and each caller tries again at once. The tries multiply until
-// refusing is all that the process does. With a budget the tries stay within a tenth of the requests.
+// Guards against a retry storm: retries stay within a tenth of the requests.
 #[test]
 fn a_retry_budget_prevents_a_storm() {
     let streams = [stream(Rank::Interactive, 2.0, 1_000)];
-    let tries = |retries: &Retries| {
-        let tallies = run(3, &streams, &gate(), retries, SPAN);
-        (share(tallies[0].tries, tallies[0].requests), good(&tallies))
+    let attempt_ratio = |retries: &Retries| {
+        let tallies = simulate(3, &streams, &default_discipline(), retries, SPAN);
+        (share(tallies[0].attempts, tallies[0].requests), goodput(&tallies))
     };
-    let (bounded, good) = tries(&Retries::Budget(RetrySettings::default()));
-    let (storm, _) = tries(&Retries::Always);
-    assert!(bounded < 1.12, "tries {bounded}");
-    assert!(storm > 2.0, "tries {storm}");
-    assert!(good > 0.9 * CAPACITY);
+    let (bounded, goodput) = attempt_ratio(&Retries::Budget(RetrySettings::default()));
+    let (unbudgeted, _) = attempt_ratio(&Retries::Always);
+    assert!(bounded < 1.12, "attempts per request {bounded}");
+    assert!(unbudgeted > 2.0, "attempts per request {unbudgeted}");
+    assert!(goodput > 0.9 * CAPACITY);
 }
 
-// The upstream turns ten times slower while its health endpoint says that all is well. Requests that can
-// no longer be in time are refused early, so that callers can go elsewhere; and once the upstream is
-// fast again, requests are let in again although the last estimate was past all deadlines.
+// Guards against requests queued at a slow upstream that cannot be on time, and against an estimate
+// that still refuses them after it has recovered.
 #[test]
-fn a_slow_upstream_is_felt_and_its_recovery_too() {
-    let mut gate = Admission::new(AdmissionSettings::default());
-    let offer = |gate: &mut Admission<u64>, now: Time, attempt: u64| {
+fn a_slow_upstream_and_its_recovery_are_detected() {
+    let mut admission = Admission::new(AdmissionSettings::default());
+    let offer = |admission: &mut Admission<u64>, now: Time, attempt: u64| {
         let ticket = ticket(Rank::Interactive, now + ms(300), attempt);
-        gate.offer(now, ticket, attempt)
+        admission.offer(now, ticket, attempt)
     };
     let mut attempt = 0;
-    let mut serve = |gate: &mut Admission<u64>, now: Time, took: Duration, count: u64| {
+    let mut serve = |admission: &mut Admission<u64>, now: Time, took: Duration, count: u64| {
         for _ in 0..count {
             attempt += 1;
-            if let Offer::Start(started) = offer(gate, now, attempt) {
-                assert!(gate.finish(now + took, started, took, Completion::Answered).is_empty());
+            if let Offer::Start(started) = offer(admission, now, attempt) {
+                assert!(
+                    admission.finish(now + took, started, took, Completion::Answered).is_empty()
+                );
             }
         }
     };
-    serve(&mut gate, Time::from_millis(0), ms(2_000), 50);
-    assert!(gate.service_time(Rank::Interactive) > ms(1_000));
+    serve(&mut admission, Time::from_millis(0), ms(2_000), 50);
+    assert!(admission.service_time(Rank::Interactive) > ms(1_000));
     let now = Time::from_millis(10_000);
     let mut refused = 0;
     for attempt in 1_000..1_030 {
-        match offer(&mut gate, now, attempt) {
+        match offer(&mut admission, now, attempt) {
             Offer::Refused(_, refusal) => {
                 assert_eq!(refusal.verdict, Verdict::NotRun);
                 assert!(refusal.retry.is_some());
                 refused += 1;
             }
             Offer::Start(_) => {}
-            Offer::Queued { .. } => panic!("a request that must be late was left to wait"),
+            Offer::Queued { .. } => panic!("a request that cannot be on time was queued"),
         }
     }
     assert_eq!(refused, 10);
     for attempt in 1_000..1_020 {
-        gate.finish(now, attempt, ms(10), Completion::Answered);
+        admission.finish(now, attempt, ms(10), Completion::Answered);
     }
-    serve(&mut gate, Time::from_millis(20_000), ms(10), 50);
-    assert!(gate.service_time(Rank::Interactive) < ms(50));
+    serve(&mut admission, Time::from_millis(20_000), ms(10), 50);
+    assert!(admission.service_time(Rank::Interactive) < ms(50));
 }
 
-// The queue is full of archive lookups when a limit check arrives. The check waits in place of one of
-// them, and the one that gave way is told at once that it did not run.
+// Guards against a full queue of low rank that shuts out a higher one: the displaced request is
+// refused as not run.
 #[test]
 fn an_important_request_displaces_the_least_important() {
     let settings = AdmissionSettings { slots: 1, queue: 3, ..AdmissionSettings::default() };
-    let mut gate = Admission::new(settings);
+    let mut admission = Admission::new(settings);
     let now = Time::ZERO;
     let ticket = |rank, attempt| ticket(rank, now + ms(10_000 + attempt), attempt);
-    assert_eq!(gate.offer(now, ticket(Rank::Background, 1), 1), Offer::Start(1));
+    assert_eq!(admission.offer(now, ticket(Rank::Background, 1), 1), Offer::Start(1));
     for attempt in 2..=4 {
-        let offer = gate.offer(now, ticket(Rank::Background, attempt), attempt);
+        let offer = admission.offer(now, ticket(Rank::Background, attempt), attempt);
         assert_eq!(offer, Offer::Queued { displaced: None });
     }
     let Offer::Queued { displaced: Some((4, refusal)) } =
-        gate.offer(now, ticket(Rank::Critical, 5), 5)
+        admission.offer(now, ticket(Rank::Critical, 5), 5)
     else {
-        panic!("the last background request must give way");
+        panic!("the last background request must be displaced");
     };
     assert_eq!((refusal.verdict, refusal.reason), (Verdict::NotRun, Reason::Busy));
-    assert!(matches!(gate.offer(now, ticket(Rank::Background, 6), 6), Offer::Refused(6, _)));
-    assert_eq!(gate.finish(now, 1, ms(10), Completion::Answered), [5]);
+    assert!(matches!(admission.offer(now, ticket(Rank::Background, 6), 6), Offer::Refused(6, _)));
+    assert_eq!(admission.finish(now, 1, ms(10), Completion::Answered), [5]);
 }
 
-// Bulk and interactive requests wait all the time and are owed their shares. A limit check that comes in
-// between still goes before both, or the issuance that waits for it would be late.
+// Guards against critical requests delayed by lower ranks that are due their guaranteed share.
 #[test]
 fn critical_requests_go_before_overdue_ones() {
     let settings = AdmissionSettings { slots: 1, ..AdmissionSettings::default() };
-    let mut gate = Admission::new(settings);
+    let mut admission = Admission::new(settings);
     let deadline = Time::from_millis(60_000);
     let mut now = Time::ZERO;
     let mut running = 0;
-    let offer = |gate: &mut Admission<u64>, now: Time, rank, attempt| {
-        gate.offer(now, ticket(rank, deadline, attempt), attempt)
+    let offer = |admission: &mut Admission<u64>, now: Time, rank, attempt| {
+        admission.offer(now, ticket(rank, deadline, attempt), attempt)
     };
-    assert_eq!(offer(&mut gate, now, Rank::Interactive, 0), Offer::Start(0));
+    assert_eq!(offer(&mut admission, now, Rank::Interactive, 0), Offer::Start(0));
     for round in 1..200 {
         now = now + ms(10);
         for (n, rank) in [Rank::Interactive, Rank::Bulk, Rank::Background].into_iter().enumerate() {
-            offer(&mut gate, now, rank, round * 10 + n as u64);
+            offer(&mut admission, now, rank, round * 10 + n as u64);
         }
         let critical = round * 10 + 9;
-        let waits = round % 3 == 0;
-        if waits {
-            offer(&mut gate, now, Rank::Critical, critical);
+        let queues_critical = round % 3 == 0;
+        if queues_critical {
+            offer(&mut admission, now, Rank::Critical, critical);
         }
-        let started = gate.finish(now, running, ms(10), Completion::Answered);
+        let started = admission.finish(now, running, ms(10), Completion::Answered);
         assert_eq!(started.len(), 1);
-        assert_eq!(started[0] == critical, waits, "round {round}");
+        assert_eq!(started[0] == critical, queues_critical, "round {round}");
         running = started[0];
     }
 }
 
-// A request waits whose deadline comes close while slower ones hold the slots. Its caller hears that it
-// did not run as soon as that is certain, with time left to do something else.
+// Guards against a caller that learns only at its deadline that its queued request did not run.
 #[test]
 fn a_request_that_must_be_late_is_refused_before_its_deadline() {
     let settings =
         AdmissionSettings { slots: 1, service_time: ms(100), ..AdmissionSettings::default() };
-    let mut gate = Admission::new(settings);
+    let mut admission = Admission::new(settings);
     let ticket = |deadline, attempt| ticket(Rank::Interactive, deadline, attempt);
-    gate.offer(Time::ZERO, ticket(Time::from_millis(5_000), 1), 1);
-    gate.offer(Time::ZERO, ticket(Time::from_millis(400), 2), 2);
-    assert!(gate.expire(Time::from_millis(150)).is_empty());
-    let late = gate.expire(Time::from_millis(310));
+    admission.offer(Time::ZERO, ticket(Time::from_millis(5_000), 1), 1);
+    admission.offer(Time::ZERO, ticket(Time::from_millis(400), 2), 2);
+    assert!(admission.expire(Time::from_millis(150)).is_empty());
+    let late = admission.expire(Time::from_millis(310));
     assert_eq!(late.len(), 1);
     assert_eq!(late[0].1.reason, Reason::Expired);
 }
 
-// An upstream that has just started gets all its slots' worth of requests at once, and with cold caches
-// answers none in time. It gets few at first, and all of its slots after the ramp.
+// Guards against a new upstream that gets its full concurrency with cold caches.
 #[test]
 fn a_cold_upstream_is_ramped_up() {
-    let mut gate = Admission::<u64>::new(AdmissionSettings::default());
+    let mut admission = Admission::<u64>::new(AdmissionSettings::default());
     let now = Time::from_millis(1_000);
-    assert!(gate.ready(now, true).is_empty());
-    assert_eq!(gate.capacity(now), 2);
-    assert_eq!(gate.capacity(now + ms(5_000)), 11);
-    assert_eq!(gate.capacity(now + ms(10_000)), 20);
+    assert!(admission.ready(now, true).is_empty());
+    assert_eq!(admission.capacity(now), 2);
+    assert_eq!(admission.capacity(now + ms(5_000)), 11);
+    assert_eq!(admission.capacity(now + ms(10_000)), 20);
 }
 
-// The upstream answers that it sheds load. What waits would only be shed too; it is refused as not run,
-// with the time that the upstream asked for, and afterwards half of the former concurrency is tried.
+// Guards against requests sent to an upstream that sheds load: queued ones are refused with its
+// retry time, and concurrency then resumes at half.
 #[test]
 fn an_upstream_that_sheds_is_left_alone() {
-    let mut gate = Admission::new(AdmissionSettings::default());
+    let mut admission = Admission::new(AdmissionSettings::default());
     let now = Time::ZERO;
     let ticket = |attempt| ticket(Rank::Bulk, now + ms(60_000), attempt);
     for attempt in 0..25 {
-        gate.offer(now, ticket(attempt), attempt);
+        admission.offer(now, ticket(attempt), attempt);
     }
-    let refused = gate.shed(now, ms(2_000));
+    let refused = admission.shed(now, ms(2_000));
     assert_eq!(refused.len(), 5);
     assert!(refused.iter().all(|(_, refusal)| refusal.retry >= Some(ms(2_000))));
-    assert!(matches!(gate.offer(now + ms(1_999), ticket(30), 30), Offer::Refused(..)));
+    assert!(matches!(admission.offer(now + ms(1_999), ticket(30), 30), Offer::Refused(..)));
     for attempt in 0..20 {
-        gate.finish(now, attempt, ms(20), Completion::Answered);
+        admission.finish(now, attempt, ms(20), Completion::Answered);
     }
-    assert_eq!(gate.capacity(now + ms(2_000)), 10);
-    assert_eq!(gate.offer(now + ms(2_000), ticket(31), 31), Offer::Start(31));
+    assert_eq!(admission.capacity(now + ms(2_000)), 10);
+    assert_eq!(admission.offer(now + ms(2_000), ticket(31), 31), Offer::Start(31));
 }
 
 #[test]
 fn concurrency_never_exceeds_the_slots() {
-    let mut run = Run::new(4, &mixed(3.0), &gate(), &Retries::Always, ms(5_000));
-    run.play();
-    assert_eq!(run.most, 20);
+    let mut simulation =
+        Simulation::new(4, &mixed(3.0), &default_discipline(), &Retries::Always, ms(5_000));
+    simulation.run();
+    assert_eq!(simulation.max_running, 20);
 }
 
-/// Returns the ticket of a request that is of no use after its deadline.
+/// Returns the ticket of a request that expires at its deadline.
 fn ticket(rank: Rank, deadline: Time, attempt: u64) -> Ticket {
     Ticket { rank, deadline, expiry: deadline, attempt }
 }
 
-// A server runs at half of what callers ask for, for seconds. Each request waits in turn until its
-// answer is late, so that nobody is served in time although half of them could be. Those that
-// can be in time go first; the late ones are served once there is room, or refused when it is
-// too late for them too.
+// Guards against an overload in which requests served in order of arrival are all late: those that
+// can be on time go first.
 #[test]
 fn under_overload_those_in_time_go_before_those_that_are_late() {
     let settings =
         AdmissionSettings { slots: 1, service_time: ms(100), ..AdmissionSettings::default() };
-    let mut gate = Admission::new(settings);
+    let mut admission = Admission::new(settings);
     let mut now = Time::from_millis(1000);
     let (mut running, mut ends) = (None, now);
     let (mut in_time, mut started) = (0, 0);
@@ -271,9 +270,13 @@
     for attempt in 0..400 {
         let arrival = now;
         while running.is_some() && ends <= arrival {
-            let next =
-                gate.finish(ends, running.take().expect("running"), ms(100), Completion::Answered);
-            gate.expire(ends);
+            let next = admission.finish(
+                ends,
+                running.take().expect("running"),
+                ms(100),
+                Completion::Answered,
+            );
+            admission.expire(ends);
             if let Some(id) = next.first().copied() {
                 started += 1;
                 in_time += u32::from(ends + ms(100) <= arrived[&id] + ms(300));
@@ -284,7 +287,7 @@
         arrived.insert(attempt, now);
         let (deadline, last) = (now + ms(300), now + ms(1200));
         let ticket = Ticket { rank: Rank::Bulk, deadline, expiry: last, attempt };
-        if let Offer::Start(id) = gate.offer(now, ticket, attempt) {
+        if let Offer::Start(id) = admission.offer(now, ticket, attempt) {
             started += 1;
             in_time += 1;
             running = Some(id);
@@ -292,12 +295,12 @@
         }
         now = now + ms(50);
     }
-    assert!(started >= 190, "{started} of 200 that fit");
+    assert!(started >= 190, "{started} of 200 started");
     assert!(in_time * 10 >= started * 8, "{in_time} of {started} in time");
 }
 
-/// Plays a load at an upstream, at an entry with or without memory.
-fn flood(load: f64, remembers: bool) -> Vec<Tally> {
+/// Simulates a load at an upstream behind an entry with or without a refusal cache.
+fn overload(load: f64, caches: bool) -> Vec<Tally> {
     let streams = [
         stream(Rank::Critical, 0.1 * load, 250),
         stream(Rank::Interactive, 0.5 * load, 1_000),
@@ -305,42 +308,44 @@
         stream(Rank::Background, 0.2 * load, 4_000),
     ];
     let settings = AdmissionSettings::default();
-    let gate = if remembers { Gate::Remembered(settings) } else { Gate::Admission(settings) };
-    run(7, &streams, &gate, &Retries::Always, SPAN)
+    let discipline =
+        if caches { Discipline::CachedRefusals(settings) } else { Discipline::Admission(settings) };
+    simulate(7, &streams, &discipline, &Retries::Always, SPAN)
 }
 
 fn sum(tallies: &[Tally], of: impl Fn(&Tally) -> u32) -> f64 {
     tallies.iter().map(|tally| f64::from(of(tally))).sum()
 }
 
-// At month end three times as many requests come as the servers can run, and each refused caller
-// comes back when it is told. Without memory each of these tries goes to the full member, which
-// spends its processor on refusals. With it most of them end at the entry, and the server
-// does as much useful work in the same order of ranks.
+// Guards against a full member that spends its processor on refusals: most retries are refused at
+// the entry, with the same goodput and rank order.
 #[test]
 fn refusals_of_a_flood_end_at_the_entry() {
-    let (without, with) = (flood(3.0, false), flood(3.0, true));
-    let refused = |tallies: &[Tally]| sum(tallies, |tally| tally.hops - tally.good - tally.late);
+    let (without, with) = (overload(3.0, false), overload(3.0, true));
+    let refused =
+        |tallies: &[Tally]| sum(tallies, |tally| tally.forwarded - tally.on_time - tally.late);
     println!("refused by the member: {} without, {} with", refused(&without), refused(&with));
-    let good = |tallies: &[Tally]| sum(tallies, |tally| tally.within);
-    println!("answered in time: {} without, {} with", good(&without), good(&with));
+    let goodput = |tallies: &[Tally]| sum(tallies, |tally| tally.in_span);
+    println!("answered in time: {} without, {} with", goodput(&without), goodput(&with));
     for (without, with) in without.iter().zip(&with) {
-        println!("{} of {} and {} of {}", without.good, without.requests, with.good, with.requests);
+        println!(
+            "{} of {} and {} of {}",
+            without.on_time, without.requests, with.on_time, with.requests
+        );
     }
     assert!(refused(&with) < 0.4 * refused(&without));
-    assert!(good(&with) > 0.98 * good(&without));
-    assert!(with[0].good >= without[0].good, "critical requests");
+    assert!(goodput(&with) > 0.98 * goodput(&without));
+    assert!(with[0].on_time >= without[0].on_time, "critical requests");
 }
 
 #[test]
 fn below_capacity_nothing_is_refused_at_the_entry() {
-    let tallies = flood(0.8, true);
-    assert!(sum(&tallies, |tally| tally.tries - tally.hops) < 1.0);
+    let tallies = overload(0.8, true);
+    assert!(sum(&tallies, |tally| tally.attempts - tally.forwarded) < 1.0);
 }
 
-/// Makes a gate with two slots at which calls take `call` and reads `read`, both slots busy with reads, and
-/// one more read that waits. Then a call comes that can only be late by its own aim.
-/// Returns what starts when the first read ends.
+/// Returns what starts when the first of two running reads of duration `read` ends, with another
+/// read and a late call of duration `call` queued, or `refused` if the call is not queued.
 fn next_after_a_late_call(call: Duration, read: Duration) -> Vec<&'static str> {
     let mut admission =
         Admission::new(AdmissionSettings { slots: 2, ..AdmissionSettings::default() });
@@ -357,8 +362,8 @@
         let offered = admission.offer(start, ticket(Rank::Bulk, far, attempt), "read");
         assert!(matches!(offered, Offer::Start(_)));
     }
-    let waits = admission.offer(start, ticket(Rank::Bulk, far, 6), "read");
-    assert!(matches!(waits, Offer::Queued { .. }));
+    let queued = admission.offer(start, ticket(Rank::Bulk, far, 6), "read");
+    assert!(matches!(queued, Offer::Queued { .. }));
     let aim = start + ms(5);
     let late = Ticket { expiry: start + ms(2_000), ..ticket(Rank::Interactive, aim, 7) };
     let offered = admission.offer(start, late, "call");
@@ -368,9 +373,8 @@
     admission.finish(start + ms(20), 4, read, Completion::Answered)
 }
 
-// A clerk's request runs and asks the records service for a limit. All places there are taken by archive
-// reads ten times as long. The call is late by its own short aim, and the clerk's request fails without it:
-// it must get the next place. Among requests of like length the late one must not pass one in time.
+// Guards against a short late call that waits for long reads while its caller fails without it.
+// Among requests of similar length, one on time goes first.
 #[test]
 fn a_short_call_passes_long_reads_though_it_is_late() {
     assert_eq!(next_after_a_late_call(ms(50), ms(500)), ["call"]);
--- a/acaciaring_core/tests/fold/properties.rs
+++ b/acaciaring_core/tests/fold/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the fold over random records of racing, lagging proposers.
+//! Property tests of the fold over random records of concurrent proposers that lag behind the log.
 
 use std::collections::BTreeMap;
 
@@ -14,10 +14,9 @@
 
 use crate::support::{CONTRACTS, Log, attach, join, parameters, retire, template};
 
-/// Slots of the service under test.
 const SLOTS: u32 = 12;
 
-/// One step: what is proposed, by and about whom, and how far the proposer lags behind.
+/// Step: kind of record, two random operands, and the number of records by which the proposer lags.
 type Step = (u8, usize, usize, usize);
 
 fn config() -> ProptestConfig {
@@ -33,7 +32,7 @@
     prop::collection::vec((0_u8..32, any::<usize>(), any::<usize>(), 0_usize..6), 1..160)
 }
 
-/// Builds the record of a step from what its proposer has read.
+/// Builds the record of a step from the state known to its proposer.
 fn body(log: &Log, known: &State, (kind, one, two, _): Step) -> Option<Body> {
     let present = known.members().filter(|member| member.phase != Phase::Dead);
     let ids: Vec<_> = present.map(|member| member.id).collect();
@@ -94,7 +93,7 @@
     })
 }
 
-/// Builds a log and checks the state after each record.
+/// Builds a log, checks the state after each record, and counts the applied records by kind.
 fn build(steps: &[Step]) -> (Log, BTreeMap<u8, usize>) {
     let mut log = Log::default();
     log.applied(template(0));
@@ -105,9 +104,9 @@
         let known = &history[history.len().saturating_sub(1 + step.3)];
         let again = step.1 % 13 == 0;
         let outcome = match body(&log, known, *step) {
-            _ if again => log.entry(log.entries[step.2 % log.entries.len()].clone()),
+            _ if again => log.append_entry(log.entries[step.2 % log.entries.len()].clone()),
             Some(body) => log.append(body),
-            None => log.entry(step.1.to_le_bytes().to_vec()),
+            None => log.append_entry(step.1.to_le_bytes().to_vec()),
         };
         assert!(!again || matches!(outcome, Outcome::Duplicate | Outcome::Undecodable));
         *applied.entry(step.0).or_default() += usize::from(outcome.applied());
@@ -131,7 +130,7 @@
             let others = candidates.filter(|member| Some(member.id) != a.owner).count();
             assert!(a.owner.is_none() || a.standby.is_some() || others == 0);
             let old = before.service(&service.workspace).and_then(|old| old.assignment(unit));
-            // A new owner has a new token, so the old one's late requests are refused.
+            // A new owner has a higher token, so delayed requests of the old one are refused.
             assert!(old.is_none_or(|old| old.owner == a.owner || old.token < a.token));
             assert!(old.is_none_or(|old| old == a || old.version < a.version));
         }
@@ -141,13 +140,13 @@
         let earlier = before.member(member.id).map_or(Phase::Alive, |member| member.phase);
         assert!(earlier <= member.phase);
     }
-    // The counts are derived anew from a snapshot, so they are compared here too.
+    // Derived counts are rebuilt from a snapshot, so this compares them as well.
     assert_eq!(State::from_snapshot(&state.to_snapshot()).as_ref(), Ok(state));
 }
 
-/// Fills in for a check that would pass on logs in which nothing happens.
+/// Guards against property tests that pass because the random records are never applied.
 #[test]
-fn random_logs_are_eventful() {
+fn random_logs_apply_records_of_every_kind() {
     let mut runner = proptest::test_runner::TestRunner::new(config());
     let strategy =
         prop::collection::vec((0_u8..32, any::<usize>(), any::<usize>(), 0_usize..6), 600);
@@ -193,7 +192,7 @@
     }
 
     #[test]
-    fn a_restored_state_folds_on_alike(steps in steps(), cut in any::<prop::sample::Index>()) {
+    fn a_restored_state_folds_identically(steps in steps(), cut in any::<prop::sample::Index>()) {
         let (log, _) = build(&steps);
         let mut state = State::default();
         let cut = cut.index(log.entries.len());
@@ -218,7 +217,7 @@
             entry.truncate(entry.len().max(2) - 1);
             let bytes = [entry.clone(), noise.clone()][index % 2].clone();
             let before = log.state.clone();
-            log.entry(bytes);
+            log.append_entry(bytes);
             check(&before, &log.state);
         }
         prop_assert_eq!(log.state.next(), log.next());
--- a/acaciaring_core/tests/fold/snapshots.rs
+++ b/acaciaring_core/tests/fold/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: what they hold, what is refused, how they are put together.
+//! Tests of the content, validation and assembly of snapshots.
 
 use acaciaring_core::state::State;
 use acaciaring_core::state::snapshot::{
@@ -12,8 +12,8 @@
 
 use crate::support::{CONTRACTS, Log, retire};
 
-/// Returns a log whose state has something of everything.
-fn rich() -> Log {
+/// Returns a log whose state has an entry of every kind.
+fn populated_log() -> Log {
     let mut log = Log::with_service(8, 32);
     let key = KeyHash::of(b"contract-17");
     let unit = Unit { key: Some(key.0), ..log.unit(key.slot(32)) };
@@ -24,7 +24,7 @@
     log.applied(log.evict(ids[6]));
     log.applied(log.evict(ids[2]));
     log.applied(Body::Leave(Leave { member: ids[4].0, applied: log.state.next() }));
-    log.entry(vec![0xff]);
+    log.append_entry(vec![0xff]);
     log
 }
 
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_snapshot_gives_the_state_back() {
-    let log = rich();
+    let log = populated_log();
     let snapshot = log.state.to_snapshot();
     assert_eq!(State::from_snapshot(&snapshot), Ok(log.state));
     assert_eq!(State::from_snapshot(&Snapshot::default()), Ok(State::default()));
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_malformed_snapshot_is_refused() {
-    let log = rich();
+    let log = populated_log();
     let good = log.state.to_snapshot();
     let owner = good.services[0].slots[0].owner;
     let dead = good.members.last().expect("members").id;
@@ -73,11 +73,10 @@
     assert!(matches!(State::from_snapshot(&bad), Err(SnapshotError::Routes { .. })));
 }
 
-/// Two members write a snapshot at the same time, and one appends a chunk twice
-/// because an answer was lost. Readers must get both snapshots whole.
+/// Guards against mixed-up chunks when two members write snapshots at once and one repeats a chunk.
 #[test]
 fn chunks_of_two_writers_are_kept_apart() {
-    let mut log = rich();
+    let mut log = populated_log();
     let mut assembler = Assembler::default();
     let (one, state) = (chunk(&log.state, [1; 16], 100), log.state.clone());
     log.applied(retire_contracts(&log));
@@ -102,12 +101,10 @@
     retire(acaciaring_schema::log::DocumentKind::Parameters, CONTRACTS, base)
 }
 
-/// The writer of a snapshot is lost half-way, or a chunk is damaged on its way.
-/// A reader that took it for whole would lack members or assignments that all
-/// others have, and would decide differently from then on.
+/// Guards against a diverging reader that accepts an incomplete or corrupt snapshot.
 #[test]
 fn incomplete_and_corrupt_snapshots_are_not_taken() {
-    let log = rich();
+    let log = populated_log();
     let good = chunk(&log.state, [1; 16], 100);
     let last = good.len() - 1;
     let mut broken = Vec::new();
@@ -132,16 +129,16 @@
     }
     for records in broken {
         let mut assembler = Assembler::default();
-        let mut log = rich();
+        let mut log = populated_log();
         let whole = records.iter().find_map(|record| feed(&mut assembler, &mut log, record));
         assert_eq!(whole, None);
     }
-    // The digest covers the chunks alone, so a wrong end shows only in the state.
+    // The digest covers only the chunks, so a wrong `next` is detected when the state is restored.
     let mut early = good;
     let Some(Body::Commit(commit)) = &mut early[last].body else { panic!("a commit") };
     commit.next -= 1;
     let mut assembler = Assembler::default();
-    let mut log = rich();
+    let mut log = populated_log();
     let whole = early.iter().find_map(|record| feed(&mut assembler, &mut log, record));
     let next = log.state.next() - offset_count(&early);
     assert_eq!(whole.expect("all chunks").state(), Err(SnapshotError::Next { next }));
--- a/acaciaring_core/tests/fold/support.rs
+++ b/acaciaring_core/tests/fold/support.rs
@@ -1,4 +1,4 @@
-//! Log in memory with the state folded from it.
+//! In-memory log with the state folded from it, and builders of records.
 
 use acaciaring_core::state::{Assignment, Outcome, Rejection, Service, State};
 use acaciaring_core::{MemberId, Offset};
@@ -8,8 +8,8 @@
 };
 use prost::Message;
 
-/// Data centres of the tests with their regions.
-pub const CENTRES: [(&str, &str); 7] = [
+/// Data centres of the tests and their regions.
+pub const DATA_CENTRES: [(&str, &str); 7] = [
     ("bethlehem", "free-state"),
     ("kroonstad", "free-state"),
     ("welkom", "free-state"),
@@ -22,7 +22,7 @@
 /// Workspace of the tests.
 pub const CONTRACTS: &str = "contracts";
 
-/// Log and the state after its last record.
+/// Log entries and the state after the last one.
 #[derive(Debug, Default)]
 pub struct Log {
     pub entries: Vec<Vec<u8>>,
@@ -30,7 +30,8 @@
 }
 
 impl Log {
-    /// Returns a log with `count` members, in turn in the first four data centres, and one template.
+    /// Returns a log with one template and `count` members, spread over the first four data
+    /// centres.
     pub fn with_members(count: usize) -> Self {
         let mut log = Self::default();
         log.applied(template(0));
@@ -40,7 +41,7 @@
         log
     }
 
-    /// Returns the same with all members attached to a service of `slots` slots that is assigned.
+    /// Returns a log with members that are all attached to an assigned service of `slots` slots.
     pub fn with_service(count: usize, slots: u32) -> Self {
         let mut log = Self::with_members(count);
         log.applied(parameters(CONTRACTS, "contracts", slots, 0));
@@ -53,25 +54,25 @@
         log
     }
 
-    pub fn entry(&mut self, entry: Vec<u8>) -> Outcome {
+    pub fn append_entry(&mut self, entry: Vec<u8>) -> Outcome {
         self.entries.push(entry);
         let offset = self.state.next().max(1);
         self.state.fold(offset, self.entries.last().expect("just pushed"))
     }
 
-    /// Appends a record with an id of its own.
+    /// Appends a record with a unique id.
     pub fn append(&mut self, body: Body) -> Outcome {
         let id = u128::try_from(self.entries.len()).expect("a small count").to_le_bytes();
-        self.entry(encode(id, body))
+        self.append_entry(encode(id, body))
     }
 
-    /// Appends a record that must take effect and returns its offset.
+    /// Appends a record, asserts that it is applied, and returns its offset.
     pub fn applied(&mut self, body: Body) -> Offset {
         assert_eq!(self.append(body), Outcome::Applied);
         self.state.next() - 1
     }
 
-    /// Appends a record that must be rejected and change nothing.
+    /// Appends a record and asserts that it is rejected and leaves the state unchanged.
     pub fn rejected(&mut self, body: Body) -> Rejection {
         let before = self.state.to_snapshot();
         let Outcome::Rejected(rejection) = self.append(body) else { panic!("not rejected") };
@@ -90,7 +91,7 @@
         self.applied(attach(member));
     }
 
-    /// Proposes better lessors for a member if there are any, as the member itself does.
+    /// Proposes better lessors for a member if there are any, as its process does.
     pub fn improve_lessors(&mut self, member: MemberId) {
         let member = self.state.member(member).expect("a known member");
         if let Some(lessors) = self.state.better_lessors(member) {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Returns an eviction with the votes of all lessors.
+    /// Returns an eviction record with the votes of all lessors.
     pub fn evict(&self, member: MemberId) -> Body {
         let member = self.state.member(member).expect("a known member");
         let vote = |lessor: &MemberId| Vote {
@@ -129,7 +130,7 @@
         Unit { slot, key: None, version: self.slot(index).version }
     }
 
-    /// Returns records as the log service does, when `oldest` is the oldest kept.
+    /// Returns a batch of records as the log service does, with `oldest` the oldest one retained.
     pub fn batch(&self, oldest: Offset, start: Offset, count: usize) -> Batch {
         let skip = usize::try_from(start - 1).expect("a small offset");
         let entries = self.entries.iter().skip(skip).take(count).cloned().collect();
@@ -146,7 +147,7 @@
 }
 
 pub fn join(centre: usize) -> Body {
-    let (data_centre, region) = CENTRES[centre];
+    let (data_centre, region) = DATA_CENTRES[centre];
     Body::Join(Join {
         vm: format!("vm-{data_centre}"),
         data_centre: data_centre.to_owned(),
--- a/acaciaring_core/tests/support/fleet.rs
+++ b/acaciaring_core/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Members that each plan for themselves over one folded service; requests are only counted.
+//! Simulation of members that plan moves independently over one service; requests are only counted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,42 +12,42 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
 
-/// Requests that one member can run at once.
-const SLOTS: u32 = 20;
+/// Requests that one member can run concurrently.
+const MEMBER_CAPACITY: u32 = 20;
 
-/// Time that a request takes.
-const SERVICE: Duration = Duration::from_millis(20);
+/// Service time of a request.
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// How members decide on moves.
+/// Policy by which members decide on moves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The product's plan.
+    /// The planner of the core crate.
     Weighted,
-    /// Whoever is above the mean moves its hottest units, whatever it costs.
+    /// A member above the mean load moves its hottest units, regardless of the cost of a move.
     Greedy,
-    /// Rendezvous hashing; units move only when members come and go.
+    /// Rendezvous hashing: units move only when members join or leave.
     Hashing,
 }
 
-/// Shape of a fleet.
+/// Settings of a simulated fleet.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct FleetSettings {
     pub members: u32,
     pub slots: u32,
-    /// Requests a second of the whole fleet.
+    /// Requests per second over the whole fleet.
     pub rate: f64,
-    /// Standard deviation of the logarithm of a slot's popularity.
+    /// Standard deviation of the logarithm of slot popularity.
     pub skew: f64,
     pub policy: Policy,
     pub weights: Weights,
     pub balance: BalanceSettings,
     /// Time between plans.
     pub period: Duration,
-    /// Members that plan at the same time, before they hear of each other's moves.
+    /// Members that plan concurrently, before they see each other's moves.
     pub overlap: usize,
 }
 
-impl Default for Shape {
+impl Default for FleetSettings {
     fn default() -> Self {
         Self {
             members: 6,
@@ -65,7 +65,7 @@
 
 struct Server {
     data_centre: usize,
-    heat: RequestRates,
+    rates: RequestRates,
     history: History,
     /// Requests in the last period.
     count: u32,
@@ -76,38 +76,38 @@
 
 /// Fleet of members.
 pub struct Fleet {
-    shape: Shape,
+    settings: FleetSettings,
     rng: StdRng,
     pub now: Time,
     pub service: Service,
     servers: BTreeMap<MemberId, Server>,
-    /// Cumulated popularity of slots.
+    /// Cumulative popularity of the slots.
     popularity: Vec<f64>,
-    /// Hot keys and their shares of all requests.
+    /// Hot keys and their share of all requests.
     hot: Vec<(KeyHash, f64)>,
     version: u64,
-    /// Slots and hot keys that a plan has moved.
+    /// Planned moves of slots and hot keys: time, unit and new owner.
     pub moved: Vec<(Time, UnitId, MemberId)>,
-    /// Units that had to move because their owner was lost.
+    /// Units that moved because their owner was lost.
     pub forced: usize,
     pub splits: usize,
     pub merges: usize,
-    /// Time for which moved units were not served, summed, if requests in flight are Poisson.
+    /// Total time for which moved units were not served, with Poisson requests in flight.
     pub unserved: Duration,
 }
 
 impl Fleet {
-    pub fn new(seed: u64, shape: Shape) -> Self {
+    pub fn new(seed: u64, settings: FleetSettings) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let weights: Vec<_> =
-            (0..shape.slots).map(|_| (shape.skew * normal(&mut rng)).exp()).collect();
+            (0..settings.slots).map(|_| (settings.skew * normal(&mut rng)).exp()).collect();
         let popularity = weights.iter().scan(0.0, |sum, weight| {
             *sum += weight;
             Some(*sum)
         });
         let service = Service {
             workspace: "test".into(),
-            slots: vec![Assignment::default(); shape.slots as usize],
+            slots: vec![Assignment::default(); settings.slots as usize],
             hot: BTreeMap::new(),
             numeric: false,
         };
@@ -124,20 +124,20 @@
             splits: 0,
             merges: 0,
             unserved: Duration::ZERO,
-            shape,
+            settings,
         };
-        for _ in 0..fleet.shape.members {
+        for _ in 0..fleet.settings.members {
             fleet.add();
         }
         fleet.assign();
         fleet
     }
 
-    /// Lets a new member join; it owns nothing yet, but under hashing what falls to it.
+    /// Adds a member. It owns nothing yet, except under hashing the slots that map to it.
     pub fn join(&mut self) -> MemberId {
         let id = self.add();
-        if self.shape.policy == Policy::Hashing {
-            for slot in 0..self.shape.slots {
+        if self.settings.policy == Policy::Hashing {
+            for slot in 0..self.settings.slots {
                 if self.rendezvous(slot) == id {
                     let unit = UnitId::slot(slot);
                     self.service.slots[slot as usize].owner = Some(id);
@@ -148,15 +148,15 @@
         id
     }
 
-    /// Loses a member; its units pass to their standbys, new standbys are drawn.
-    pub fn lose(&mut self, id: MemberId) {
+    /// Removes a member: its units pass to their standbys, and new standbys are drawn.
+    pub fn lose_member(&mut self, id: MemberId) {
         self.servers.remove(&id);
         let mut units: Vec<_> = self.service.units().map(|(unit, a)| (unit, *a)).collect();
         units.retain(|(_, a)| a.owner == Some(id) || a.standby == Some(id));
         for (unit, mut assignment) in units {
             if assignment.owner == Some(id) {
                 self.forced += 1;
-                assignment.owner = match self.shape.policy {
+                assignment.owner = match self.settings.policy {
                     Policy::Hashing => Some(self.rendezvous(unit.slot)),
                     Policy::Weighted | Policy::Greedy => assignment.standby,
                 };
@@ -166,13 +166,13 @@
         }
     }
 
-    /// Slows a member down while it goes on to report as before.
+    /// Slows a member down, which its load reports show only in the busy requests.
     pub fn slow_down(&mut self, id: MemberId, factor: f64) {
         self.servers.get_mut(&id).unwrap().slowness = factor;
     }
 
-    /// Makes keys hot, each with a share of all requests.
-    pub fn heat_up(&mut self, hot: Vec<(KeyHash, f64)>) {
+    /// Sets the hot keys, each with its share of all requests.
+    pub fn set_hot_keys(&mut self, hot: Vec<(KeyHash, f64)>) {
         self.hot = hot;
     }
 
@@ -180,19 +180,19 @@
         self.servers.keys().copied().collect()
     }
 
-    /// Returns how many slots a member owns.
+    /// Returns the number of slots that a member owns.
     pub fn owned(&self, id: MemberId) -> usize {
         self.service.slots.iter().filter(|a| a.owner == Some(id)).count()
     }
 
-    /// Returns requests a second of a member in the last period.
+    /// Returns the requests per second of a member in the last period.
     pub fn rate(&self, id: MemberId) -> f64 {
-        f64::from(self.servers[&id].count) / self.shape.period.as_secs_f64()
+        f64::from(self.servers[&id].count) / self.settings.period.as_secs_f64()
     }
 
     /// Returns the highest load and the standard deviation, both relative to the mean.
     ///
-    /// Loads are those that the keys' popularity makes expected, without the noise of single requests.
+    /// Loads are expected values by key popularity, without the noise of single requests.
     pub fn imbalance(&self) -> (f64, f64) {
         let mut loads: BTreeMap<_, _> = self.servers.keys().map(|id| (*id, 0.0)).collect();
         for (unit, assignment) in self.service.units() {
@@ -201,12 +201,12 @@
             }
         }
         let count = f64::from(u32::try_from(loads.len()).unwrap());
-        let most = loads.values().fold(0.0, |most: f64, load| most.max(*load));
+        let max = loads.values().fold(0.0, |max: f64, load| max.max(*load));
         let variance = loads.values().map(|load| (load * count - 1.0).powi(2)).sum::<f64>() / count;
-        (most * count, variance.sqrt())
+        (max * count, variance.sqrt())
     }
 
-    /// Returns the share of all requests that a unit is expected to get.
+    /// Returns the expected share of all requests for a unit.
     fn expected(&self, unit: UnitId) -> f64 {
         let covered = self.hot.iter().filter(|(key, _)| self.service.unit_of(*key) == unit);
         let hot: f64 = covered.map(|(_, part)| part).sum();
@@ -220,17 +220,17 @@
         hot + part * (1.0 - all)
     }
 
-    /// Passes a span in periods: requests come, loads are reported, members plan.
-    pub fn play(&mut self, span: Duration) {
+    /// Simulates a span: in each period, requests arrive, loads are reported and members plan.
+    pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.serve();
-            self.now = self.now + self.shape.period;
+            self.now = self.now + self.settings.period;
             let members = self.candidates();
             self.report();
             let mut ids = self.members();
             ids.shuffle(&mut self.rng);
-            for group in ids.chunks(self.shape.overlap) {
+            for group in ids.chunks(self.settings.overlap) {
                 for (id, plan) in self.plans(group, &members) {
                     self.apply(id, &plan);
                 }
@@ -243,7 +243,7 @@
         let id = MemberId(self.version);
         let server = Server {
             data_centre: self.servers.len() % 3,
-            heat: RequestRates::new(self.now, RateSettings::default()),
+            rates: RequestRates::new(self.now, RateSettings::default()),
             history: History::default(),
             count: 0,
             slowness: 1.0,
@@ -255,8 +255,8 @@
 
     fn assign(&mut self) {
         let members = self.members();
-        for slot in 0..self.shape.slots {
-            let owner = match self.shape.policy {
+        for slot in 0..self.settings.slots {
+            let owner = match self.settings.policy {
                 Policy::Hashing => self.rendezvous(slot),
                 Policy::Weighted | Policy::Greedy => members[slot as usize % members.len()],
             };
@@ -281,22 +281,24 @@
     }
 
     fn draw_standby(&mut self, owner: Option<MemberId>) -> Option<MemberId> {
-        let place = owner.and_then(|id| self.servers.get(&id)).map(|server| server.data_centre);
-        let far = self.servers.iter().filter(|(_, server)| Some(server.data_centre) != place);
-        let far: Vec<_> = far.map(|(id, _)| *id).collect();
-        far.choose(&mut self.rng).copied()
+        let data_centre =
+            owner.and_then(|id| self.servers.get(&id)).map(|server| server.data_centre);
+        let candidates =
+            self.servers.iter().filter(|(_, server)| Some(server.data_centre) != data_centre);
+        let candidates: Vec<_> = candidates.map(|(id, _)| *id).collect();
+        candidates.choose(&mut self.rng).copied()
     }
 
     fn serve(&mut self) {
         self.servers.values_mut().for_each(|server| server.count = 0);
-        let step = Duration::from_secs_f64(1.0 / self.shape.rate);
+        let step = Duration::from_secs_f64(1.0 / self.settings.rate);
         let mut at = self.now;
-        while at < self.now + self.shape.period {
+        while at < self.now + self.settings.period {
             let key = self.draw_key();
             let unit = self.service.unit_of(key);
             let owner = self.service.assignment(unit).and_then(|a| a.owner).unwrap();
             let server = self.servers.get_mut(&owner).unwrap();
-            server.heat.record(at, unit, key);
+            server.rates.record(at, unit, key);
             server.count += 1;
             at = at + step;
         }
@@ -304,37 +306,38 @@
 
     fn draw_key(&mut self) -> KeyHash {
         let mut share = self.rng.random::<f64>();
-        for (key, of) in &self.hot {
-            if share < *of {
+        for (key, key_share) in &self.hot {
+            if share < *key_share {
                 return *key;
             }
-            share -= of;
+            share -= key_share;
         }
         let total = self.popularity.last().copied().unwrap();
         let point = self.rng.random::<f64>() * total;
         let slot = self.popularity.partition_point(|sum| *sum <= point);
         let nth = self.rng.random_range(1..7_000);
-        KeyHash(slot as u64 + u64::from(self.shape.slots) * nth)
+        KeyHash(slot as u64 + u64::from(self.settings.slots) * nth)
     }
 
     fn report(&mut self) {
-        let period = self.shape.period.as_secs_f64();
+        let period = self.settings.period.as_secs_f64();
         for server in self.servers.values_mut() {
             let rate = f64::from(server.count) / period;
-            let busy = rate * SERVICE.as_secs_f64() * server.slowness;
+            let busy = rate * SERVICE_TIME.as_secs_f64() * server.slowness;
             #[expect(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
                 reason = "a small count"
             )]
             let busy = busy.round() as u32;
-            // An upstream that cannot keep up fills its queue.
-            let busy = if busy > SLOTS { busy.min(3 * SLOTS) } else { busy };
-            server.load = Some(Load { rate, busy, capacity: SLOTS, speed: 1.0, at: self.now });
+            // An overloaded upstream has its queue full.
+            let busy = if busy > MEMBER_CAPACITY { busy.min(3 * MEMBER_CAPACITY) } else { busy };
+            server.load =
+                Some(Load { rate, busy, capacity: MEMBER_CAPACITY, speed: 1.0, at: self.now });
         }
     }
 
-    /// Returns the loads as they were reported a period ago.
+    /// Returns the loads as reported one period ago.
     fn candidates(&self) -> BTreeMap<MemberId, Candidate> {
         let candidate = |server: &Server| {
             let data_centre = server.data_centre.to_string().into();
@@ -343,27 +346,27 @@
         self.servers.iter().map(|(id, server)| (*id, candidate(server))).collect()
     }
 
-    /// Lets the members of a group plan at the same time, from the same state.
+    /// Lets the members of a group plan concurrently from the same state.
     fn plans(
         &mut self,
         group: &[MemberId],
         members: &BTreeMap<MemberId, Candidate>,
     ) -> Vec<(MemberId, Plan)> {
-        if self.shape.policy == Policy::Hashing {
+        if self.settings.policy == Policy::Hashing {
             return Vec::new();
         }
-        let (now, service, shape) = (self.now, &self.service, &self.shape);
+        let (now, service, settings) = (self.now, &self.service, &self.settings);
         let decide = |id: MemberId, server: &mut Server| {
             let view = View {
                 local: id,
                 service,
                 members,
-                rates: &server.heat,
-                weights: shape.weights,
-                service_time: SERVICE,
+                rates: &server.rates,
+                weights: settings.weights,
+                service_time: SERVICE_TIME,
             };
-            let plan = match shape.policy {
-                Policy::Weighted => plan(now, &view, &shape.balance, &mut server.history),
+            let plan = match settings.policy {
+                Policy::Weighted => plan(now, &view, &settings.balance, &mut server.history),
                 Policy::Greedy | Policy::Hashing => greedy(now, &view),
             };
             server.history.record_plan(now, &plan);
@@ -383,12 +386,12 @@
             let Some(to) = assignment.standby else { continue };
             if assignment.owner == Some(id) && self.servers.contains_key(&to) {
                 self.set(*unit, Assignment { owner: Some(to), standby: Some(id), ..assignment });
-                self.servers.get_mut(&id).unwrap().heat.forget(*unit);
+                self.servers.get_mut(&id).unwrap().rates.forget(*unit);
                 self.servers
                     .values_mut()
                     .for_each(|s| s.history.record_switchover(self.now, *unit, to));
                 self.moved.push((self.now, *unit, to));
-                self.note_unserved(*unit);
+                self.record_unserved(*unit);
             }
         }
         for (unit, target) in &plan.handoffs {
@@ -409,10 +412,10 @@
         }
     }
 
-    /// Adds what a planned move takes: one message, and the rest of a request if one is in flight.
-    fn note_unserved(&mut self, unit: UnitId) {
-        let flying = self.expected(unit) * self.shape.rate * SERVICE.as_secs_f64();
-        let rest = SERVICE.mul_f64(1.0 - (-flying).exp());
+    /// Adds the cost of a planned move: one message, and the rest of a request if one is in flight.
+    fn record_unserved(&mut self, unit: UnitId) {
+        let in_flight = self.expected(unit) * self.settings.rate * SERVICE_TIME.as_secs_f64();
+        let rest = SERVICE_TIME.mul_f64(1.0 - (-in_flight).exp());
         self.unserved += Duration::from_millis(2) + rest;
     }
 
@@ -426,7 +429,8 @@
     }
 }
 
-/// Moves the hottest units while this member is above the mean and each move lowers the higher load.
+/// Moves the hottest units while this member is above the mean and each move lowers the higher load
+/// of the two members.
 fn greedy(now: Time, view: &View<'_>) -> Plan {
     let rate = |id: &MemberId| view.members[id].load.map(|load| load.rate);
     let known: Vec<_> = view.members.keys().filter_map(rate).collect();
@@ -434,19 +438,20 @@
         return Plan::default();
     }
     let mean = known.iter().sum::<f64>() / f64::from(u32::try_from(known.len()).unwrap());
-    let mut own = view.rates.total(now);
+    let mut own_rate = view.rates.total(now);
     let mut others: BTreeMap<_, _> =
         view.members.keys().filter_map(|id| Some((*id, rate(id)?))).collect();
-    let mine = view.service.units().filter(|(_, a)| a.owner == Some(view.local));
-    let mut units: Vec<_> =
-        mine.filter_map(|(unit, a)| Some((unit, a.standby?, view.rates.rate(now, unit)))).collect();
+    let owned = view.service.units().filter(|(_, a)| a.owner == Some(view.local));
+    let mut units: Vec<_> = owned
+        .filter_map(|(unit, a)| Some((unit, a.standby?, view.rates.rate(now, unit))))
+        .collect();
     units.sort_by(|a, b| b.2.total_cmp(&a.2));
     let mut plan = Plan::default();
-    for (unit, standby, heat) in units {
-        let Some(theirs) = others.get_mut(&standby) else { continue };
-        if own > mean && heat > 0.0 && *theirs + heat < own {
-            own -= heat;
-            *theirs += heat;
+    for (unit, standby, unit_rate) in units {
+        let Some(standby_rate) = others.get_mut(&standby) else { continue };
+        if own_rate > mean && unit_rate > 0.0 && *standby_rate + unit_rate < own_rate {
+            own_rate -= unit_rate;
+            *standby_rate += unit_rate;
             plan.switchovers.push(unit);
         }
     }
