--- a/acaciaringd/examples/entry.rs
+++ b/acaciaringd/examples/entry.rs
@@ -22,13 +22,13 @@
     0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\ncontent-length: 64\r\n\r\n\
     0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
-const BODY: usize = 64;
-const LEFT: Duration = Duration::from_secs(5);
+const BODY_BYTES: usize = 64;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Answers by itself, or by the upstream when there is one.
-struct Trial(Option<(Upstream, SocketAddr)>);
+struct BenchService(Option<(Upstream, SocketAddr)>);
 
-impl Service for Trial {
+impl Service for BenchService {
     fn handle(&self, request: EntryRequest) -> EntryAnswer {
         let (status, headers, body) = match &self.0 {
             None => (200, Vec::new(), request.body),
@@ -41,7 +41,7 @@
                     body: &request.body,
                     id: RequestId([1; 16]),
                     attempt: 1,
-                    left: LEFT,
+                    left: REQUEST_TIMEOUT,
                     fence: None,
                     trace: &request.trace.to_string(),
                 };
@@ -64,9 +64,10 @@
     let trials = arguments.next().unwrap_or(3);
     let upstream = upstream();
     let settings = || EntrySettings { workers: 32, ..EntrySettings::default() };
-    let alone = Entry::start(settings(), Arc::new(Trial(None))).expect("entry");
+    let alone = Entry::start(settings(), Arc::new(BenchService(None))).expect("entry");
     let client = Upstream::new(UpstreamSettings::default());
-    let both = Entry::start(settings(), Arc::new(Trial(Some((client, upstream))))).expect("entry");
+    let both =
+        Entry::start(settings(), Arc::new(BenchService(Some((client, upstream))))).expect("entry");
     let rows = [
         ("direct", upstream),
         ("entry", alone.local_addr()),
@@ -75,7 +76,7 @@
     println!("{callers} callers, {span:?} a row");
     for _ in 0..trials {
         for (name, address) in rows {
-            row(name, address, callers, span);
+            measure_row(name, address, callers, span);
         }
     }
 }
@@ -99,8 +100,8 @@
     address
 }
 
-fn row(name: &str, address: SocketAddr, callers: u64, span: Duration) {
-    let (start, busy) = (clock::now(), processor());
+fn measure_row(name: &str, address: SocketAddr, callers: u64, span: Duration) {
+    let (start, busy) = (clock::now(), cpu_time());
     let caller = || {
         let mut stream = TcpStream::connect(address).expect("connect");
         stream.set_nodelay(true).expect("option");
@@ -118,7 +119,7 @@
         let threads: Vec<_> = (0..callers).map(|_| scope.spawn(caller)).collect();
         threads.into_iter().flat_map(|thread| thread.join().expect("caller")).collect()
     });
-    let (elapsed, busy) = (clock::now().since(start), processor().saturating_sub(busy));
+    let (elapsed, busy) = (clock::now().since(start), cpu_time().saturating_sub(busy));
     times.sort_unstable();
     let count = u32::try_from(times.len()).expect("count");
     println!(
@@ -130,7 +131,7 @@
     );
 }
 
-/// Reads one message whose body is [`BODY`] bytes long; false at the end of the stream.
+/// Reads one message whose body is [`BODY_BYTES`] bytes long; false at the end of the stream.
 fn exchange(stream: &mut TcpStream) -> bool {
     let mut bytes = [0; 4096];
     let mut size = 0;
@@ -140,14 +141,14 @@
             Ok(read) => size += read,
         }
         let end = bytes[..size].windows(4).position(|window| window == b"\r\n\r\n");
-        if end.is_some_and(|end| size == end + 4 + BODY) {
+        if end.is_some_and(|end| size == end + 4 + BODY_BYTES) {
             return true;
         }
     }
 }
 
 /// Returns the processor time of this process.
-fn processor() -> Duration {
+fn cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
     Duration::new(seconds, u32::try_from(time.tv_nsec).unwrap_or(0))
--- a/acaciaringd/examples/hop.rs
+++ b/acaciaringd/examples/hop.rs
@@ -17,24 +17,24 @@
 use crate::peer_support::{Authority, Node, request};
 
 /// Bytes of a request's body and of its answer.
-const BODY: usize = 512;
+const BODY_BYTES: usize = 512;
 
 /// Length of one row.
-const ROW: Duration = Duration::from_secs(3);
+const ROW_DURATION: Duration = Duration::from_secs(3);
 
 /// Connections for the measure of memory.
-const CONNECTIONS: u8 = 200;
+const CONNECTION_COUNT: u8 = 200;
 
 /// Time after which handshakes have settled.
-const SETTLE: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
 /// Renewals for the measure of control bytes.
-const RENEWALS: u32 = 10;
+const RENEWAL_COUNT: u32 = 10;
 
 /// Interval of renewals.
-const RENEWAL: Duration = Duration::from_millis(400);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
-const LEFT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn main() {
     let authority = Authority::new();
@@ -42,21 +42,22 @@
     let client = Node::echo(authority.settings());
     println!("callers  requests/s  p50 us  p99 us  cpu us/request  not answered");
     for callers in [1, 16, 64] {
-        row(&client, &server, callers);
+        measure_row(&client, &server, callers);
     }
-    idle(&authority);
+    measure_idle(&authority);
 }
 
-fn row(client: &Node, server: &Node, callers: usize) {
+fn measure_row(client: &Node, server: &Node, callers: usize) {
     let to = server.transport.local_addr();
     let start = Instant::now();
-    let before = cpu();
+    let before = cpu_time();
     let run = || {
         let mut times = Vec::new();
         let mut failed = 0;
-        while start.elapsed() < ROW {
+        while start.elapsed() < ROW_DURATION {
             let sent = Instant::now();
-            let outcome = client.transport.blocking_request(to, request([7; BODY]), LEFT);
+            let outcome =
+                client.transport.blocking_request(to, request([7; BODY_BYTES]), REQUEST_TIMEOUT);
             if !matches!(outcome, RequestOutcome::Answer(_)) {
                 failed += 1;
             }
@@ -68,7 +69,7 @@
         let callers: Vec<_> = (0..callers).map(|_| scope.spawn(run)).collect();
         callers.into_iter().map(|caller| caller.join().unwrap()).collect()
     });
-    let (elapsed, used) = (start.elapsed(), cpu().saturating_sub(before));
+    let (elapsed, used) = (start.elapsed(), cpu_time().saturating_sub(before));
     let failed: usize = results.iter().map(|(_, failed)| failed).sum();
     let mut times: Vec<_> = results.into_iter().flat_map(|(times, _)| times).collect();
     times.sort_unstable();
@@ -83,7 +84,7 @@
 }
 
 /// Measures a connection without requests: memory of both ends together, bytes of its handshake and of lease renewals.
-fn idle(authority: &Authority) {
+fn measure_idle(authority: &Authority) {
     let address = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
     let server = Node::echo(PeerSettings { address, ..authority.settings() });
     let client = Node::echo(authority.settings());
@@ -91,30 +92,30 @@
     // Each loopback address gets a connection of its own.
     let exchange = |last: u8| {
         client.transport.send((Ipv4Addr::new(127, 0, 1, last), port).into(), &renew(), false);
-        let (from, _) = server.datagrams.recv_timeout(LEFT).expect("renewal arrives");
+        let (from, _) = server.datagrams.recv_timeout(REQUEST_TIMEOUT).expect("renewal arrives");
         server.transport.send(from, &renew(), false);
-        client.datagrams.recv_timeout(LEFT).expect("grant arrives");
+        client.datagrams.recv_timeout(REQUEST_TIMEOUT).expect("grant arrives");
     };
     exchange(0);
-    let (memory, sent) = (resident(), client.transport.traffic().sent);
-    (1..=CONNECTIONS).for_each(exchange);
-    thread::sleep(SETTLE);
-    let count = u64::from(CONNECTIONS);
-    println!("resident: {} bytes per connection, both ends", (resident() - memory) / count);
+    let (memory, sent) = (resident_bytes(), client.transport.traffic().sent);
+    (1..=CONNECTION_COUNT).for_each(exchange);
+    thread::sleep(SETTLE_TIME);
+    let count = u64::from(CONNECTION_COUNT);
+    println!("resident: {} bytes per connection, both ends", (resident_bytes() - memory) / count);
     println!(
         "sent by client: {} bytes per handshake",
         (client.transport.traffic().sent - sent) / count
     );
     let renew = || {
         exchange(1);
-        thread::sleep(RENEWAL);
+        thread::sleep(RENEWAL_INTERVAL);
     };
-    (0..RENEWALS).for_each(|_| renew());
+    (0..RENEWAL_COUNT).for_each(|_| renew());
     let before = client.transport.traffic();
-    (0..RENEWALS).for_each(|_| renew());
+    (0..RENEWAL_COUNT).for_each(|_| renew());
     let after = client.transport.traffic();
     println!(
-        "renewal and grant: {} bytes in {} packets sent, {} bytes in {} packets received, of {RENEWALS} renewals",
+        "renewal and grant: {} bytes in {} packets sent, {} bytes in {} packets received, of {RENEWAL_COUNT} renewals",
         after.sent - before.sent,
         after.sent_packets - before.sent_packets,
         after.received - before.received,
@@ -134,14 +135,14 @@
     Datagram { body: Some(datagram::Body::Renew(renew)) }
 }
 
-fn cpu() -> Duration {
+fn cpu_time() -> Duration {
     // Fields 14 and 15 after the name in parentheses, in ticks of 10 ms.
     let stat = fs::read_to_string("/proc/self/stat").unwrap();
     let fields = stat.rsplit_once(')').unwrap().1.split_whitespace().skip(11).take(2);
     Duration::from_millis(fields.map(|ticks| ticks.parse::<u64>().unwrap() * 10).sum())
 }
 
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
     let kib: u64 = line.trim().trim_end_matches(" kB").parse().unwrap();
--- a/acaciaringd/src/peer/tests.rs
+++ b/acaciaringd/src/peer/tests.rs
@@ -17,7 +17,7 @@
 use crate::peer::transport::Shared;
 use crate::peer::{PeerSettings, RequestOutcome, Transport};
 
-use self::support::{Authority, Forwarder, Node, PATIENCE, echo, request};
+use self::support::{Authority, Forwarder, Node, WAIT_TIMEOUT, echo, request};
 
 #[path = "../../tests/peer_support/mod.rs"]
 pub(crate) mod support;
@@ -70,7 +70,7 @@
     }
     let link = sender.runtime.block_on(sender.pool.get(sender, to, 0)).unwrap();
     link.conn.send_datagram(Bytes::from_static(&[0xff; 9])).unwrap();
-    let outcome = client.transport.blocking_request(to, request("a"), PATIENCE);
+    let outcome = client.transport.blocking_request(to, request("a"), WAIT_TIMEOUT);
     assert_eq!(outcome, RequestOutcome::Answer(echo(request("a"))));
     assert_eq!(client.transport.traffic().connections, 1);
     assert_eq!(server.runs(), 1);
@@ -93,7 +93,7 @@
     let sender = shared(&client.transport);
     let send = |once| {
         let message = Request { once, ..request("a") };
-        let outcome = client.transport.blocking_request(to, message, PATIENCE);
+        let outcome = client.transport.blocking_request(to, message, WAIT_TIMEOUT);
         assert_eq!(outcome, RequestOutcome::Answer(echo(request("a"))));
     };
     send(false);
@@ -117,7 +117,7 @@
     for _ in 0..20 {
         let transport = client.transport.clone();
         let task =
-            runtime.spawn(async move { transport.request(to, request("a"), PATIENCE).await });
+            runtime.spawn(async move { transport.request(to, request("a"), WAIT_TIMEOUT).await });
         let outcome = runtime.block_on(task).unwrap();
         assert_eq!(outcome, RequestOutcome::Answer(echo(request("a"))));
     }
@@ -137,15 +137,15 @@
         let (go, wait) = bounded::<()>(1);
         let server = Node::start(authority.settings(), move |request, _| {
             started.send(()).unwrap();
-            wait.recv_timeout(PATIENCE).unwrap();
+            wait.recv_timeout(WAIT_TIMEOUT).unwrap();
             echo(request)
         });
         let client = Node::echo(authority.settings());
         let to = server.transport.local_addr();
         thread::scope(|scope| {
             let waiting =
-                scope.spawn(|| client.transport.blocking_request(to, request("a"), PATIENCE));
-            start.recv_timeout(PATIENCE).unwrap();
+                scope.spawn(|| client.transport.blocking_request(to, request("a"), WAIT_TIMEOUT));
+            start.recv_timeout(WAIT_TIMEOUT).unwrap();
             let end = if at_client { &client } else { &server };
             for conn in shared(&end.transport).registry.connections() {
                 conn.close(VarInt::from(Code::None), b"test");
@@ -164,17 +164,20 @@
     let authority = Authority::new();
     let (go, wait) = bounded::<()>(64);
     let server = Node::start(authority.settings(), move |request, _| {
-        wait.recv_timeout(PATIENCE).unwrap();
+        wait.recv_timeout(WAIT_TIMEOUT).unwrap();
         echo(request)
     });
     let client = Node::echo(authority.settings());
     let to = server.transport.local_addr();
     thread::scope(|scope| {
         for _ in 0..32 {
-            scope.spawn(|| client.transport.blocking_request(to, request("a"), PATIENCE));
+            scope.spawn(|| client.transport.blocking_request(to, request("a"), WAIT_TIMEOUT));
         }
         support::wait_for(|| server.runs() == 16);
-        client.transport.blocking_call(to, call::Body::Status(StatusQuery {}), PATIENCE).unwrap();
+        client
+            .transport
+            .blocking_call(to, call::Body::Status(StatusQuery {}), WAIT_TIMEOUT)
+            .unwrap();
         for _ in 0..32 {
             go.send(()).unwrap();
         }
@@ -191,7 +194,7 @@
         let (go, wait) = bounded::<()>(1);
         let server = Node::start(authority.settings(), move |request, _| {
             started.send(()).unwrap();
-            wait.recv_timeout(PATIENCE).unwrap();
+            wait.recv_timeout(WAIT_TIMEOUT).unwrap();
             echo(request)
         });
         let client = Node::echo(authority.settings());
@@ -200,9 +203,10 @@
         let to = forwarder.address;
         let body = b"a".repeat(5000);
         thread::scope(|scope| {
-            let send = || client.transport.blocking_request(to, request(body.clone()), PATIENCE);
+            let send =
+                || client.transport.blocking_request(to, request(body.clone()), WAIT_TIMEOUT);
             let waiting = scope.spawn(send);
-            start.recv_timeout(PATIENCE).unwrap();
+            start.recv_timeout(WAIT_TIMEOUT).unwrap();
             let end = if at_client { &client } else { &server };
             for conn in shared(&end.transport).registry.connections() {
                 conn.close(VarInt::from(Code::None), b"test");
--- a/acaciaringd/tests/answers.rs
+++ b/acaciaringd/tests/answers.rs
@@ -10,20 +10,23 @@
     Ask, Cluster, LoadClass, LoadOptions, Told, UpstreamControl, ask, check_records, run_load,
 };
 
-use common::policy::{SOON, command, owner, pooled, ran, run_all, small, stream, warm};
-use common::{korenveld, watch};
+use common::policy::{
+    WAIT_TIMEOUT, class_load, control_upstream, limited_upstreams, owner_index, run_count,
+    run_loads, start_pooled, sync_standbys,
+};
+use common::{start_cluster, watch};
 
 fn sign<'a>(path: &'a str, key: &'a str) -> Ask<'a> {
     Ask { method: "POST", path, key, body: "signature", ..Ask::default() }
 }
 
 /// Asks every entry for a request whose only run gave no answer.
-fn stays_unknown(cluster: &Cluster, request: &Ask<'_>) {
+fn assert_stays_unknown(cluster: &Cluster, request: &Ask<'_>) {
     for vm in &cluster.vms {
         let reply = ask(vm.http, request).expect("an answer");
         assert_eq!((reply.verdict.as_str(), reply.status), ("unknown", 502), "{reply:?}");
     }
-    assert_eq!(ran(cluster, request.path), 1, "{} ran again", request.path);
+    assert_eq!(run_count(cluster, request.path), 1, "{} ran again", request.path);
 }
 
 // A clerk signs a contract; the server does the work, and its connection breaks before the answer.
@@ -31,19 +34,19 @@
 // with the same key, at whatever entry, is told the same, and the contract is signed once.
 #[test]
 fn a_signature_whose_answer_is_lost_stays_unknown() {
-    let cluster = korenveld(3, 0);
-    warm(&cluster, &["s1".into(), "s2".into()]);
+    let cluster = start_cluster(3, 0);
+    sync_standbys(&cluster, &["s1".into(), "s2".into()]);
     for (number, cut) in [(1, false), (2, true)] {
         let (path, key) = (format!("/contracts/s{number}"), format!("lost-{number}"));
-        let server = owner(&cluster, &format!("s{number}"));
+        let server = owner_index(&cluster, &format!("s{number}"));
         let (lose, cut) = if cut { (None, Some(1)) } else { (Some(1), None) };
         let faults = UpstreamControl { lose, cut, ..UpstreamControl::default() };
-        command(&cluster, server, &faults);
+        control_upstream(&cluster, server, &faults);
         let request = sign(&path, &key);
         let reply = ask(cluster.vms[0].http, &request).expect("an answer");
         assert_eq!(reply.verdict, "unknown", "{reply:?}");
         assert!(reply.took < Duration::from_millis(1500), "half of the deadline: {reply:?}");
-        stays_unknown(&cluster, &request);
+        assert_stays_unknown(&cluster, &request);
     }
 }
 
@@ -51,18 +54,18 @@
 // does no harm, so the entry asks again by itself, and the clerk gets the whole answer.
 #[test]
 fn a_look_whose_answer_is_lost_or_cut_is_answered() {
-    let cluster = korenveld(3, 0);
+    let cluster = start_cluster(3, 0);
     for (number, cut) in [(1, false), (2, true)] {
         let path = format!("/contracts/l{number}");
-        let server = owner(&cluster, &format!("l{number}"));
+        let server = owner_index(&cluster, &format!("l{number}"));
         let (lose, cut) = if cut { (None, Some(1)) } else { (Some(1), None) };
         let faults = UpstreamControl { lose, cut, ..UpstreamControl::default() };
-        command(&cluster, server, &faults);
+        control_upstream(&cluster, server, &faults);
         let request = Ask { path: &path, ..Ask::default() };
         let reply = ask(cluster.vms[0].http, &request).expect("an answer");
         assert_eq!(reply.verdict, "answered", "{reply:?}");
         assert!(reply.body.contains(&path), "{reply:?}");
-        assert_eq!(ran(&cluster, &path), 2, "the first run and the one retry");
+        assert_eq!(run_count(&cluster, &path), 2, "the first run and the one retry");
     }
 }
 
@@ -70,14 +73,14 @@
 // retries are bounded: without a budget each would run as often as fits into its search.
 #[test]
 fn lost_answers_do_not_multiply_the_work() {
-    let cluster = korenveld(3, 0);
+    let cluster = start_cluster(3, 0);
     for vm in 0..3 {
         let faults = UpstreamControl { lose: Some(1_000_000), ..UpstreamControl::default() };
-        command(&cluster, vm, &faults);
+        control_upstream(&cluster, vm, &faults);
     }
-    let class = LoadClass { path: watch::path("{key}"), ..LoadClass::default() };
+    let class = LoadClass { path: watch::key_path("{key}"), ..LoadClass::default() };
     let load = LoadOptions {
-        entries: watch::entries(&cluster, &[0, 1, 2]),
+        entries: watch::entry_addresses(&cluster, &[0, 1, 2]),
         threads: 16,
         duration: 4000,
         rate: 200.0,
@@ -98,16 +101,16 @@
 // verdict, and nothing that may run once runs twice.
 #[test]
 fn nobody_gets_the_answer_of_another() {
-    let cluster = korenveld(3, 0);
-    let keys: Vec<String> = (1..=watch::KEYS).map(|number| format!("key-{number}")).collect();
-    warm(&cluster, &keys);
-    let mut options = watch::load(watch::entries(&cluster, &[0, 1, 2]), 31, 5000);
+    let cluster = start_cluster(3, 0);
+    let keys: Vec<String> = (1..=watch::KEY_COUNT).map(|number| format!("key-{number}")).collect();
+    sync_standbys(&cluster, &keys);
+    let mut options = watch::mixed_load(watch::entry_addresses(&cluster, &[0, 1, 2]), 31, 5000);
     options.threads = 24;
     options.rate = 240.0;
     for class in &mut options.classes {
         class.deadline = 250;
     }
-    let load = watch::start(options);
+    let load = watch::spawn_load(options);
     while !load.is_finished() {
         for vm in 0..3 {
             let faults = UpstreamControl {
@@ -117,7 +120,7 @@
                 lose: Some(1),
                 ..UpstreamControl::default()
             };
-            command(&cluster, vm, &faults);
+            control_upstream(&cluster, vm, &faults);
         }
         thread::sleep(Duration::from_millis(300));
     }
@@ -126,7 +129,7 @@
     assert_eq!((told(Told::Wrong), told(Told::Nothing)), (0, 0), "{:?}", figures.told);
     assert!(told(Told::Unknown) > 0, "no answer was late");
     assert!(told(Told::Answered) > 200, "{:?}", figures.told);
-    watch::judge(&cluster.runs(), &figures);
+    watch::assert_consistent(&cluster.runs(), &figures);
 }
 
 // The entry at which a clerk signs is killed while the contract is being signed. The clerk asks
@@ -134,16 +137,20 @@
 // the contract is not signed a second time.
 #[test]
 fn an_entry_that_dies_leaves_one_run() {
-    let mut cluster = korenveld(4, 0);
+    let mut cluster = start_cluster(4, 0);
     let (path, key) = ("/contracts/e1", "entry-1");
-    warm(&cluster, &["e1".into()]);
-    let server = owner(&cluster, "e1");
+    sync_standbys(&cluster, &["e1".into()]);
+    let server = owner_index(&cluster, "e1");
     let costs = [("/contracts/e1".into(), 700.0)].into();
-    command(&cluster, server, &UpstreamControl { costs: Some(costs), ..Default::default() });
+    control_upstream(
+        &cluster,
+        server,
+        &UpstreamControl { costs: Some(costs), ..Default::default() },
+    );
     let entry = (server + 1) % 4;
     let first = cluster.vms[entry].http;
     let caller = thread::spawn(move || ask(first, &sign(path, key)));
-    wait_until("the contract is being signed", SOON, || ran(&cluster, path) == 1)
+    wait_until("the contract is being signed", WAIT_TIMEOUT, || run_count(&cluster, path) == 1)
         .expect("the request runs");
     cluster.vms[entry].process.kill();
     assert!(caller.join().expect("the caller ends").is_err(), "the entry is gone");
@@ -153,7 +160,7 @@
     assert!(reply.verdict != "answered" || reply.body.contains(path), "{reply:?}");
     let again = ask(cluster.vms[server].http, &sign(path, key)).expect("an answer");
     assert_eq!(again.verdict, reply.verdict, "{again:?}");
-    assert_eq!(ran(&cluster, path), 1, "signed a second time");
+    assert_eq!(run_count(&cluster, path), 1, "signed a second time");
 }
 
 // Of two servers of the quality lab one works and loses its answers, the other sheds load. A request
@@ -161,14 +168,22 @@
 // not, and come back with it.
 #[test]
 fn a_pool_does_not_deny_what_may_have_run() {
-    let cluster = pooled(small(20, 1), 3, "");
+    let cluster = start_pooled(limited_upstreams(20, 1), 3, "");
     let lose = Some(1_000_000);
-    command(&cluster, 0, &UpstreamControl { lose, ..UpstreamControl::default() });
-    command(&cluster, 1, &UpstreamControl { shed: Some(true), ..UpstreamControl::default() });
-    command(&cluster, 2, &UpstreamControl { shed: Some(true), ..UpstreamControl::default() });
-    let mut load = stream(&cluster, "query", "/quality-lab/query", 100.0, 25);
+    control_upstream(&cluster, 0, &UpstreamControl { lose, ..UpstreamControl::default() });
+    control_upstream(
+        &cluster,
+        1,
+        &UpstreamControl { shed: Some(true), ..UpstreamControl::default() },
+    );
+    control_upstream(
+        &cluster,
+        2,
+        &UpstreamControl { shed: Some(true), ..UpstreamControl::default() },
+    );
+    let mut load = class_load(&cluster, "query", "/quality-lab/query", 100.0, 25);
     load.duration = 2500;
-    let figures = run_all(&[load]).remove(0);
+    let figures = run_loads(&[load]).remove(0);
     println!("told {:?}, reasons {:?}", figures.told, figures.reasons);
     let report = check_records(&cluster.runs(), &figures.sent);
     assert!(report.clean(), "{report:#?}");
--- a/acaciaringd/tests/ask_again.rs
+++ b/acaciaringd/tests/ask_again.rs
@@ -8,14 +8,14 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{Cluster, VmOptions};
 
-use common::policy::{head, value};
-use common::watch::{self, AGAIN};
-use common::{CONTRACTS, options, vm};
+use common::policy::{header_value, response_head};
+use common::watch::{self, RECOVERY_TIMEOUT};
+use common::{CONTRACTS, options, vm_options};
 
 /// Deadline of the requests in milliseconds, well below the time until the keys are taken over.
-const DEADLINE: u64 = 1500;
+const DEADLINE_MS: u64 = 1500;
 
-const REQUESTS: usize = 3;
+const REQUEST_COUNT: usize = 3;
 
 // Small machines lost leases, and for a second or more some units had no server. Each request for them asked
 // every ten milliseconds a member that had just said that it is not the owner: five tries in the median and up to 15
@@ -31,22 +31,26 @@
     for number in 0..3 {
         let stderr = (number == 0).then(|| log.clone());
         let settings = "[lease]\nterm = 8s\n".into();
-        cluster.add(VmOptions { settings, stderr, ..vm(number, CONTRACTS) }).expect("a VM starts");
+        cluster
+            .add(VmOptions { settings, stderr, ..vm_options(number, CONTRACTS) })
+            .expect("a VM starts");
     }
-    common::serve(&cluster, 3);
-    let key = watch::keys_of(&cluster, 1, 0).remove(0);
+    common::publish_contracts(&cluster, 3);
+    let key = watch::owned_keys(&cluster, 1, 0).remove(0);
     cluster.kill(1);
-    for _ in 0..REQUESTS {
-        let (head, _) = head(cluster.vms[0].http, &watch::path(&key), DEADLINE);
-        assert_ne!(value(&head, "x-acaciaring-verdict"), Some("answered"), "{head}");
+    for _ in 0..REQUEST_COUNT {
+        let (head, _) = response_head(cluster.vms[0].http, &watch::key_path(&key), DEADLINE_MS);
+        assert_ne!(header_value(&head, "x-acaciaring-verdict"), Some("answered"), "{head}");
     }
     let lines = || {
         let text = fs::read_to_string(&log).expect("the log is text");
         let ended = |line: &&str| line.contains("request ended without an answer");
         text.lines().filter(ended).map(str::to_owned).collect::<Vec<_>>()
     };
-    wait_until("the entry has written its lines", AGAIN, || lines().len() >= REQUESTS)
-        .expect("each refusal has a line");
+    wait_until("the entry has written its lines", RECOVERY_TIMEOUT, || {
+        lines().len() >= REQUEST_COUNT
+    })
+    .expect("each refusal has a line");
     for line in lines() {
         let (tries, took) = (number(&line, "tries="), number(&line, "took_ms="));
         println!("{tries} tries in {took} ms");
--- a/acaciaringd/tests/common/mod.rs
+++ b/acaciaringd/tests/common/mod.rs
@@ -21,10 +21,10 @@
 pub const QUALITY: &str = "korenveld-quality-lab";
 
 /// Data centres of Korenveld.
-const CENTRES: [&str; 4] = ["bethlehem", "kroonstad", "welkom", "bloem-a"];
+const DATA_CENTRES: [&str; 4] = ["bethlehem", "kroonstad", "welkom", "bloem-a"];
 
 /// Bound on the time until a new system serves.
-const SETTLE: Duration = Duration::from_secs(30);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Options of a system under test.
 pub fn options() -> ClusterOptions {
@@ -37,10 +37,10 @@
 }
 
 /// Options of the VM with a number.
-pub fn vm(number: usize, workspace: &str) -> VmOptions {
+pub fn vm_options(number: usize, workspace: &str) -> VmOptions {
     VmOptions {
         vm: format!("vm-{number}"),
-        data_centre: CENTRES[number % CENTRES.len()].into(),
+        data_centre: DATA_CENTRES[number % DATA_CENTRES.len()].into(),
         region: "free-state".into(),
         workspace: Some(workspace.into()),
         ..VmOptions::default()
@@ -48,38 +48,38 @@
 }
 
 /// Starts Korenveld's two services on this many VMs each and waits until they serve.
-pub fn korenveld(contracts: usize, quality: usize) -> Cluster {
-    korenveld_with(options(), contracts, quality)
+pub fn start_cluster(contracts: usize, quality: usize) -> Cluster {
+    start_cluster_with(options(), contracts, quality)
 }
 
 /// Starts Korenveld's contracts with lines added to the settings of each daemon.
-pub fn contracts_set(count: usize, settings: &str) -> Cluster {
+pub fn start_contracts_with_settings(count: usize, settings: &str) -> Cluster {
     let mut cluster = Cluster::start(options()).expect("the log stand-in starts");
     for number in 0..count {
-        let options = VmOptions { settings: settings.into(), ..vm(number, CONTRACTS) };
+        let options = VmOptions { settings: settings.into(), ..vm_options(number, CONTRACTS) };
         cluster.add(options).expect("a VM starts");
     }
-    serve(&cluster, count);
+    publish_contracts(&cluster, count);
     cluster
 }
 
 /// Publishes Korenveld's contracts and waits until all VMs serve them.
-pub fn serve(cluster: &Cluster, count: usize) {
+pub fn publish_contracts(cluster: &Cluster, count: usize) {
     publish(cluster, false);
     let all: Vec<usize> = (0..count).collect();
-    cluster.settle(CONTRACTS, &all, SETTLE).expect("the slots have owners");
+    cluster.settle(CONTRACTS, &all, SETTLE_TIMEOUT).expect("the slots have owners");
 }
 
 /// Starts Korenveld's two services with other options than [`options`].
-pub fn korenveld_with(options: ClusterOptions, contracts: usize, quality: usize) -> Cluster {
-    let contracts = (0..contracts).map(|number| vm(number, CONTRACTS));
+pub fn start_cluster_with(options: ClusterOptions, contracts: usize, quality: usize) -> Cluster {
+    let contracts = (0..contracts).map(|number| vm_options(number, CONTRACTS));
     let first = contracts.len();
-    let quality = (first..first + quality).map(|number| vm(number, QUALITY));
-    system(options, contracts.chain(quality).collect())
+    let quality = (first..first + quality).map(|number| vm_options(number, QUALITY));
+    start_vms(options, contracts.chain(quality).collect())
 }
 
 /// Starts Korenveld's services on these VMs and waits until they serve.
-pub fn system(options: ClusterOptions, vms: Vec<VmOptions>) -> Cluster {
+pub fn start_vms(options: ClusterOptions, vms: Vec<VmOptions>) -> Cluster {
     let mut cluster = Cluster::start(options).expect("the log stand-in starts");
     let all: Vec<usize> = (0..vms.len()).collect();
     let pooled = vms.iter().any(|vm| vm.workspace.as_deref() == Some(QUALITY));
@@ -87,12 +87,12 @@
         cluster.add(vm).expect("a VM starts");
     }
     publish(&cluster, pooled);
-    cluster.settle(CONTRACTS, &all, SETTLE).expect("the slots have owners");
+    cluster.settle(CONTRACTS, &all, SETTLE_TIMEOUT).expect("the slots have owners");
     cluster
 }
 
 /// Starts the contract service on VMs behind proxies and waits until it serves.
-pub fn networked(options: ClusterOptions, vms: Vec<VmOptions>) -> (Cluster, Network) {
+pub fn start_proxied(options: ClusterOptions, vms: Vec<VmOptions>) -> (Cluster, Network) {
     let mut cluster = Cluster::start(options).expect("the log stand-in starts");
     let mut network = Network::default();
     let count = vms.len();
@@ -101,7 +101,7 @@
     }
     publish(&cluster, false);
     let all: Vec<usize> = (0..count).collect();
-    cluster.settle(CONTRACTS, &all, SETTLE).expect("the slots have owners");
+    cluster.settle(CONTRACTS, &all, SETTLE_TIMEOUT).expect("the slots have owners");
     (cluster, network)
 }
 
--- a/acaciaringd/tests/common/policy.rs
+++ b/acaciaringd/tests/common/policy.rs
@@ -12,27 +12,28 @@
     UpstreamOptions, VmOptions, ask, ask_until_answered, run_load,
 };
 
-use super::{CONTRACTS, QUALITY, SETTLE, options, vm};
+use super::{CONTRACTS, QUALITY, SETTLE_TIMEOUT, options, vm_options};
 
 /// Bound on what a test waits for; generous, no verdict on speed.
-pub const SOON: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Long leases: these tests fill the machine, and none is about the loss of a member.
-const LEASE: &str = "[lease]\nterm = 8s\n";
+const LEASE_SETTINGS: &str = "[lease]\nterm = 8s\n";
 
 /// Options of a system whose upstreams run `slots` requests at once, each for `service` ms.
-pub fn small(slots: usize, service: u64) -> ClusterOptions {
+pub fn limited_upstreams(slots: usize, service: u64) -> ClusterOptions {
     let service = Duration::from_millis(service);
     let upstream = UpstreamOptions { slots, service, ..UpstreamOptions::default() };
     ClusterOptions { upstream, ..options() }
 }
 
 /// Starts a service that is not divided by key, with classes of all ranks, and waits until all serve.
-pub fn pooled(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
+pub fn start_pooled(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
     let upstream = UpstreamOptions { fenced: false, ..options.upstream.clone() };
     let options = ClusterOptions { upstream, ..options };
-    let cluster = mixed(options, count, QUALITY, "quality-lab", "kind = pooled", settings);
-    wait_until("each upstream serves", SETTLE, || {
+    let cluster =
+        start_with_classes(options, count, QUALITY, "quality-lab", "kind = pooled", settings);
+    wait_until("each upstream serves", SETTLE_TIMEOUT, || {
         for vm in &cluster.vms {
             let _ = ask(vm.http, &Ask { path: "/quality-lab/probe", ..Ask::default() });
         }
@@ -43,15 +44,15 @@
 }
 
 /// The same for a service that is divided by key, with lines added to the settings.
-pub fn keyed(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
+pub fn start_keyed(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
     let kind = "kind = keyed\nslots = 64\nkey = segment:1";
-    let cluster = mixed(options, count, CONTRACTS, "contracts", kind, settings);
+    let cluster = start_with_classes(options, count, CONTRACTS, "contracts", kind, settings);
     let all: Vec<usize> = (0..count).collect();
-    cluster.settle(CONTRACTS, &all, SETTLE).expect("the slots have owners");
+    cluster.settle(CONTRACTS, &all, SETTLE_TIMEOUT).expect("the slots have owners");
     cluster
 }
 
-fn mixed(
+fn start_with_classes(
     options: ClusterOptions,
     count: usize,
     workspace: &str,
@@ -60,9 +61,9 @@
     settings: &str,
 ) -> Cluster {
     let mut cluster = Cluster::start(options).expect("the log stand-in starts");
-    let settings = format!("{LEASE}{settings}");
+    let settings = format!("{LEASE_SETTINGS}{settings}");
     for number in 0..count {
-        let options = VmOptions { settings: settings.clone(), ..vm(number, workspace) };
+        let options = VmOptions { settings: settings.clone(), ..vm_options(number, workspace) };
         cluster.add(options).expect("a VM starts");
     }
     let sign = if kind.contains("keyed") { "once" } else { "idempotent" };
@@ -81,18 +82,18 @@
 }
 
 /// Waits until each owner may run requests that run once, that is until its standbys know what it knows.
-pub fn warm(cluster: &Cluster, keys: &[String]) {
+pub fn sync_standbys(cluster: &Cluster, keys: &[String]) {
     for (number, key) in keys.iter().enumerate() {
         let path = format!("/contracts/{key}?warm");
         let entry = cluster.vms[number % cluster.vms.len()].http;
         let request = Ask { method: "POST", path: &path, ..Ask::default() };
-        let reply = ask_until_answered(entry, &request, SOON).expect("an answer");
+        let reply = ask_until_answered(entry, &request, WAIT_TIMEOUT).expect("an answer");
         assert_eq!(reply.verdict, "answered", "{reply:?}");
     }
 }
 
 /// Load of one class at all entries.
-pub fn stream(cluster: &Cluster, name: &str, path: &str, rate: f64, seed: u64) -> LoadOptions {
+pub fn class_load(cluster: &Cluster, name: &str, path: &str, rate: f64, seed: u64) -> LoadOptions {
     let class = LoadClass { name: name.into(), path: path.into(), ..LoadClass::default() };
     LoadOptions {
         entries: cluster.vms.iter().map(|vm| vm.http).collect(),
@@ -108,7 +109,7 @@
 }
 
 /// Runs loads beside each other.
-pub fn run_all(loads: &[LoadOptions]) -> Vec<LoadFigures> {
+pub fn run_loads(loads: &[LoadOptions]) -> Vec<LoadFigures> {
     thread::scope(|scope| {
         let run = |load| move || run_load(load).expect("the load runs");
         let threads: Vec<_> = loads.iter().map(|load| scope.spawn(run(load))).collect();
@@ -117,24 +118,24 @@
 }
 
 /// Gives commands to the upstream of a VM.
-pub fn command(cluster: &Cluster, vm: usize, control: &UpstreamControl) {
+pub fn control_upstream(cluster: &Cluster, vm: usize, control: &UpstreamControl) {
     cluster.vms[vm].upstream.as_ref().expect("the VM has an upstream").handle().set(control);
 }
 
 /// Index of the VM that owns a key.
-pub fn owner(cluster: &Cluster, key: &str) -> usize {
+pub fn owner_index(cluster: &Cluster, key: &str) -> usize {
     let name = cluster.owner(0, CONTRACTS, key).expect("the key has an owner");
     let found = cluster.vms.iter().position(|vm| vm.options.vm == name);
     found.expect("the owner is a VM of the system")
 }
 
 /// Count of runs for a path at all upstreams.
-pub fn ran(cluster: &Cluster, path: &str) -> usize {
+pub fn run_count(cluster: &Cluster, path: &str) -> usize {
     cluster.runs().iter().filter(|run| run.path == path).count()
 }
 
 /// Sends a request and leaves the connection open.
-pub fn send(entry: SocketAddr, path: &str, deadline: u64) -> TcpStream {
+pub fn send_request(entry: SocketAddr, path: &str, deadline: u64) -> TcpStream {
     let mut stream = TcpStream::connect(entry).expect("the entry accepts");
     let text = format!(
         "GET {path} HTTP/1.1\r\nhost: entry\r\nx-acaciaring-deadline: {deadline}\r\nconnection: close\r\n\r\n"
@@ -144,9 +145,9 @@
 }
 
 /// Head of an answer, and the time that it took.
-pub fn head(entry: SocketAddr, path: &str, deadline: u64) -> (String, Duration) {
+pub fn response_head(entry: SocketAddr, path: &str, deadline: u64) -> (String, Duration) {
     let start = Instant::now();
-    let mut stream = send(entry, path, deadline);
+    let mut stream = send_request(entry, path, deadline);
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("a whole answer");
     let head = text.split("\r\n\r\n").next().unwrap_or_default().to_lowercase();
@@ -154,7 +155,7 @@
 }
 
 /// Value of a header in a head.
-pub fn value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+pub fn header_value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let line = |line: &'a str| line.strip_prefix(name)?.strip_prefix(':').map(str::trim);
     head.lines().find_map(line)
 }
--- a/acaciaringd/tests/common/watch.rs
+++ b/acaciaringd/tests/common/watch.rs
@@ -12,20 +12,20 @@
 use super::CONTRACTS;
 
 /// Bound on the time until the keys of a lost member are served again; generous, no verdict on speed.
-pub const AGAIN: Duration = Duration::from_secs(20);
+pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Keys of a load, see `key` there.
-pub const KEYS: u64 = 40;
+pub const KEY_COUNT: u64 = 40;
 
 /// Path of a key.
-pub fn path(key: &str) -> String {
+pub fn key_path(key: &str) -> String {
     format!("/contracts/{key}")
 }
 
 /// Keys of the load that a VM owns, seen from another one.
-pub fn keys_of(cluster: &Cluster, vm: usize, seen: usize) -> Vec<String> {
+pub fn owned_keys(cluster: &Cluster, vm: usize, seen: usize) -> Vec<String> {
     let name = &cluster.vms[vm].options.vm;
-    let keys = (1..=KEYS).map(|number| format!("key-{number}"));
+    let keys = (1..=KEY_COUNT).map(|number| format!("key-{number}"));
     let keys: Vec<String> =
         keys.filter(|key| cluster.owner(seen, CONTRACTS, key).as_deref() == Some(name)).collect();
     assert!(!keys.is_empty(), "{name} owns no key of the load");
@@ -33,13 +33,13 @@
 }
 
 /// Entries of VMs.
-pub fn entries(cluster: &Cluster, vms: &[usize]) -> Vec<SocketAddr> {
+pub fn entry_addresses(cluster: &Cluster, vms: &[usize]) -> Vec<SocketAddr> {
     vms.iter().map(|vm| cluster.vms[*vm].http).collect()
 }
 
 /// Load of reads and of requests that may run once, over all keys.
-pub fn load(entries: Vec<SocketAddr>, seed: u64, duration: u64) -> LoadOptions {
-    let read = LoadClass { path: path("{key}"), weight: 2, ..LoadClass::default() };
+pub fn mixed_load(entries: Vec<SocketAddr>, seed: u64, duration: u64) -> LoadOptions {
+    let read = LoadClass { path: key_path("{key}"), weight: 2, ..LoadClass::default() };
     let sign = LoadClass {
         name: "sign".into(),
         method: "POST".into(),
@@ -54,7 +54,7 @@
         duration,
         rate: 160.0,
         seed,
-        keys: KEYS,
+        keys: KEY_COUNT,
         tries: 4,
         timeout: 6000,
         classes: vec![read, sign],
@@ -63,21 +63,21 @@
 }
 
 /// Runs a load beside the test.
-pub fn start(options: LoadOptions) -> JoinHandle<LoadFigures> {
+pub fn spawn_load(options: LoadOptions) -> JoinHandle<LoadFigures> {
     thread::spawn(move || run_load(&options).expect("the load runs"))
 }
 
 /// Asks for each key until it is answered; returns when the last one was, counted from `since`.
-pub fn answered_again(entry: SocketAddr, keys: &[String], since: Instant) -> Duration {
+pub fn wait_until_served(entry: SocketAddr, keys: &[String], since: Instant) -> Duration {
     let wait = |key: &String| {
-        let path = path(key);
+        let path = key_path(key);
         let request = Ask { path: &path, ..Ask::default() };
         loop {
             let verdict = ask(entry, &request).map(|reply| reply.verdict).unwrap_or_default();
             if verdict == "answered" {
                 return since.elapsed();
             }
-            assert!(since.elapsed() < AGAIN, "{key} is not served again: {verdict:?}");
+            assert!(since.elapsed() < RECOVERY_TIMEOUT, "{key} is not served again: {verdict:?}");
             thread::sleep(Duration::from_millis(10));
         }
     };
@@ -89,7 +89,7 @@
 }
 
 /// Asserts that the upstreams' records show no fault in what a load was told.
-pub fn judge(runs: &[Run], figures: &LoadFigures) {
+pub fn assert_consistent(runs: &[Run], figures: &LoadFigures) {
     let report = check_records(runs, &figures.sent);
     println!("told {:?}, matched {}, reasons {:?}", figures.told, report.matched, figures.reasons);
     assert!(report.clean(), "{report:#?}");
--- a/acaciaringd/tests/drain.rs
+++ b/acaciaringd/tests/drain.rs
@@ -4,10 +4,10 @@
 
 use std::time::Duration;
 
-use common::contracts_set;
+use common::start_contracts_with_settings;
 
 /// Bound on the stop, far below the member's own bound on its drain.
-const END: Duration = Duration::from_secs(40);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 // An operator restarts a VM by night, and each restart lasts for the whole drain bound although
 // nothing runs there: the units go to other members, each of which serves some of them next and
@@ -15,9 +15,9 @@
 // counted as not released, were released again and again, and the member never left.
 #[test]
 fn idle_member_ends_as_soon_as_its_units_are_released() {
-    let mut cluster = contracts_set(4, "[limits]\ndrain = 5min\n");
+    let mut cluster = start_contracts_with_settings(4, "[limits]\ndrain = 5min\n");
     let member = &mut cluster.vms[1].process;
     member.term();
-    let status = member.wait(END).expect("the member ends before its drain bound");
+    let status = member.wait(EXIT_TIMEOUT).expect("the member ends before its drain bound");
     assert!(status.success(), "{status}");
 }
--- a/acaciaringd/tests/entry.rs
+++ b/acaciaringd/tests/entry.rs
@@ -15,7 +15,7 @@
 const TRACE: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
 /// Length of an answer that no socket buffer holds.
-const LARGE: usize = 32 << 20;
+const LARGE_BODY_BYTES: usize = 32 << 20;
 
 /// Handler that keeps the requests and answers by their paths.
 #[derive(Default)]
@@ -49,7 +49,7 @@
         match path.as_str() {
             "/panic" => panic!("provoked by the test"),
             "/held" => drop(self.held.lock().expect("lock").take().expect("once").recv()),
-            "/large" => return EntryAnswer { body: vec![b'a'; LARGE], ..answer },
+            "/large" => return EntryAnswer { body: vec![b'a'; LARGE_BODY_BYTES], ..answer },
             "/empty" => return EntryAnswer { status: 204, ..answer },
             "/head" => {
                 let headers = vec![("content-length".into(), b"900".into())];
@@ -68,7 +68,7 @@
 }
 
 /// Settings under which slow callers are given up soon.
-fn hasty() -> EntrySettings {
+fn short_timeouts() -> EntrySettings {
     let soon = Duration::from_millis(300);
     EntrySettings { workers: 1, uploads: 2, read: soon, idle: soon, ..EntrySettings::default() }
 }
@@ -131,7 +131,7 @@
         )
         .expect("write");
     stream.shutdown(std::net::Shutdown::Write).expect("shutdown");
-    let answers = String::from_utf8_lossy(&support::rest(&mut stream)).into_owned();
+    let answers = String::from_utf8_lossy(&support::read_to_end(&mut stream)).into_owned();
     let parts: Vec<_> = answers.split("\r\n\r\n").collect();
     assert!(parts[0].contains("content-length: 900"), "{answers}");
     assert!(parts[1].starts_with("HTTP/1.1 204 No Content\r\n"), "{answers}");
@@ -163,7 +163,7 @@
 /// or hangs up, while others go on. Each must get its own answer and none may run.
 #[test]
 fn malformed_requests_harm_nobody() {
-    let (entry, handler) = start(EntrySettings { header: 2000, body: 5000, ..hasty() });
+    let (entry, handler) = start(EntrySettings { header: 2000, body: 5000, ..short_timeouts() });
     let address = entry.local_addr();
     let long = "x".repeat(3000);
     let refused = [
@@ -204,7 +204,7 @@
         }
         others.join().expect("others");
     });
-    assert!(support::wait(|| entry.in_flight() == 0));
+    assert!(support::wait_until(|| entry.in_flight() == 0));
     assert!(handler.paths().iter().all(|path| path.starts_with("/good/")));
 }
 
@@ -213,7 +213,7 @@
 /// are given up in time, and what is beyond these threads is refused as busy.
 #[test]
 fn slow_bodies_hold_no_worker() {
-    let (entry, handler) = start(hasty());
+    let (entry, handler) = start(short_timeouts());
     let address = entry.local_addr();
     let head = "POST /slow HTTP/1.1\r\ncontent-length: 5000\r\n\r\n";
     let mut slow: Vec<_> = (0..6).map(|_| support::connect(address)).collect();
@@ -221,7 +221,7 @@
         stream.write_all(head.as_bytes()).expect("write");
     }
     assert!(get(address, "/good").starts_with("HTTP/1.1 200 OK\r\n"));
-    let answers: Vec<_> = slow.iter_mut().map(support::message).collect();
+    let answers: Vec<_> = slow.iter_mut().map(support::read_message).collect();
     assert!(answers.iter().all(|a| is_refused(a, 408) || is_refused(a, 503)), "{answers:?}");
     assert!(answers.iter().any(|answer| is_refused(answer, 408)));
     assert_eq!(handler.paths(), ["/good"]);
@@ -232,19 +232,19 @@
 /// the next request of the connection. Such a connection is marked.
 #[test]
 fn rest_of_an_abandoned_body_never_runs() {
-    let (entry, handler) = start(hasty());
+    let (entry, handler) = start(short_timeouts());
     let chunked = "POST /slow HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n5\r\nab";
     let stated = "POST /slow HTTP/1.1\r\ncontent-length: 5000\r\n\r\nab";
     let inner = "POST /book HTTP/1.1\r\ncontent-length: 0\r\n\r\n";
     for head in [chunked, stated] {
         let mut stream = support::connect(entry.local_addr());
         stream.write_all(head.as_bytes()).expect("write");
-        assert!(is_refused(&support::message(&mut stream), 408));
+        assert!(is_refused(&support::read_message(&mut stream), 408));
         for _ in 0..10 {
             let _ = stream.write_all(inner.as_bytes());
             thread::sleep(Duration::from_millis(20));
         }
-        let answers = String::from_utf8_lossy(&support::rest(&mut stream)).into_owned();
+        let answers = String::from_utf8_lossy(&support::read_to_end(&mut stream)).into_owned();
         assert!(!answers.contains("answered"), "{answers}");
     }
     assert_eq!(handler.paths(), Vec::<String>::new());
@@ -255,14 +255,14 @@
 /// and would write the second behind it on the same connection.
 #[test]
 fn nothing_follows_an_answer_that_was_cut_off() {
-    let (entry, handler) = start(hasty());
+    let (entry, handler) = start(short_timeouts());
     let mut stream = support::connect(entry.local_addr());
     stream.write_all(b"GET /large HTTP/1.1\r\n\r\nGET /second HTTP/1.1\r\n\r\n").expect("write");
-    assert!(support::wait(|| handler.entered.load(Ordering::SeqCst) == 1));
-    assert!(support::wait(|| entry.in_flight() == 0), "the answer is given up");
-    let bytes = support::rest(&mut stream);
+    assert!(support::wait_until(|| handler.entered.load(Ordering::SeqCst) == 1));
+    assert!(support::wait_until(|| entry.in_flight() == 0), "the answer is given up");
+    let bytes = support::read_to_end(&mut stream);
     let head = bytes.windows(4).position(|end| end == b"\r\n\r\n").expect("head") + 4;
-    assert!(bytes.len() - head < LARGE, "cut off");
+    assert!(bytes.len() - head < LARGE_BODY_BYTES, "cut off");
     assert!(bytes[head..].iter().all(|byte| *byte == b'a'), "part of one answer only");
     assert_eq!(handler.paths(), ["/large"], "what cannot be answered does not run");
     assert!(get(entry.local_addr(), "/good").starts_with("HTTP/1.1 200 OK\r\n"));
@@ -281,13 +281,13 @@
     for number in 0..20 {
         write!(eager, "GET /{number} HTTP/1.1\r\n\r\n").expect("write");
     }
-    assert!(support::wait(|| handler.entered.load(Ordering::SeqCst) == 1));
+    assert!(support::wait_until(|| handler.entered.load(Ordering::SeqCst) == 1));
     for _ in 0..20 {
         assert!(get(entry.local_addr(), "/good").starts_with("HTTP/1.1 200 OK\r\n"));
     }
     release.send(()).expect("held");
     for _ in 0..=20 {
-        assert!(support::message(&mut eager).starts_with("HTTP/1.1 200 OK\r\n"));
+        assert!(support::read_message(&mut eager).starts_with("HTTP/1.1 200 OK\r\n"));
     }
     let own = handler.paths().into_iter().filter(|path| path != "/good");
     let order = (0..20).map(|number| format!("/{number}"));
@@ -301,9 +301,9 @@
     let body = "x".repeat(100_000);
     let head = "POST / HTTP/1.1\r\ncontent-length: 100000\r\n\r\n";
     stream.write_all((head.to_owned() + &body).as_bytes()).expect("write");
-    assert!(is_refused(&support::message(&mut stream), 413));
+    assert!(is_refused(&support::read_message(&mut stream), 413));
     stream.write_all(b"GET /next HTTP/1.1\r\n\r\n").expect("write");
-    assert!(support::message(&mut stream).starts_with("HTTP/1.1 200 OK\r\n"));
+    assert!(support::read_message(&mut stream).starts_with("HTTP/1.1 200 OK\r\n"));
 }
 
 /// The whole member dies of one header line.
@@ -311,7 +311,7 @@
 /// length of terabytes fails to allocate, which ends the process.
 #[test]
 fn absurd_length_does_not_end_the_process() {
-    let (entry, _) = start(hasty());
+    let (entry, _) = start(short_timeouts());
     let mut stream = support::connect(entry.local_addr());
     let length = usize::MAX / 4;
     write!(stream, "POST / HTTP/1.1\r\ncontent-length: {length}\r\n\r\n").expect("write");
@@ -324,7 +324,7 @@
 
 #[test]
 fn panic_of_the_handler_is_unknown_and_ends_no_worker() {
-    let (entry, _) = start(hasty());
+    let (entry, _) = start(short_timeouts());
     for _ in 0..3 {
         let answer = get(entry.local_addr(), "/panic");
         assert!(answer.starts_with("HTTP/1.1 502 "), "{answer}");
@@ -338,10 +338,10 @@
 /// and `tiny_http` stops to accept for good after the first failure.
 #[test]
 fn silent_connections_end_and_accepting_goes_on() {
-    let (entry, _) = start(hasty());
+    let (entry, _) = start(short_timeouts());
     let mut silent = support::connect(entry.local_addr());
     silent.write_all(b"GET /half HTTP/1.1\r\nx-ha").expect("write");
-    assert_eq!(support::rest(&mut silent), b"", "closed without an answer");
+    assert_eq!(support::read_to_end(&mut silent), b"", "closed without an answer");
     thread::sleep(Duration::from_millis(1500));
     assert!(get(entry.local_addr(), "/good").starts_with("HTTP/1.1 200 OK\r\n"));
 }
@@ -354,13 +354,13 @@
     *handler.held.lock().expect("lock") = Some(held);
     let mut kept = support::connect(address);
     let caller = thread::spawn(move || get(address, "/held"));
-    assert!(support::wait(|| handler.entered.load(Ordering::SeqCst) == 1));
-    let drain = thread::spawn(move || entry.drain(support::PATIENCE));
+    assert!(support::wait_until(|| handler.entered.load(Ordering::SeqCst) == 1));
+    let drain = thread::spawn(move || entry.drain(support::WAIT_TIMEOUT));
     let refused = || std::net::TcpStream::connect(address).is_err();
-    assert!(support::wait(refused), "no further connections");
-    let late = support::wait(|| {
+    assert!(support::wait_until(refused), "no further connections");
+    let late = support::wait_until(|| {
         kept.write_all(b"GET /late HTTP/1.1\r\n\r\n").expect("write");
-        support::message(&mut kept).contains("x-acaciaring-reason: draining")
+        support::read_message(&mut kept).contains("x-acaciaring-reason: draining")
     });
     assert!(late, "an open connection is told");
     release.send(()).expect("held");
@@ -375,7 +375,7 @@
     *handler.held.lock().expect("lock") = Some(held);
     let mut stream = support::connect(entry.local_addr());
     stream.write_all(b"GET /held HTTP/1.1\r\n\r\n").expect("write");
-    assert!(support::wait(|| handler.entered.load(Ordering::SeqCst) == 1));
+    assert!(support::wait_until(|| handler.entered.load(Ordering::SeqCst) == 1));
     assert_eq!(entry.drain(Duration::from_millis(50)), 1);
     release.send(()).expect("held");
 }
--- a/acaciaringd/tests/entry_descriptors.rs
+++ b/acaciaringd/tests/entry_descriptors.rs
@@ -36,12 +36,12 @@
     assert!(!burst.is_empty());
     thread::sleep(Duration::from_millis(500));
     drop(burst);
-    let answered = support::wait(|| {
+    let answered = support::wait_until(|| {
         let bound = Duration::from_secs(1);
         let Ok(mut stream) = TcpStream::connect_timeout(&address, bound) else { return false };
         stream.set_read_timeout(Some(bound)).expect("timeout");
         let sent = stream.write_all(b"GET / HTTP/1.1\r\n\r\n").is_ok();
-        sent && support::message(&mut stream).starts_with("HTTP/1.1 404 ")
+        sent && support::read_message(&mut stream).starts_with("HTTP/1.1 404 ")
     });
     assert!(answered);
 }
--- a/acaciaringd/tests/entry_together.rs
+++ b/acaciaringd/tests/entry_together.rs
@@ -11,16 +11,16 @@
 use acaciaring_core::Verdict;
 use acaciaringd::entry::{Entry, EntryAnswer, EntryRequest, EntrySettings, Service};
 
-use support::{connect, message};
+use support::{connect, read_message};
 
 /// Connections that come at the same time.
-const TOGETHER: usize = 16;
+const CONNECTION_COUNT: usize = 16;
 
 /// Times that they come.
 const ROUNDS: usize = 20;
 
 /// Bound on an answer, far below the time after which the entry closes an idle connection.
-const BOUND: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Answering;
 
@@ -48,13 +48,13 @@
     let address = entry.local_addr();
     let mut open = Vec::new();
     for round in 0..ROUNDS {
-        let start = Barrier::new(TOGETHER);
+        let start = Barrier::new(CONNECTION_COUNT);
         let streams: Vec<TcpStream> = thread::scope(|scope| {
             let ask = || scope.spawn(|| ask(address, &start));
-            let threads: Vec<_> = (0..TOGETHER).map(|_| ask()).collect();
+            let threads: Vec<_> = (0..CONNECTION_COUNT).map(|_| ask()).collect();
             threads.into_iter().filter_map(|thread| thread.join().ok().flatten()).collect()
         });
-        assert_eq!(streams.len(), TOGETHER, "answered in round {round}");
+        assert_eq!(streams.len(), CONNECTION_COUNT, "answered in round {round}");
         open.extend(streams);
     }
 }
@@ -63,7 +63,7 @@
 fn ask(address: SocketAddr, start: &Barrier) -> Option<TcpStream> {
     start.wait();
     let mut stream = connect(address);
-    stream.set_read_timeout(Some(BOUND)).ok()?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     stream.write_all(b"GET /a HTTP/1.1\r\nHost: a\r\n\r\n").ok()?;
-    message(&mut stream).starts_with("HTTP/1.1 200").then_some(stream)
+    read_message(&mut stream).starts_with("HTTP/1.1 200").then_some(stream)
 }
--- a/acaciaringd/tests/freeze.rs
+++ b/acaciaringd/tests/freeze.rs
@@ -10,14 +10,14 @@
     Ask, ClusterOptions, LoadFigures, Run, UpstreamControl, UpstreamOptions, ask,
 };
 
-use common::watch::{self, AGAIN};
-use common::{CONTRACTS, networked, options, vm};
+use common::watch::{self, RECOVERY_TIMEOUT};
+use common::{CONTRACTS, options, start_proxied, vm_options};
 
 /// Requests of callers that wait in the frozen member.
-const WAITING: usize = 40;
+const WAITING_REQUESTS: usize = 40;
 
 /// Time in which requests reach a server that is frozen; the load sends several to it meanwhile.
-const WRITTEN: Duration = Duration::from_millis(500);
+const DELIVERY_TIME: Duration = Duration::from_millis(500);
 
 // A VM is suspended in the middle of its work: its process stops between two instructions. Its keys
 // are taken over. Then it goes on, with requests of callers and members waiting in its sockets, and
@@ -26,7 +26,7 @@
 // already written is refused by the upstream, which checks the fence as a run begins and as it ends.
 #[test]
 fn a_thawed_member_runs_nothing_at_a_fenced_upstream() {
-    freeze(true, 21);
+    check_freeze(true, 21);
 }
 
 // The same beside an upstream that checks no fence. What arrives at the member after it woke up
@@ -35,26 +35,26 @@
 // and so does a server in which a request waits. So requests sent before the freeze are left out.
 #[test]
 fn a_thawed_member_gives_an_unfenced_upstream_nothing_that_waited() {
-    freeze(false, 22);
+    check_freeze(false, 22);
 }
 
-fn freeze(fenced: bool, seed: u64) {
+fn check_freeze(fenced: bool, seed: u64) {
     // A run that the freeze has cut in two ends late; the server takes it back.
     let upstream = UpstreamOptions { fenced, recheck: fenced, ..UpstreamOptions::default() };
     let options = ClusterOptions { upstream, ..options() };
-    let vms = (0..5).map(|number| vm(number, CONTRACTS)).collect();
-    let (mut cluster, network) = networked(options, vms);
+    let vms = (0..5).map(|number| vm_options(number, CONTRACTS)).collect();
+    let (mut cluster, network) = start_proxied(options, vms);
     let (victim, others) = (1, [0, 2, 3, 4]);
-    let keys = watch::keys_of(&cluster, victim, 0);
-    let live = watch::entries(&cluster, &others);
-    let load = watch::start(watch::load(live, seed, 7000));
-    wait_until("the victim serves", AGAIN, || cluster.vms[victim].runs().len() > 20)
+    let keys = watch::owned_keys(&cluster, victim, 0);
+    let live = watch::entry_addresses(&cluster, &others);
+    let load = watch::spawn_load(watch::mixed_load(live, seed, 7000));
+    wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
     let server = cluster.vms[victim].upstream.as_ref().expect("an upstream").handle();
     if fenced {
         // What the member has written by then waits in the server until the keys are elsewhere.
         server.set(&UpstreamControl { frozen: Some(true), ..UpstreamControl::default() });
-        thread::sleep(WRITTEN);
+        thread::sleep(DELIVERY_TIME);
     }
     let name = cluster.vms[victim].options.vm.clone();
     let start = Instant::now();
@@ -65,20 +65,20 @@
     let waiting: Vec<_> = keys
         .iter()
         .cycle()
-        .take(WAITING)
+        .take(WAITING_REQUESTS)
         .cloned()
         .map(|key| {
             thread::spawn(move || {
-                let path = format!("{}/waiting", watch::path(&key));
+                let path = format!("{}/waiting", watch::key_path(&key));
                 ask(own, &Ask { path: &path, ..Ask::default() })
             })
         })
         .collect();
-    let took = watch::answered_again(cluster.vms[0].http, &keys, start);
+    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("freeze, fenced {fenced}: {} keys served again after {took:?}", keys.len());
     server.set(&UpstreamControl { frozen: Some(false), ..UpstreamControl::default() });
     if fenced {
-        wait_until("the fence refuses", AGAIN, || server.counts().fence > 0)
+        wait_until("the fence refuses", RECOVERY_TIMEOUT, || server.counts().fence > 0)
             .expect("the server refuses what waited in it");
     }
     let woken = cluster.vms[victim].runs().len();
@@ -91,7 +91,7 @@
         println!("waited in the frozen member: {} {}", reply.verdict, reply.reason);
     }
     network.heal();
-    wait_until("the member is back", AGAIN, || {
+    wait_until("the member is back", RECOVERY_TIMEOUT, || {
         let status = cluster.admin(victim, "/v1/status").unwrap_or_default();
         status["leased"] == true
     })
@@ -104,7 +104,7 @@
         let late = |run: &Run| run.upstream == name && run.start > frozen;
         runs.retain(|run| !(late(run) && sent_before(&figures, run, frozen)));
     }
-    watch::judge(&runs, &figures);
+    watch::assert_consistent(&runs, &figures);
 }
 
 /// Whether a run is of a request that was sent before a time in microseconds of Unix time.
--- a/acaciaringd/tests/hot_key.rs
+++ b/acaciaringd/tests/hot_key.rs
@@ -9,15 +9,15 @@
     Ask, Cluster, LoadClass, LoadFigures, Run, UpstreamControl, ask, run_load,
 };
 
-use common::policy::{command, keyed, small, stream};
+use common::policy::{class_load, control_upstream, limited_upstreams, start_keyed};
 use common::watch;
 
 /// Path of the key that gets half of all requests.
-const HOT: &str = "/contracts/sign/month-end";
+const HOT_PATH: &str = "/contracts/sign/month-end";
 
-fn hot(cluster: &Cluster) -> Vec<Run> {
+fn hot_runs(cluster: &Cluster) -> Vec<Run> {
     let mut runs = cluster.runs();
-    runs.retain(|run| run.path.starts_with(HOT));
+    runs.retain(|run| run.path.starts_with(HOT_PATH));
     runs.sort_by_key(|run| run.start);
     runs
 }
@@ -47,9 +47,9 @@
 fn sign_slowly(cluster: &Cluster, load: &JoinHandle<LoadFigures>) {
     for vm in 0..cluster.vms.len() {
         let costs = Some([("?long".into(), 1500.0)].into());
-        command(cluster, vm, &UpstreamControl { costs, ..UpstreamControl::default() });
+        control_upstream(cluster, vm, &UpstreamControl { costs, ..UpstreamControl::default() });
     }
-    let path = format!("{HOT}?long");
+    let path = format!("{HOT_PATH}?long");
     while !load.is_finished() {
         // Whether it is answered is no matter here.
         let request = Ask { method: "POST", path: &path, body: "slow", ..Ask::default() };
@@ -64,12 +64,13 @@
 // always one that began before the split.
 #[test]
 fn a_hot_key_is_split_out_and_moved() {
-    let cluster = keyed(small(20, 2), 4, "[balance]\ninterval = 200ms\nmoves = 600\n");
-    let mut load = stream(&cluster, "read", "/contracts/query/{key}", 300.0, 101);
+    let cluster =
+        start_keyed(limited_upstreams(20, 2), 4, "[balance]\ninterval = 200ms\nmoves = 600\n");
+    let mut load = class_load(&cluster, "read", "/contracts/query/{key}", 300.0, 101);
     let sign = LoadClass {
         name: "sign".into(),
         method: "POST".into(),
-        path: HOT.into(),
+        path: HOT_PATH.into(),
         once: true,
         body: 64,
         ..LoadClass::default()
@@ -80,10 +81,10 @@
     let load = thread::spawn(move || run_load(&load).expect("the load runs"));
     let split = |run: &Run| run.slot.contains('.');
     sign_slowly(&cluster, &load);
-    let found = hot(&cluster).iter().any(split);
+    let found = hot_runs(&cluster).iter().any(split);
     let figures = load.join().expect("the load ends");
     assert!(found, "the key is not split out");
-    let runs = hot(&cluster);
+    let runs = hot_runs(&cluster);
     let mut servers: Vec<&str> = runs.iter().map(|run| run.upstream.as_str()).collect();
     servers.dedup();
     let (start, end) = (runs[0].start, runs[runs.len() - 1].start);
@@ -94,5 +95,5 @@
     assert!(after < before, "the fullest server had {before} times the mean, then {after}");
     assert_eq!(overlaps(&runs), [], "two servers at once");
     assert!(servers.len() > 1, "the key did not move");
-    watch::judge(&all, &figures);
+    watch::assert_consistent(&all, &figures);
 }
--- a/acaciaringd/tests/join.rs
+++ b/acaciaringd/tests/join.rs
@@ -6,10 +6,10 @@
 
 use acaciaring_testing::{Ask, Cluster, ask, harness::wait_until};
 
-use common::{CONTRACTS, contracts_set, options, vm};
+use common::{CONTRACTS, options, start_contracts_with_settings, vm_options};
 
 /// Bound on the time until a newcomer has its share.
-const SHARE: Duration = Duration::from_secs(30);
+const REBALANCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 // The first VM of a new system finds a log without a single record. It must join without waiting
 // for one, for an operator looks at the members before publishing anything.
@@ -17,9 +17,9 @@
 fn members_join_on_an_empty_log() {
     let mut cluster = Cluster::start(options()).expect("the log stand-in starts");
     for number in 0..2 {
-        cluster.add(vm(number, CONTRACTS)).expect("a VM starts");
+        cluster.add(vm_options(number, CONTRACTS)).expect("a VM starts");
     }
-    wait_until("both have joined", SHARE, || {
+    wait_until("both have joined", REBALANCE_TIMEOUT, || {
         let members = cluster.admin(0, "/v1/members").unwrap_or_default();
         members["members"].as_array().map(Vec::len) == Some(2)
     })
@@ -32,13 +32,13 @@
 #[test]
 fn a_newcomer_takes_a_share_without_losing_a_request() {
     let settings = "[balance]\ninterval = 200ms\nmoves = 600\n";
-    let mut cluster = contracts_set(5, settings);
-    let mut options = vm(5, CONTRACTS);
+    let mut cluster = start_contracts_with_settings(5, settings);
+    let mut options = vm_options(5, CONTRACTS);
     options.settings = settings.into();
     let newcomer = cluster.add(options).expect("a VM starts");
     let entry = cluster.vms[0].http;
     let mut number = 0;
-    wait_until("the newcomer owns units", SHARE, || {
+    wait_until("the newcomer owns units", REBALANCE_TIMEOUT, || {
         number += 1;
         let path = format!("/contracts/k{number}");
         let reply = ask(entry, &Ask { path: &path, ..Ask::default() }).expect("an answer");
--- a/acaciaringd/tests/loss.rs
+++ b/acaciaringd/tests/loss.rs
@@ -6,8 +6,8 @@
 
 use acaciaring_testing::harness::wait_until;
 
-use common::watch::{self, AGAIN};
-use common::{CONTRACTS, korenveld};
+use common::watch::{self, RECOVERY_TIMEOUT};
+use common::{CONTRACTS, start_cluster};
 
 // A mill clerk signs while the VM that owns the contract dies: the process is killed, its lessors
 // find its grant expired and vote, its standby takes over. The clerks are refused or wait for a
@@ -15,16 +15,16 @@
 // flight runs a second time when it is asked again with the same key at another entry.
 #[test]
 fn keys_of_a_killed_member_are_served_again() {
-    let mut cluster = korenveld(5, 0);
+    let mut cluster = start_cluster(5, 0);
     let victim = 3;
-    let keys = watch::keys_of(&cluster, victim, 0);
-    let live = watch::entries(&cluster, &[0, 1, 2, 4]);
-    let load = watch::start(watch::load(live, 11, 7000));
-    wait_until("the victim serves", AGAIN, || cluster.vms[victim].runs().len() > 20)
+    let keys = watch::owned_keys(&cluster, victim, 0);
+    let live = watch::entry_addresses(&cluster, &[0, 1, 2, 4]);
+    let load = watch::spawn_load(watch::mixed_load(live, 11, 7000));
+    wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
     let start = Instant::now();
     cluster.kill(victim);
-    let took = watch::answered_again(cluster.vms[0].http, &keys, start);
+    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("kill: {} keys served again after {took:?}", keys.len());
     let figures = load.join().expect("the load ends");
     let name = cluster.vms[victim].options.vm.clone();
@@ -32,5 +32,5 @@
         let owner = cluster.owner(0, CONTRACTS, key);
         assert_ne!(owner.as_deref(), Some(name.as_str()), "{key}");
     }
-    watch::judge(&cluster.runs(), &figures);
+    watch::assert_consistent(&cluster.runs(), &figures);
 }
--- a/acaciaringd/tests/metrics.rs
+++ b/acaciaringd/tests/metrics.rs
@@ -10,7 +10,7 @@
 const PAGE: &str = include_str!("../../docs/METRICS.md");
 
 /// Bound on waits; a pass takes far less.
-const LONG: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn section(title: &str) -> BTreeSet<(String, String)> {
     let start = format!("### {title}\n");
@@ -57,7 +57,7 @@
     let mut text = String::new();
     let mut buffer = [0; 2048];
     while !expected.iter().all(|line| text.contains(line)) {
-        assert!(started.elapsed() < LONG, "got only {text:?}");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "got only {text:?}");
         // The queue's thread may not have taken the last metric yet.
         metrics.flush();
         if let Ok(size) = server.recv(&mut buffer) {
--- a/acaciaringd/tests/observe.rs
+++ b/acaciaringd/tests/observe.rs
@@ -13,25 +13,25 @@
 use acaciaring_testing::{Ask, Cluster, LogControl, VmOptions, ask, ask_until_answered};
 use serde_json::{Value, json};
 
-use common::{CONTRACTS, contracts_set, options, vm};
+use common::{CONTRACTS, options, start_contracts_with_settings, vm_options};
 
 /// VMs of a system.
-const COUNT: usize = 3;
+const VM_COUNT: usize = 3;
 
 /// Bound on waits; a pass takes far less.
-const LONG: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One system at a time: each has hundreds of threads.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn serial_guard() -> MutexGuard<'static, ()> {
+    static SERIAL: Mutex<()> = Mutex::new(());
+    SERIAL.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Trace of a caller.
 const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
 
 /// Names of metrics that a system with callers sends, each with its type.
-const EXPECTED: [&str; 9] = [
+const EXPECTED_METRICS: [&str; 9] = [
     "requests.answered|c",
     "requests.time|ms",
     "peer.time|ms",
@@ -45,21 +45,24 @@
 
 #[test]
 fn a_running_system_sends_metrics() {
-    let _alone = alone();
+    let _serial = serial_guard();
     let server = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     server.set_read_timeout(Some(Duration::from_millis(100))).expect("a bound is valid");
     let address = server.local_addr().expect("the socket is bound");
-    let cluster = contracts_set(COUNT, &format!("[metrics]\naddress = {address}\nprefix = test\n"));
-    let end = Instant::now() + LONG;
+    let cluster = start_contracts_with_settings(
+        VM_COUNT,
+        &format!("[metrics]\naddress = {address}\nprefix = test\n"),
+    );
+    let end = Instant::now() + WAIT_TIMEOUT;
     let mut seen = BTreeSet::new();
     let mut held = false;
     let mut key = 0;
-    let wanted = |seen: &BTreeSet<String>| EXPECTED.iter().all(|name| seen.contains(*name));
+    let wanted = |seen: &BTreeSet<String>| EXPECTED_METRICS.iter().all(|name| seen.contains(*name));
     while Instant::now() < end && !(wanted(&seen) && held) {
         key += 1;
         let path = format!("/contracts/k{key}");
         let request = Ask { path: &path, ..Ask::default() };
-        ask(cluster.vms[key % COUNT].http, &request).expect("an answer");
+        ask(cluster.vms[key % VM_COUNT].http, &request).expect("an answer");
         let mut packet = [0; 2048];
         while let Ok(size) = server.recv(&mut packet) {
             let text = String::from_utf8_lossy(&packet[..size]).into_owned();
@@ -67,7 +70,7 @@
             seen.extend(text.lines().filter_map(name));
         }
     }
-    let missing: Vec<_> = EXPECTED.iter().filter(|name| !seen.contains(**name)).collect();
+    let missing: Vec<_> = EXPECTED_METRICS.iter().filter(|name| !seen.contains(**name)).collect();
     assert!(missing.is_empty() && held, "missing {missing:?}, held {held}, seen {seen:?}");
 }
 
@@ -83,11 +86,11 @@
 // with that trace id and a span id of their own, and the upstream has got the last one.
 #[test]
 fn the_hops_of_a_request_have_one_trace() {
-    let _alone = alone();
-    let (cluster, logs) = logged(COUNT, "format = json\nlevel = info\n");
+    let _serial = serial_guard();
+    let (cluster, logs) = start_with_logs(VM_COUNT, "format = json\nlevel = info\n");
     let path = "/contracts/traced";
     let find = Ask { path, ..Ask::default() };
-    let found = ask_until_answered(cluster.vms[0].http, &find, LONG).expect("an answer");
+    let found = ask_until_answered(cluster.vms[0].http, &find, WAIT_TIMEOUT).expect("an answer");
     assert_eq!(found.verdict, "answered", "{found:?}");
     let owner = cluster.vms.iter().position(|vm| ran(vm, path)).expect("one has run it");
     let entry = (owner + 1) % cluster.vms.len();
@@ -95,7 +98,7 @@
     let header = format!("00-{TRACE}-00f067aa0ba902b7-01");
     ureq::get(url).header("traceparent", header).call().expect("an answer");
     let spans = || spans(&logs, TRACE);
-    wait_until("the spans end", LONG, || spans().len() >= 3).expect("three spans");
+    wait_until("the spans end", WAIT_TIMEOUT, || spans().len() >= 3).expect("three spans");
     let spans = spans();
     let places: Vec<_> = spans.iter().map(|(vm, name, _)| (*vm, name.as_str())).collect();
     assert_eq!(places.len(), 3, "{spans:?}");
@@ -132,8 +135,8 @@
 // by SIGHUP. The lines of the new level come without a restart, and the member keeps its lease.
 #[test]
 fn the_level_changes_without_a_restart() {
-    let _alone = alone();
-    let (mut cluster, logs) = logged(COUNT, "level = warn\n");
+    let _serial = serial_guard();
+    let (mut cluster, logs) = start_with_logs(VM_COUNT, "level = warn\n");
     let debug =
         |logs: &[PathBuf]| fs::read_to_string(&logs[0]).expect("the log is text").contains("DEBUG");
     let request = |cluster: &Cluster| {
@@ -147,7 +150,7 @@
     let text = fs::read_to_string(&member.file).expect("the settings are there");
     fs::write(&member.file, text.replace("level = warn", "level = debug")).expect("written");
     member.process.hang_up();
-    wait_until("lines of the new level", LONG, || {
+    wait_until("lines of the new level", WAIT_TIMEOUT, || {
         request(&cluster);
         debug(&logs)
     })
@@ -156,7 +159,7 @@
 }
 
 /// Starts VMs whose logs go to files, and waits until they serve.
-fn logged(count: usize, logging: &str) -> (Cluster, Vec<PathBuf>) {
+fn start_with_logs(count: usize, logging: &str) -> (Cluster, Vec<PathBuf>) {
     let level = logging.lines().find_map(|line| line.strip_prefix("level = ")).expect("a level");
     let rest: String = logging.lines().filter(|line| !line.starts_with("level")).collect();
     let mut options = options();
@@ -168,10 +171,10 @@
     for (number, log) in logs.iter().enumerate() {
         let settings = format!("{rest}\n");
         let stderr = Some(log.clone());
-        let options = VmOptions { settings, stderr, ..vm(number, CONTRACTS) };
+        let options = VmOptions { settings, stderr, ..vm_options(number, CONTRACTS) };
         cluster.add(options).expect("a VM starts");
     }
-    common::serve(&cluster, count);
+    common::publish_contracts(&cluster, count);
     (cluster, logs)
 }
 
@@ -179,8 +182,8 @@
 // record id. It gets the answer that was lost, not that its change conflicts with itself.
 #[test]
 fn a_repeated_publish_gets_the_same_answer() {
-    let _alone = alone();
-    let cluster = contracts_set(COUNT, "");
+    let _serial = serial_guard();
+    let cluster = start_contracts_with_settings(VM_COUNT, "");
     let change = publication("00000000000000000000000000000001", 0);
     let first = post(&cluster, &change);
     assert_eq!((first.0, first.1["outcome"].as_str()), (200, Some("applied")), "{first:?}");
@@ -195,8 +198,8 @@
 // log is back, the change does not come into force behind the operator's back.
 #[test]
 fn what_was_not_appended_never_comes() {
-    let _alone = alone();
-    let cluster = contracts_set(COUNT, "");
+    let _serial = serial_guard();
+    let cluster = start_contracts_with_settings(VM_COUNT, "");
     let log = cluster.log.handle();
     log.set(&LogControl { outage: Some(true), ..LogControl::default() });
     let refused = post(&cluster, &publication("00000000000000000000000000000003", 0));
@@ -205,7 +208,7 @@
     // Goes the same way, behind whatever is left of the first.
     let marker = publication("00000000000000000000000000000004", 0);
     let mut applied = (0, Value::Null);
-    wait_until("the log is back", LONG, || {
+    wait_until("the log is back", WAIT_TIMEOUT, || {
         applied = post(&cluster, &marker);
         applied.0 != 503
     })
--- a/acaciaringd/tests/once.rs
+++ b/acaciaringd/tests/once.rs
@@ -10,11 +10,11 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{Ask, Reply, UpstreamControl, ask};
 
-use common::korenveld;
-use common::watch::{self, AGAIN};
+use common::start_cluster;
+use common::watch::{self, RECOVERY_TIMEOUT};
 
 /// Time that a signature takes, in milliseconds: longer than its deadline, so that none is answered.
-const LONG: f64 = 10_000.0;
+const SIGN_SERVICE_MS: f64 = 10_000.0;
 
 // Clerks sign contracts; the VM that runs the signatures dies before it has answered. The clerks
 // ask again with the same idempotency key through another entry. The standby had acknowledged each
@@ -22,9 +22,9 @@
 // signature that it has never heard of runs, for the first time.
 #[test]
 fn signatures_in_flight_at_a_killed_member_run_once() {
-    let mut cluster = korenveld(5, 0);
+    let mut cluster = start_cluster(5, 0);
     let victim = 2;
-    let keys = watch::keys_of(&cluster, victim, 0);
+    let keys = watch::owned_keys(&cluster, victim, 0);
     let (first, second) = (cluster.vms[0].http, cluster.vms[1].http);
     for key in &keys {
         // The standby is synced once a signature runs.
@@ -32,14 +32,16 @@
     }
     let before = cluster.vms[victim].runs().len();
     let upstream = cluster.vms[victim].upstream.as_ref().expect("an upstream").handle();
-    upstream.set(&UpstreamControl { service: Some(LONG), ..UpstreamControl::default() });
+    upstream.set(&UpstreamControl { service: Some(SIGN_SERVICE_MS), ..UpstreamControl::default() });
     let callers: Vec<_> = keys
         .iter()
         .cloned()
         .map(|key| thread::spawn(move || sign(first, &key, "in-flight")))
         .collect();
-    wait_until("signatures run", AGAIN, || cluster.vms[victim].runs().len() == before + keys.len())
-        .expect("all signatures run at the victim");
+    wait_until("signatures run", RECOVERY_TIMEOUT, || {
+        cluster.vms[victim].runs().len() == before + keys.len()
+    })
+    .expect("all signatures run at the victim");
     cluster.kill(victim);
     let told: Vec<Option<Reply>> =
         callers.into_iter().map(|caller| caller.join().expect("a caller ends")).collect();
@@ -61,7 +63,7 @@
 }
 
 fn sign(entry: SocketAddr, key: &str, name: &str) -> Option<Reply> {
-    let (path, name) = (watch::path(key), format!("{key}-{name}"));
+    let (path, name) = (watch::key_path(key), format!("{key}-{name}"));
     let request = Ask { method: "POST", path: &path, key: &name, body: "signed", ..Ask::default() };
     ask(entry, &request).ok()
 }
@@ -75,7 +77,7 @@
         {
             return reply;
         }
-        assert!(start.elapsed() < AGAIN, "{key} {name}: not told any of {verdicts:?}");
+        assert!(start.elapsed() < RECOVERY_TIMEOUT, "{key} {name}: not told any of {verdicts:?}");
         thread::sleep(Duration::from_millis(20));
     }
 }
--- a/acaciaringd/tests/operators.rs
+++ b/acaciaringd/tests/operators.rs
@@ -10,42 +10,42 @@
 use acaciaring_testing::{Cluster, LogControl, VmOptions};
 use serde_json::Value;
 
-use common::watch::AGAIN;
-use common::{CONTRACTS, korenveld, options, system, vm};
+use common::watch::RECOVERY_TIMEOUT;
+use common::{CONTRACTS, options, start_cluster, start_vms, vm_options};
 
-const COUNT: usize = 5;
+const VM_COUNT: usize = 5;
 
 /// More documents than the small log keeps records.
 const ROUNDS: usize = 600;
 
-const SPARE: &str = "spare-contracts";
+const SPARE_WORKSPACE: &str = "spare-contracts";
 
 // The log's answer to an append is lost on the way, and the record is appended again with the same
 // id, so the log has it twice. The operator is told that the document is applied, once, and its
 // version stays that of the first record; the second one changes nothing for the next operator.
 #[test]
 fn a_lost_answer_of_an_append_applies_a_document_once() {
-    let cluster = korenveld(COUNT, 0);
+    let cluster = start_cluster(VM_COUNT, 0);
     let log = cluster.log.handle();
     let before = log.counts();
     log.set(&LogControl { lose: Some(2), ..LogControl::default() });
-    let offset = publish(&cluster, 0, &spare(1), 0).expect("applied");
+    let offset = publish(&cluster, 0, &spare_parameters(1), 0).expect("applied");
     assert!(log.counts().lost > before.lost, "an answer was lost");
     log.set(&LogControl { lose: Some(0), ..LogControl::default() });
     // The daemon need not repeat a record that it has read back in time, so the test does.
     let (start, records) = log.records(offset);
     assert_eq!(start, offset);
     let repeated = log.append(records[0].clone());
-    in_force(&cluster, repeated);
-    for vm in 0..COUNT {
-        assert_eq!(version(&cluster, vm, SPARE), Some((offset, false)), "vm-{vm}");
+    wait_until_applied(&cluster, repeated);
+    for vm in 0..VM_COUNT {
+        assert_eq!(version(&cluster, vm, SPARE_WORKSPACE), Some((offset, false)), "vm-{vm}");
     }
-    let next =
-        publish(&cluster, 1, &spare(2), offset).expect("the version is the base of the next");
+    let next = publish(&cluster, 1, &spare_parameters(2), offset)
+        .expect("the version is the base of the next");
     let late = log.append(records[0].clone());
-    in_force(&cluster, late);
-    for vm in 0..COUNT {
-        assert_eq!(version(&cluster, vm, SPARE), Some((next, false)), "vm-{vm}");
+    wait_until_applied(&cluster, late);
+    for vm in 0..VM_COUNT {
+        assert_eq!(version(&cluster, vm, SPARE_WORKSPACE), Some((next, false)), "vm-{vm}");
     }
 }
 
@@ -54,11 +54,12 @@
 // is in force now, so that nothing is overwritten unseen.
 #[test]
 fn one_of_two_operators_is_told_of_the_conflict() {
-    let cluster = korenveld(COUNT, 0);
-    let mut base = publish(&cluster, 0, &spare(1), 0).expect("applied");
+    let cluster = start_cluster(VM_COUNT, 0);
+    let mut base = publish(&cluster, 0, &spare_parameters(1), 0).expect("applied");
     for round in 0..5 {
         let answers = thread::scope(|scope| {
-            let (cluster, texts) = (&cluster, [spare(10 + round), spare(20 + round)]);
+            let (cluster, texts) =
+                (&cluster, [spare_parameters(10 + round), spare_parameters(20 + round)]);
             let spawn = |(vm, text): (usize, String)| {
                 scope.spawn(move || publish(cluster, vm, &text, base))
             };
@@ -71,9 +72,9 @@
         assert!(refused.contains(&format!("{{\"current\":{current}}}")), "{refused}");
         base = current;
     }
-    in_force(&cluster, base);
-    for vm in 0..COUNT {
-        assert_eq!(version(&cluster, vm, SPARE), Some((base, false)), "vm-{vm}");
+    wait_until_applied(&cluster, base);
+    for vm in 0..VM_COUNT {
+        assert_eq!(version(&cluster, vm, SPARE_WORKSPACE), Some((base, false)), "vm-{vm}");
     }
 }
 
@@ -82,31 +83,32 @@
 // retirement. Neither of them, nor anybody else, brings the documents back or serves their route.
 #[test]
 fn a_retired_document_does_not_return_when_members_restart() {
-    let mut cluster = korenveld(COUNT, 0);
-    let first = publish(&cluster, 0, &spare(1), 0).expect("applied");
-    let second = publish(&cluster, 2, &spare(2), first).expect("applied");
+    let mut cluster = start_cluster(VM_COUNT, 0);
+    let first = publish(&cluster, 0, &spare_parameters(1), 0).expect("applied");
+    let second = publish(&cluster, 2, &spare_parameters(2), first).expect("applied");
     let template = include_str!("common/pooled.ini");
     let pooled = cluster
         .publish(0, DocumentKind::Template, "pooled", template, 0)
         .expect("the template is applied");
     let retired = cluster
-        .retire(1, DocumentKind::Parameters, SPARE, second)
+        .retire(1, DocumentKind::Parameters, SPARE_WORKSPACE, second)
         .expect("the parameters are retired");
     let gone = cluster
         .retire(3, DocumentKind::Template, "pooled", pooled)
         .expect("the template is retired");
-    in_force(&cluster, gone);
+    wait_until_applied(&cluster, gone);
     cluster.vms[1].process.term();
     cluster.vms[1].process.wait(Duration::from_secs(30)).expect("the process ends");
     cluster.kill(3);
     cluster.replace(1).expect("the VM starts");
     cluster.replace(3).expect("the VM starts");
-    in_force(&cluster, gone);
-    for vm in 0..COUNT {
-        assert_eq!(version(&cluster, vm, SPARE), Some((retired, true)), "vm-{vm}");
+    wait_until_applied(&cluster, gone);
+    for vm in 0..VM_COUNT {
+        assert_eq!(version(&cluster, vm, SPARE_WORKSPACE), Some((retired, true)), "vm-{vm}");
         assert_eq!(version(&cluster, vm, "pooled"), Some((gone, true)), "vm-{vm}");
     }
-    let stale = publish(&cluster, 1, &spare(3), second).expect_err("an old version is no base");
+    let stale =
+        publish(&cluster, 1, &spare_parameters(3), second).expect_err("an old version is no base");
     assert!(stale.contains(&format!("{{\"current\":{retired}}}")), "{stale}");
 }
 
@@ -119,10 +121,11 @@
     let mut options = options();
     options.log.retention = 250;
     let settings = "[snapshot]\nrecords = 100\n".to_owned();
-    let small = |number| VmOptions { settings: settings.clone(), ..vm(number, CONTRACTS) };
-    let mut cluster = system(options, (0..COUNT).map(small).collect());
-    let first = publish(&cluster, 0, &spare(1), 0).expect("applied");
-    let retired = cluster.retire(1, DocumentKind::Parameters, SPARE, first).expect("it is retired");
+    let small = |number| VmOptions { settings: settings.clone(), ..vm_options(number, CONTRACTS) };
+    let mut cluster = start_vms(options, (0..VM_COUNT).map(small).collect());
+    let first = publish(&cluster, 0, &spare_parameters(1), 0).expect("applied");
+    let retired =
+        cluster.retire(1, DocumentKind::Parameters, SPARE_WORKSPACE, first).expect("it is retired");
     let text = include_str!("common/pooled.ini");
     let mut latest = 0;
     for round in 0..ROUNDS {
@@ -130,7 +133,7 @@
             println!("forgotten by the log after {round} documents");
             break;
         }
-        let vm = round % COUNT;
+        let vm = round % VM_COUNT;
         latest = cluster
             .publish(vm, DocumentKind::Template, "pooled", text, latest)
             .expect("the template is applied");
@@ -141,34 +144,34 @@
     cluster.vms[3].process.wait(Duration::from_secs(30)).expect("the process ends");
     cluster.replace(1).expect("the VM starts");
     cluster.replace(3).expect("the VM starts");
-    in_force(&cluster, latest);
-    for vm in 0..COUNT {
-        assert_eq!(version(&cluster, vm, SPARE), Some((retired, true)), "vm-{vm}");
+    wait_until_applied(&cluster, latest);
+    for vm in 0..VM_COUNT {
+        assert_eq!(version(&cluster, vm, SPARE_WORKSPACE), Some((retired, true)), "vm-{vm}");
         assert_eq!(version(&cluster, vm, "pooled"), Some((latest, false)), "vm-{vm}");
     }
-    let stale = publish(&cluster, 3, &spare(3), 0).expect_err("nothing is no base");
+    let stale = publish(&cluster, 3, &spare_parameters(3), 0).expect_err("nothing is no base");
     assert!(stale.contains(&format!("{{\"current\":{retired}}}")), "{stale}");
 }
 
 /// Parameters of a service that has no upstream, with a weight that tells versions apart.
-fn spare(churn: u32) -> String {
+fn spare_parameters(churn: u32) -> String {
     let text = include_str!("common/contracts.ini");
-    text.replace("korenveld-contracts", SPARE)
+    text.replace("korenveld-contracts", SPARE_WORKSPACE)
         .replace("service = contracts", "service = spare")
         .replace("churn = 8", &format!("churn = {churn}"))
 }
 
 fn publish(cluster: &Cluster, vm: usize, text: &str, base: u64) -> Result<u64, String> {
-    let published = cluster.publish(vm, DocumentKind::Parameters, SPARE, text, base);
+    let published = cluster.publish(vm, DocumentKind::Parameters, SPARE_WORKSPACE, text, base);
     published.map_err(|error| error.to_string())
 }
 
 /// Waits until every VM has folded a record, as one of them finds by asking all.
-fn in_force(cluster: &Cluster, offset: u64) {
-    wait_until("the document is in force", AGAIN, || {
+fn wait_until_applied(cluster: &Cluster, offset: u64) {
+    wait_until("the document is in force", RECOVERY_TIMEOUT, || {
         let answer = cluster.admin(0, &format!("/v1/in-force?offset={offset}")).unwrap_or_default();
         let count = |name: &str| answer[name].as_array().map(Vec::len);
-        count("applied") == Some(COUNT) && count("pending") == Some(0)
+        count("applied") == Some(VM_COUNT) && count("pending") == Some(0)
     })
     .expect("the document is in force everywhere");
 }
--- a/acaciaringd/tests/outage.rs
+++ b/acaciaringd/tests/outage.rs
@@ -7,34 +7,35 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{Cluster, LogControl};
 
-use common::watch::{self, AGAIN};
-use common::{CONTRACTS, korenveld};
+use common::watch::{self, RECOVERY_TIMEOUT};
+use common::{CONTRACTS, start_cluster};
 
 // The log is down, and in the same hour a VM dies. Nobody can write down who follows; the standby
 // takes over by the votes of the lessors alone and its callers are answered. When the log is back,
 // the eviction is recorded, every member agrees on the owners, and the standby keeps the keys.
 #[test]
 fn a_standby_takes_over_while_the_log_is_down() {
-    let mut cluster = korenveld(5, 0);
+    let mut cluster = start_cluster(5, 0);
     let (victim, live) = (2, [0, 1, 3, 4]);
-    let keys = watch::keys_of(&cluster, victim, 0);
-    let load = watch::start(watch::load(watch::entries(&cluster, &live), 41, 8000));
-    wait_until("the victim serves", AGAIN, || cluster.vms[victim].runs().len() > 20)
+    let keys = watch::owned_keys(&cluster, victim, 0);
+    let load =
+        watch::spawn_load(watch::mixed_load(watch::entry_addresses(&cluster, &live), 41, 8000));
+    wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
-    outage(&cluster, true);
+    set_outage(&cluster, true);
     let start = Instant::now();
     cluster.kill(victim);
-    let took = watch::answered_again(cluster.vms[0].http, &keys, start);
+    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("kill without log: {} keys served again after {took:?}", keys.len());
-    let servers = servers(&cluster, &keys);
+    let servers = last_servers(&cluster, &keys);
     let name = cluster.vms[victim].options.vm.clone();
     for key in &keys {
         let owner = cluster.owner(0, CONTRACTS, key);
         assert_eq!(owner.as_deref(), Some(name.as_str()), "{key}: the log was down");
     }
-    outage(&cluster, false);
+    set_outage(&cluster, false);
     let back = Instant::now();
-    wait_until("all agree on the owners", AGAIN, || {
+    wait_until("all agree on the owners", RECOVERY_TIMEOUT, || {
         live.iter().all(|vm| {
             let owners = keys.iter().map(|key| cluster.owner(*vm, CONTRACTS, key));
             owners.eq(servers.iter().map(|server| Some(server.clone())))
@@ -43,21 +44,21 @@
     .expect("the records follow");
     println!("all agree {:?} after the log is back", back.elapsed());
     let figures = load.join().expect("the load ends");
-    watch::judge(&cluster.runs(), &figures);
+    watch::assert_consistent(&cluster.runs(), &figures);
 }
 
 /// Names of the upstreams at which the last run of each key was.
-fn servers(cluster: &Cluster, keys: &[String]) -> Vec<String> {
+fn last_servers(cluster: &Cluster, keys: &[String]) -> Vec<String> {
     let runs = cluster.runs();
     let last = |key: &String| {
-        let path = watch::path(key);
+        let path = watch::key_path(key);
         let runs = runs.iter().filter(|run| run.path == path);
         runs.max_by_key(|run| run.start).expect("a run of the key").upstream.clone()
     };
     keys.iter().map(last).collect()
 }
 
-fn outage(cluster: &Cluster, outage: bool) {
+fn set_outage(cluster: &Cluster, outage: bool) {
     let control = LogControl { outage: Some(outage), ..LogControl::default() };
     cluster.log.handle().set(&control);
 }
--- a/acaciaringd/tests/overload.rs
+++ b/acaciaringd/tests/overload.rs
@@ -9,10 +9,13 @@
 
 use acaciaring_testing::{Cluster, LoadFigures, LoadOptions, Sent, Told, check_records};
 
-use common::policy::{head, keyed, pooled, run_all, small, stream, value};
+use common::policy::{
+    class_load, header_value, limited_upstreams, response_head, run_loads, start_keyed,
+    start_pooled,
+};
 
 /// Shares of the load in its capacity: critical, interactive, bulk, background; twice the capacity.
-const MIX: [(&str, &str, f64); 4] = [
+const LOAD_MIX: [(&str, &str, f64); 4] = [
     ("grade", "grade", 0.25),
     ("query", "query", 0.75),
     ("samples", "samples", 0.4),
@@ -20,16 +23,16 @@
 ];
 
 /// Short queues, so that the callers of a test fill them.
-const QUEUE: &str = "[limits]\nqueue = 24\n";
+const QUEUE_SETTINGS: &str = "[limits]\nqueue = 24\n";
 
 /// Deadline of background requests in milliseconds, see the template.
-const DEADLINE: u64 = 4000;
+const DEADLINE_MS: u64 = 4000;
 
 /// Callers that send them.
-const PROBES: usize = 12;
+const PROBE_COUNT: usize = 12;
 
 /// Keys for which they ask in turn, so that they meet every owner.
-const KEYS: u64 = 30;
+const KEY_COUNT: u64 = 30;
 
 /// Answered requests a second when callers ask as fast as they are answered.
 fn capacity(cluster: &Cluster, path: &str) -> f64 {
@@ -37,9 +40,9 @@
         threads: 16,
         duration: 1500,
         timeout: 8000,
-        ..stream(cluster, "query", &path.replace("{class}", "query"), 0.0, 41)
+        ..class_load(cluster, "query", &path.replace("{class}", "query"), 0.0, 41)
     };
-    run_all(&[load])[0].classes["query"].goodput
+    run_loads(&[load])[0].classes["query"].goodput
 }
 
 fn overload(cluster: &Cluster, path: &str, capacity: f64) -> Vec<LoadFigures> {
@@ -47,7 +50,7 @@
         tries: if *name == "samples" { 4 } else { 1 },
         threads: 64,
         duration: 3000,
-        ..stream(
+        ..class_load(
             cluster,
             name,
             &path.replace("{class}", class),
@@ -55,19 +58,19 @@
             50 + place as u64,
         )
     };
-    let loads: Vec<_> = MIX.iter().enumerate().map(load).collect();
-    run_all(&loads)
+    let loads: Vec<_> = LOAD_MIX.iter().enumerate().map(load).collect();
+    run_loads(&loads)
 }
 
 /// Asks for background work until the load ends; returns the heads of refusals.
 fn probe(cluster: &Cluster, path: &str, end: &AtomicBool) -> Vec<String> {
     let mut refusals = Vec::new();
     let path = path.replace("{class}", "archive");
-    let keys = (1..=KEYS).cycle().take_while(|_| !end.load(Ordering::Acquire));
+    let keys = (1..=KEY_COUNT).cycle().take_while(|_| !end.load(Ordering::Acquire));
     for number in keys {
         let path = path.replace("{key}", &format!("key-{number}"));
-        let (head, _) = head(cluster.vms[0].http, &path, DEADLINE);
-        if value(&head, "x-acaciaring-verdict") == Some("not-run") {
+        let (head, _) = response_head(cluster.vms[0].http, &path, DEADLINE_MS);
+        if header_value(&head, "x-acaciaring-verdict") == Some("not-run") {
             refusals.push(head);
         }
         thread::sleep(Duration::from_millis(20));
@@ -81,16 +84,16 @@
     class.answered * 100 / class.sent
 }
 
-fn judge(cluster: &Cluster, path: &str) {
+fn check_overload(cluster: &Cluster, path: &str) {
     // Two tests at once would measure each other.
-    static TURN: Mutex<()> = Mutex::new(());
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+    static SERIAL: Mutex<()> = Mutex::new(());
+    let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
     let first = capacity(cluster, path);
     let before: u64 = arrived(cluster);
     let end = AtomicBool::new(false);
     let (all, refusals) = thread::scope(|scope| {
         let probes: Vec<_> =
-            (0..PROBES).map(|_| scope.spawn(|| probe(cluster, path, &end))).collect();
+            (0..PROBE_COUNT).map(|_| scope.spawn(|| probe(cluster, path, &end))).collect();
         let all = overload(cluster, path, first);
         end.store(true, Ordering::Release);
         let refusals = probes.into_iter().flat_map(|probe| probe.join().expect("the probe ends"));
@@ -113,14 +116,14 @@
     assert_eq!(samples.sent.iter().filter(lost).count(), 0, "bulk requests are lost");
     assert!(!refusals.is_empty(), "nothing was refused");
     for head in &refusals {
-        assert!(value(head, "x-acaciaring-retry-ms").is_some(), "{head}");
+        assert!(header_value(head, "x-acaciaring-retry-ms").is_some(), "{head}");
     }
     let refused = archive.sent.iter().filter(|sent| sent.tries.last() == Some(&Told::NotRun));
     let mut times: Vec<u64> = refused.map(|sent| sent.end - sent.start).collect();
     times.sort_unstable();
     let late = times[times.len() * 95 / 100];
     println!("19 of 20 refusals within {late} us");
-    assert!(late < DEADLINE * 1000 / 2, "refusals come near the deadline");
+    assert!(late < DEADLINE_MS * 1000 / 2, "refusals come near the deadline");
     let sent: Vec<Sent> = all.into_iter().flat_map(|load| load.sent).collect();
     let asked = (sent.len() + refusals.len()) as u64;
     assert!(arrived * 10 < 12 * asked, "{arrived} tries for {asked} requests");
@@ -138,13 +141,13 @@
 // the servers do as much useful work as before.
 #[test]
 fn a_pool_at_twice_its_capacity_serves_what_matters() {
-    let cluster = pooled(small(4, 40), 3, QUEUE);
-    judge(&cluster, "/quality-lab/{class}");
+    let cluster = start_pooled(limited_upstreams(4, 40), 3, QUEUE_SETTINGS);
+    check_overload(&cluster, "/quality-lab/{class}");
 }
 
 // The same for contracts, where each key has one owner and no other can help out.
 #[test]
 fn owners_at_twice_their_capacity_serve_what_matters() {
-    let cluster = keyed(small(4, 40), 3, QUEUE);
-    judge(&cluster, "/contracts/{class}/{key}");
+    let cluster = start_keyed(limited_upstreams(4, 40), 3, QUEUE_SETTINGS);
+    check_overload(&cluster, "/contracts/{class}/{key}");
 }
--- a/acaciaringd/tests/partition.rs
+++ b/acaciaringd/tests/partition.rs
@@ -11,11 +11,11 @@
 use acaciaring_testing::{Ask, Cluster, Network, VmOptions, ask, ask_until_answered};
 use serde_json::Value;
 
-use common::watch::{self, AGAIN};
-use common::{CONTRACTS, networked, options, vm};
+use common::watch::{self, RECOVERY_TIMEOUT};
+use common::{CONTRACTS, options, start_proxied, vm_options};
 
 /// Members of a system.
-const COUNT: usize = 5;
+const VM_COUNT: usize = 5;
 
 /// The member that is cut off.
 const VICTIM: usize = 4;
@@ -27,7 +27,7 @@
 // over, and its own entry refuses. When the switch is back, the VM joins anew.
 #[test]
 fn a_member_that_is_cut_off_stops_before_its_keys_are_taken_over() {
-    cut_off(31, |network, cut| {
+    check_cut_off(31, |network, cut| {
         network.part(&[VICTIM], &OTHERS, cut);
         network.cut_log(VICTIM, cut);
     });
@@ -37,7 +37,7 @@
 // and it still reaches the log. Its renewals do not arrive, so its lessors vote.
 #[test]
 fn a_member_that_is_not_heard_is_taken_over() {
-    cut_off(32, |network, cut| {
+    check_cut_off(32, |network, cut| {
         for other in OTHERS {
             network.cut(VICTIM, other, cut);
         }
@@ -49,33 +49,35 @@
 // lessors could go on granting for ever.
 #[test]
 fn a_member_that_hears_nothing_is_taken_over() {
-    cut_off(33, |network, cut| {
+    check_cut_off(33, |network, cut| {
         for other in OTHERS {
             network.cut(other, VICTIM, cut);
         }
     });
 }
 
-fn cut_off(seed: u64, cut: impl Fn(&Network, bool)) {
-    let vms = (0..COUNT).map(|number| vm(number, CONTRACTS)).collect();
-    let (cluster, network) = networked(options(), vms);
-    let keys = watch::keys_of(&cluster, VICTIM, 0);
-    let load = watch::start(watch::load(watch::entries(&cluster, &OTHERS), seed, 7000));
-    wait_until("the victim serves", AGAIN, || cluster.vms[VICTIM].runs().len() > 20)
+fn check_cut_off(seed: u64, cut: impl Fn(&Network, bool)) {
+    let vms = (0..VM_COUNT).map(|number| vm_options(number, CONTRACTS)).collect();
+    let (cluster, network) = start_proxied(options(), vms);
+    let keys = watch::owned_keys(&cluster, VICTIM, 0);
+    let load =
+        watch::spawn_load(watch::mixed_load(watch::entry_addresses(&cluster, &OTHERS), seed, 7000));
+    wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[VICTIM].runs().len() > 20)
         .expect("the load reaches the victim");
     let start = Instant::now();
     cut(&network, true);
-    let took = watch::answered_again(cluster.vms[0].http, &keys, start);
+    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("cut {seed}: {} keys served again after {took:?}", keys.len());
-    let path = watch::path(&keys[0]);
+    let path = watch::key_path(&keys[0]);
     let request = Ask { path: &path, ..Ask::default() };
     let reply = ask(cluster.vms[VICTIM].http, &request).expect("an answer");
     println!("at the cut entry: {} {}", reply.verdict, reply.reason);
     cut(&network, false);
-    let reply = ask_until_answered(cluster.vms[VICTIM].http, &request, AGAIN).expect("an answer");
+    let reply = ask_until_answered(cluster.vms[VICTIM].http, &request, RECOVERY_TIMEOUT)
+        .expect("an answer");
     assert_eq!(reply.verdict, "answered", "{reply:?}");
     let figures = load.join().expect("the load ends");
-    watch::judge(&cluster.runs(), &figures);
+    watch::assert_consistent(&cluster.runs(), &figures);
 }
 
 // Two regions lose each other, and the log is in the first. Lessors are in the own region, so each
@@ -84,18 +86,20 @@
 // When the link is back, the second region reads what it has missed.
 #[test]
 fn a_region_that_is_cut_off_serves_on() {
-    let free = (0..3).map(|number| vm(number, CONTRACTS));
+    let free = (0..3).map(|number| vm_options(number, CONTRACTS));
     let centres = ["upington", "kimberley", "de-aar"];
     let north = (3..6).map(|number| VmOptions {
         data_centre: centres[number - 3].into(),
         region: "northern-cape".into(),
-        ..vm(number, CONTRACTS)
+        ..vm_options(number, CONTRACTS)
     });
-    let (cluster, network) = networked(options(), free.chain(north).collect());
+    let (cluster, network) = start_proxied(options(), free.chain(north).collect());
     let (one, other) = ([0, 1, 2], [3, 4, 5]);
-    wait_until("each member has its lessors in its region", AGAIN, || at_home(&cluster))
-        .expect("the members choose their lessors anew");
-    let keys = [owned(&cluster, &one), owned(&cluster, &other)];
+    wait_until("each member has its lessors in its region", RECOVERY_TIMEOUT, || {
+        lessors_in_region(&cluster)
+    })
+    .expect("the members choose their lessors anew");
+    let keys = [keys_owned_by(&cluster, &one), keys_owned_by(&cluster, &other)];
     assert!(keys.iter().all(|keys| !keys.is_empty()), "both regions own keys");
     network.part(&one, &other, true);
     for vm in other {
@@ -105,7 +109,7 @@
     while Instant::now() < end {
         for (vms, keys) in [one, other].iter().zip(&keys) {
             for (vm, key) in vms.iter().zip(keys) {
-                let path = watch::path(key);
+                let path = watch::key_path(key);
                 let request = Ask { path: &path, ..Ask::default() };
                 let reply = ask(cluster.vms[*vm].http, &request).expect("an answer");
                 assert_eq!(reply.verdict, "answered", "{key} at vm-{vm}: {reply:?}");
@@ -113,21 +117,21 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    let path = watch::path(&keys[0][0]);
+    let path = watch::key_path(&keys[0][0]);
     let reply = ask(cluster.vms[other[0]].http, &Ask { path: &path, ..Ask::default() });
     // It is unknown where the request went out on a connection that the cut has silenced.
     assert_ne!(reply.expect("an answer").verdict, "answered", "a key of the other region");
     network.heal();
     for vm in 0..cluster.vms.len() {
         let all: Vec<String> = keys.iter().flatten().cloned().collect();
-        watch::answered_again(cluster.vms[vm].http, &all, Instant::now());
+        watch::wait_until_served(cluster.vms[vm].http, &all, Instant::now());
     }
     let stale = acaciaring_testing::check_tokens(&cluster.runs());
     assert!(stale.is_empty(), "{stale:#?}");
 }
 
 /// Whether a majority of each member's lessors is in its own region, seen from all.
-fn at_home(cluster: &Cluster) -> bool {
+fn lessors_in_region(cluster: &Cluster) -> bool {
     (0..cluster.vms.len()).all(|vm| {
         let answer = cluster.admin(vm, "/v1/members").unwrap_or_default();
         let rows = answer["members"].as_array().cloned().unwrap_or_default();
@@ -144,9 +148,9 @@
 }
 
 /// Keys of the load that these VMs own.
-fn owned(cluster: &Cluster, vms: &[usize]) -> Vec<String> {
+fn keys_owned_by(cluster: &Cluster, vms: &[usize]) -> Vec<String> {
     let names: Vec<&str> = vms.iter().map(|vm| cluster.vms[*vm].options.vm.as_str()).collect();
-    let keys = (1..=watch::KEYS).map(|number| format!("key-{number}"));
+    let keys = (1..=watch::KEY_COUNT).map(|number| format!("key-{number}"));
     keys.filter(|key| {
         cluster.owner(0, CONTRACTS, key).is_some_and(|owner| names.contains(&owner.as_str()))
     })
--- a/acaciaringd/tests/path.rs
+++ b/acaciaringd/tests/path.rs
@@ -6,11 +6,11 @@
 
 use acaciaring_testing::{Ask, ask_until_answered};
 
-use common::{CONTRACTS, korenveld};
+use common::{CONTRACTS, start_cluster};
 
 #[test]
 fn every_entry_answers_for_every_key_and_one_server_runs_it() {
-    let cluster = korenveld(5, 0);
+    let cluster = start_cluster(5, 0);
     for vm in &cluster.vms {
         for key in 0..20 {
             let path = format!("/contracts/k{key}");
--- a/acaciaringd/tests/peer.rs
+++ b/acaciaringd/tests/peer.rs
@@ -13,7 +13,7 @@
 use acaciaringd::peer::{self, CallError, PeerError, PeerSettings, RequestOutcome, Transport};
 use crossbeam_channel::bounded;
 
-use crate::peer_support::{Authority, Node, PATIENCE, echo, request, wait_for};
+use crate::peer_support::{Authority, Node, WAIT_TIMEOUT, echo, request, wait_for};
 
 fn body(outcome: RequestOutcome) -> Vec<u8> {
     match outcome {
@@ -32,9 +32,12 @@
     let nodes = [Node::echo(authority.settings()), Node::echo(authority.settings())];
     for (one, other) in [(&nodes[0], &nodes[1]), (&nodes[1], &nodes[0])] {
         let to = other.transport.local_addr();
-        assert_eq!(body(one.transport.blocking_request(to, request("flour"), PATIENCE)), b"flour");
+        assert_eq!(
+            body(one.transport.blocking_request(to, request("flour"), WAIT_TIMEOUT)),
+            b"flour"
+        );
         let call = call::Body::Status(StatusQuery {});
-        let reply = one.transport.blocking_call(to, call, PATIENCE).unwrap();
+        let reply = one.transport.blocking_call(to, call, WAIT_TIMEOUT).unwrap();
         assert!(matches!(reply, reply::Body::Done(_)));
     }
     let traffic = nodes[0].transport.traffic();
@@ -55,7 +58,8 @@
                 for turn in 0..50_u32 {
                     let size = (caller * 97 + turn * 13) % 5000;
                     let sent = format!("{caller} {turn} {}", "x".repeat(size as usize));
-                    let outcome = transport.blocking_request(to, request(sent.clone()), PATIENCE);
+                    let outcome =
+                        transport.blocking_request(to, request(sent.clone()), WAIT_TIMEOUT);
                     assert_eq!(body(outcome), sent.as_bytes());
                 }
             });
@@ -72,10 +76,10 @@
     let to = server.transport.local_addr();
     let sample: Vec<u8> = (0..4_000_000_u32).map(|byte| byte.to_le_bytes()[0]).collect();
     assert_eq!(
-        body(client.transport.blocking_request(to, request(sample.clone()), PATIENCE)),
+        body(client.transport.blocking_request(to, request(sample.clone()), WAIT_TIMEOUT)),
         sample
     );
-    let outcome = client.transport.blocking_request(to, request(vec![0; 5 << 20]), PATIENCE);
+    let outcome = client.transport.blocking_request(to, request(vec![0; 5 << 20]), WAIT_TIMEOUT);
     assert_eq!(outcome, RequestOutcome::NotDelivered);
     assert_eq!(server.runs(), 1);
 }
@@ -86,14 +90,14 @@
     let lessor = Node::echo(authority.settings());
     let holder = Node::echo(authority.settings());
     holder.transport.send(lessor.transport.local_addr(), &renew(1), false);
-    let (from, datagram) = lessor.datagrams.recv_timeout(PATIENCE).unwrap();
+    let (from, datagram) = lessor.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert_eq!(datagram, renew(1));
     assert_eq!(from, holder.transport.local_addr());
     lessor.transport.send(from, &renew(2), false);
-    assert_eq!(holder.datagrams.recv_timeout(PATIENCE).unwrap().1, renew(2));
+    assert_eq!(holder.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap().1, renew(2));
     assert_eq!(lessor.transport.traffic().connections, 1);
     holder.transport.send(lessor.transport.local_addr(), &renew(3), true);
-    let (from, datagram) = lessor.datagrams.recv_timeout(PATIENCE).unwrap();
+    let (from, datagram) = lessor.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert_eq!(datagram, renew(3));
     assert_ne!(from, holder.transport.local_addr(), "a replacement starts from a new port");
 }
@@ -111,15 +115,15 @@
     let sly = Node::echo(settings);
     let to = member.transport.local_addr();
     for stranger in [&stranger, &sly] {
-        let outcome = stranger.transport.blocking_request(to, request("x"), PATIENCE);
+        let outcome = stranger.transport.blocking_request(to, request("x"), WAIT_TIMEOUT);
         assert_eq!(outcome, RequestOutcome::NotDelivered);
         let call = call::Body::Status(StatusQuery {});
-        let error = stranger.transport.blocking_call(to, call, PATIENCE).unwrap_err();
+        let error = stranger.transport.blocking_call(to, call, WAIT_TIMEOUT).unwrap_err();
         assert!(matches!(error, CallError::Unreachable { .. }));
         assert!(!error.may_have_run());
     }
     let to = stranger.transport.local_addr();
-    let outcome = member.transport.blocking_request(to, request("x"), PATIENCE);
+    let outcome = member.transport.blocking_request(to, request("x"), WAIT_TIMEOUT);
     assert_eq!(outcome, RequestOutcome::NotDelivered);
     assert_eq!(member.runs() + stranger.runs(), 0);
 }
@@ -151,7 +155,7 @@
         let told = told.clone();
         cancelled.on_cancel(move || told.send(()).unwrap());
         started.send(()).unwrap();
-        tell.recv_timeout(PATIENCE).unwrap();
+        tell.recv_timeout(WAIT_TIMEOUT).unwrap();
         assert!(cancelled.is_set());
         echo(request)
     });
@@ -160,8 +164,8 @@
     let permit = request("permit");
     let attempt = permit.attempt;
     thread::scope(|scope| {
-        let waiting = scope.spawn(|| client.transport.blocking_request(to, permit, PATIENCE));
-        start.recv_timeout(PATIENCE).unwrap();
+        let waiting = scope.spawn(|| client.transport.blocking_request(to, permit, WAIT_TIMEOUT));
+        start.recv_timeout(WAIT_TIMEOUT).unwrap();
         client.transport.cancel(to, attempt);
         assert_eq!(body(waiting.join().unwrap()), b"permit");
     });
@@ -185,13 +189,13 @@
     let left = Duration::from_millis(400);
     thread::scope(|scope| {
         let running =
-            scope.spawn(|| client.transport.blocking_request(to, request("a"), PATIENCE / 20));
+            scope.spawn(|| client.transport.blocking_request(to, request("a"), WAIT_TIMEOUT / 20));
         wait_for(|| server.runs() == 1);
         let queued = client.transport.blocking_request(to, request("b"), left);
         assert_eq!(queued, RequestOutcome::Lost);
         assert_eq!(running.join().unwrap(), RequestOutcome::Lost);
     });
-    assert_eq!(body(client.transport.blocking_request(to, request("c"), PATIENCE)), b"c");
+    assert_eq!(body(client.transport.blocking_request(to, request("c"), WAIT_TIMEOUT)), b"c");
     assert_eq!(server.runs(), 2, "the queued request did not run before the third");
 }
 
@@ -208,13 +212,13 @@
     let client = Node::echo(authority.settings());
     let to = server.transport.local_addr();
     let RequestOutcome::Answer(answer) =
-        client.transport.blocking_request(to, request("bad"), PATIENCE)
+        client.transport.blocking_request(to, request("bad"), WAIT_TIMEOUT)
     else {
         panic!("no answer");
     };
     assert_eq!(answer.verdict(), Verdict::Unknown);
     assert_eq!(answer.reason(), Reason::LostAnswer);
-    assert_eq!(body(client.transport.blocking_request(to, request("good"), PATIENCE)), b"good");
+    assert_eq!(body(client.transport.blocking_request(to, request("good"), WAIT_TIMEOUT)), b"good");
 }
 
 /// A member stops after its work is done. Others must see at once that it is
@@ -225,13 +229,13 @@
     let server = Node::echo(authority.settings());
     let client = Node::echo(authority.settings());
     let to = server.transport.local_addr();
-    assert_eq!(body(client.transport.blocking_request(to, request("a"), PATIENCE)), b"a");
+    assert_eq!(body(client.transport.blocking_request(to, request("a"), WAIT_TIMEOUT)), b"a");
     server.transport.stop();
     wait_for(|| client.transport.traffic().connections == 0);
-    let outcome = client.transport.blocking_request(to, request("b"), PATIENCE);
+    let outcome = client.transport.blocking_request(to, request("b"), WAIT_TIMEOUT);
     assert_eq!(outcome, RequestOutcome::NotDelivered);
     client.transport.stop();
-    let outcome = client.transport.blocking_request(to, request("c"), PATIENCE);
+    let outcome = client.transport.blocking_request(to, request("c"), WAIT_TIMEOUT);
     assert_eq!(outcome, RequestOutcome::NotDelivered);
     assert_eq!(Arc::strong_count(&client.handler), 2, "the transport lives until it is dropped");
 }
@@ -246,16 +250,16 @@
     let (go, wait) = bounded::<()>(1);
     let server = Node::start(authority.settings(), move |request, _| {
         started.send(()).unwrap();
-        wait.recv_timeout(PATIENCE).unwrap();
+        wait.recv_timeout(WAIT_TIMEOUT).unwrap();
         echo(request)
     });
     let client = Node::echo(authority.settings());
     let to = server.transport.local_addr();
     let sent = vec![b'x'; 3 << 20];
     thread::scope(|scope| {
-        let waiting =
-            scope.spawn(|| client.transport.blocking_request(to, request(sent.clone()), PATIENCE));
-        start.recv_timeout(PATIENCE).unwrap();
+        let waiting = scope
+            .spawn(|| client.transport.blocking_request(to, request(sent.clone()), WAIT_TIMEOUT));
+        start.recv_timeout(WAIT_TIMEOUT).unwrap();
         go.send(()).unwrap();
         server.transport.stop();
         assert!(body(waiting.join().unwrap()) == sent, "the whole answer");
@@ -276,7 +280,7 @@
             let answered = &answered;
             scope.spawn(move || {
                 loop {
-                    match client.transport.blocking_request(to, request("a"), PATIENCE) {
+                    match client.transport.blocking_request(to, request("a"), WAIT_TIMEOUT) {
                         RequestOutcome::Answer(_) => answered.fetch_add(1, Ordering::SeqCst),
                         RequestOutcome::NotDelivered => return,
                         RequestOutcome::Lost => panic!("a request with an unknown end"),
--- a/acaciaringd/tests/peer_connect.rs
+++ b/acaciaringd/tests/peer_connect.rs
@@ -9,7 +9,9 @@
 use acaciaring_schema::peer::{Datagram, Request};
 use acaciaringd::peer::{self, PeerSettings, RequestOutcome};
 
-use crate::peer_support::{Authority, Forwarder, Node, PATIENCE, Passage, echo, request, wait_for};
+use crate::peer_support::{
+    Authority, Forwarder, Node, PacketPolicy, WAIT_TIMEOUT, echo, request, wait_for,
+};
 
 /// A member had a tenth of a core and all of it was in use, so a handshake with it took longer than
 /// the 200 ms for which a request waits. Each handshake was given up then and the next request began
@@ -22,8 +24,8 @@
     let server = Node::echo(authority.settings());
     let connect = Duration::from_millis(200);
     let client = Node::echo(PeerSettings { connect, ..authority.settings() });
-    let forwarder = Forwarder::slow(server.transport.local_addr(), connect * 2);
-    let send = || client.transport.blocking_request(forwarder.address, request("a"), PATIENCE);
+    let forwarder = Forwarder::with_hold(server.transport.local_addr(), connect * 2);
+    let send = || client.transport.blocking_request(forwarder.address, request("a"), WAIT_TIMEOUT);
     let outcomes: Vec<_> = thread::scope(|scope| {
         let callers: Vec<_> = (0..24_u32)
             .map(|caller| {
@@ -51,7 +53,7 @@
     let answer = RequestOutcome::Answer(echo(request("a")));
     for (from, to) in [(&one, &other), (&other, &one)] {
         let to = to.transport.local_addr();
-        assert_eq!(from.transport.blocking_request(to, request("a"), PATIENCE), answer);
+        assert_eq!(from.transport.blocking_request(to, request("a"), WAIT_TIMEOUT), answer);
         thread::sleep(Duration::from_secs(3));
     }
     assert_eq!(one.transport.traffic().connections, 1);
@@ -66,19 +68,19 @@
     let server = Node::echo(authority.settings());
     let connect = Duration::from_millis(200);
     let client = Node::echo(PeerSettings { connect, ..authority.settings() });
-    let forwarder = Forwarder::slow(server.transport.local_addr(), connect);
+    let forwarder = Forwarder::with_hold(server.transport.local_addr(), connect);
     let once = || Request { once: true, ..request("a") };
-    let send = || client.transport.blocking_request(forwarder.address, once(), PATIENCE);
+    let send = || client.transport.blocking_request(forwarder.address, once(), WAIT_TIMEOUT);
     wait_for(|| matches!(send(), RequestOutcome::Answer(_)));
     client.transport.send(forwarder.address, &Datagram::default(), false);
-    let (back, _) = server.datagrams.recv_timeout(PATIENCE).unwrap();
+    let (back, _) = server.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap();
     thread::sleep(Duration::from_millis(400));
-    forwarder.stall(connect * 10);
-    forwarder.set(Passage::Silent, Passage::Silent);
+    forwarder.set_hold(connect * 10);
+    forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
     assert_eq!(send(), RequestOutcome::NotDelivered);
-    forwarder.set(Passage::Open, Passage::Open);
+    forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Forward);
     server.transport.send(back, &Datagram::default(), false);
-    client.datagrams.recv_timeout(PATIENCE).unwrap();
+    client.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap();
     assert_eq!(send(), RequestOutcome::Answer(echo(request("a"))));
 }
 
@@ -93,7 +95,7 @@
     let from: BTreeSet<_> = (0..6)
         .map(|_| {
             client.transport.send(to, &Datagram::default(), true);
-            server.datagrams.recv_timeout(PATIENCE).unwrap().0
+            server.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap().0
         })
         .collect();
     assert!(from.len() <= 2, "{} connections", from.len());
--- a/acaciaringd/tests/peer_silence.rs
+++ b/acaciaringd/tests/peer_silence.rs
@@ -10,58 +10,60 @@
 use acaciaringd::peer::{self, RequestOutcome};
 use crossbeam_channel::{Receiver, Sender, bounded};
 
-use crate::peer_support::{Authority, Forwarder, Node, PATIENCE, Passage, echo, request, wait_for};
+use crate::peer_support::{
+    Authority, Forwarder, Node, PacketPolicy, WAIT_TIMEOUT, echo, request, wait_for,
+};
 
 /// Time for which nothing passes, well above that after which a sender has asked on several new connections.
-const CUT: Duration = Duration::from_secs(2);
+const CUT_DURATION: Duration = Duration::from_secs(2);
 
 /// The same, and longer than a receiver keeps an answer for those who ask for it.
-const LONG_CUT: Duration = Duration::from_secs(5);
+const LONG_CUT_DURATION: Duration = Duration::from_secs(5);
 
 /// Time in which packets are lost, shorter than that after which a connection is suspect, and how often.
-const LOSS: Duration = Duration::from_millis(60);
+const LOSS_DURATION: Duration = Duration::from_millis(60);
 const ROUNDS: usize = 20;
 
 /// Two members with a forwarder between them and a connection that has worked.
-struct Stage {
+struct Fixture {
     client: Node,
     server: Node,
     forwarder: Forwarder,
     /// A request with the body `slow` reports here that it runs.
     started: Receiver<()>,
     /// It goes on when the test says so.
-    go: Sender<()>,
+    resume: Sender<()>,
     authority: Authority,
 }
 
-impl Stage {
+impl Fixture {
     fn new() -> Self {
         let authority = Authority::new();
         let (start, started) = bounded(16);
-        let (go, wait) = bounded(16);
+        let (resume, wait) = bounded(16);
         let server = Node::start(authority.settings(), move |request, _| {
             if request.body == b"slow" {
                 start.send(()).unwrap();
-                wait.recv_timeout(PATIENCE).unwrap();
+                wait.recv_timeout(WAIT_TIMEOUT).unwrap();
             }
             echo(request)
         });
         let client = Node::echo(authority.settings());
         let forwarder = Forwarder::start(server.transport.local_addr());
-        let stage = Self { client, server, forwarder, started, go, authority };
-        assert_eq!(stage.request("warm"), answer("warm"));
-        stage
+        let fixture = Self { client, server, forwarder, started, resume, authority };
+        assert_eq!(fixture.request("warm"), answer("warm"));
+        fixture
     }
 
     /// Waits until a slow request runs and its sender knows that it has arrived.
     fn wait_for_start(&self) {
-        self.started.recv_timeout(PATIENCE).unwrap();
+        self.started.recv_timeout(WAIT_TIMEOUT).unwrap();
         // The acknowledgement passes meanwhile; if it did not, the test would be of silence before it.
         thread::sleep(Duration::from_millis(100));
     }
 
     fn request(&self, body: &str) -> RequestOutcome {
-        self.client.transport.blocking_request(self.forwarder.address, request(body), PATIENCE)
+        self.client.transport.blocking_request(self.forwarder.address, request(body), WAIT_TIMEOUT)
     }
 }
 
@@ -72,66 +74,66 @@
 /// Guards against a request that never arrived and is told as one that may have run.
 #[test]
 fn silence_before_arrival_is_not_delivered() {
-    let stage = Stage::new();
-    stage.forwarder.set(Passage::Silent, Passage::Silent);
-    assert_eq!(stage.request("a"), RequestOutcome::NotDelivered);
-    assert_eq!(stage.request("b"), answer("b"));
-    assert_eq!(stage.server.runs(), 2);
-    assert_eq!(stage.forwarder.flows(), 2, "the new connection comes from a new port");
+    let fixture = Fixture::new();
+    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+    assert_eq!(fixture.request("a"), RequestOutcome::NotDelivered);
+    assert_eq!(fixture.request("b"), answer("b"));
+    assert_eq!(fixture.server.runs(), 2);
+    assert_eq!(fixture.forwarder.flows(), 2, "the new connection comes from a new port");
 }
 
 /// Guards against an answer that is lost because the way back has gone silent.
 #[test]
 fn silence_of_the_way_back_does_not_lose_the_answer() {
-    let stage = Stage::new();
-    stage.forwarder.set(Passage::Open, Passage::Silent);
-    assert_eq!(stage.request("a"), answer("a"));
-    assert_eq!(stage.server.runs(), 2);
+    let fixture = Fixture::new();
+    fixture.forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Drop);
+    assert_eq!(fixture.request("a"), answer("a"));
+    assert_eq!(fixture.server.runs(), 2);
 }
 
 /// Guards against a connection that is taken for alive because only the way there is silent.
 #[test]
 fn silence_of_the_way_there_is_not_delivered() {
-    let stage = Stage::new();
-    stage.client.transport.send(stage.forwarder.address, &Datagram::default(), false);
-    let (from, _) = stage.server.datagrams.recv_timeout(PATIENCE).unwrap();
-    stage.forwarder.set(Passage::Silent, Passage::Open);
+    let fixture = Fixture::new();
+    fixture.client.transport.send(fixture.forwarder.address, &Datagram::default(), false);
+    let (from, _) = fixture.server.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap();
+    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Forward);
     let done = AtomicBool::new(false);
     thread::scope(|scope| {
         scope.spawn(|| {
             while !done.load(Ordering::SeqCst) {
-                stage.server.transport.send(from, &Datagram::default(), false);
+                fixture.server.transport.send(from, &Datagram::default(), false);
                 thread::sleep(Duration::from_millis(5));
             }
         });
-        let outcome = stage.request("a");
+        let outcome = fixture.request("a");
         done.store(true, Ordering::SeqCst);
         assert_eq!(outcome, RequestOutcome::NotDelivered);
     });
-    assert!(!stage.client.datagrams.is_empty(), "the way back was open");
-    assert_eq!(stage.server.runs(), 1);
+    assert!(!fixture.client.datagrams.is_empty(), "the way back was open");
+    assert_eq!(fixture.server.runs(), 1);
 }
 
 /// Guards against a request that is given up because the question whether it has arrived overtakes it.
 #[test]
 fn a_request_whose_packets_were_lost_arrives() {
-    let stage = Stage::new();
-    stage.client.transport.send(stage.forwarder.address, &Datagram::default(), false);
-    let (from, _) = stage.server.datagrams.recv_timeout(PATIENCE).unwrap();
+    let fixture = Fixture::new();
+    fixture.client.transport.send(fixture.forwarder.address, &Datagram::default(), false);
+    let (from, _) = fixture.server.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap();
     let done = AtomicBool::new(false);
     thread::scope(|scope| {
         scope.spawn(|| {
             while !done.load(Ordering::SeqCst) {
-                stage.server.transport.send(from, &Datagram::default(), false);
+                fixture.server.transport.send(from, &Datagram::default(), false);
                 thread::sleep(Duration::from_millis(5));
             }
         });
         let outcomes: Vec<RequestOutcome> = (0..ROUNDS)
             .map(|_| {
-                stage.forwarder.set(Passage::Silent, Passage::Open);
-                let waiting = scope.spawn(|| stage.request("a"));
-                thread::sleep(LOSS);
-                stage.forwarder.set(Passage::Open, Passage::Open);
+                fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Forward);
+                let waiting = scope.spawn(|| fixture.request("a"));
+                thread::sleep(LOSS_DURATION);
+                fixture.forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Forward);
                 waiting.join().unwrap()
             })
             .collect();
@@ -143,65 +145,65 @@
 /// Guards against an answer that is lost, or a second run, when a connection goes silent after the arrival.
 #[test]
 fn silence_after_arrival_does_not_lose_the_answer() {
-    let stage = Stage::new();
+    let fixture = Fixture::new();
     thread::scope(|scope| {
-        let waiting = scope.spawn(|| stage.request("slow"));
-        stage.wait_for_start();
-        stage.forwarder.set(Passage::Silent, Passage::Silent);
-        wait_for(|| stage.forwarder.flows() == 2);
-        stage.go.send(()).unwrap();
+        let waiting = scope.spawn(|| fixture.request("slow"));
+        fixture.wait_for_start();
+        fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+        wait_for(|| fixture.forwarder.flows() == 2);
+        fixture.resume.send(()).unwrap();
         assert_eq!(waiting.join().unwrap(), answer("slow"));
     });
-    assert_eq!(stage.server.runs(), 2);
+    assert_eq!(fixture.server.runs(), 2);
 }
 
 /// Guards against an answer that is lost because the replacement of a silent connection goes silent too.
 #[test]
 fn silence_of_the_replacement_does_not_lose_the_answer() {
-    let stage = Stage::new();
+    let fixture = Fixture::new();
     thread::scope(|scope| {
-        let waiting = scope.spawn(|| stage.request("slow"));
-        stage.started.recv_timeout(PATIENCE).unwrap();
-        stage.forwarder.set(Passage::Silent, Passage::Silent);
-        wait_for(|| stage.forwarder.flows() == 2);
-        wait_for(|| stage.client.transport.traffic().connections == 2);
-        stage.forwarder.set(Passage::Silent, Passage::Silent);
-        wait_for(|| stage.forwarder.flows() == 3);
-        stage.go.send(()).unwrap();
+        let waiting = scope.spawn(|| fixture.request("slow"));
+        fixture.started.recv_timeout(WAIT_TIMEOUT).unwrap();
+        fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+        wait_for(|| fixture.forwarder.flows() == 2);
+        wait_for(|| fixture.client.transport.traffic().connections == 2);
+        fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+        wait_for(|| fixture.forwarder.flows() == 3);
+        fixture.resume.send(()).unwrap();
         assert_eq!(waiting.join().unwrap(), answer("slow"));
     });
-    assert_eq!(stage.server.runs(), 2);
+    assert_eq!(fixture.server.runs(), 2);
 }
 
 /// Guards against a request that runs here although its sender was told that it never arrived.
 #[test]
 fn request_that_arrives_after_the_probe_does_not_run() {
-    let stage = Stage::new();
-    stage.forwarder.set(Passage::Held, Passage::Open);
-    assert_eq!(stage.request("payment"), RequestOutcome::NotDelivered);
-    let before = stage.server.transport.traffic().received_packets;
-    stage.forwarder.release();
-    wait_for(|| stage.server.transport.traffic().received_packets > before);
+    let fixture = Fixture::new();
+    fixture.forwarder.set_policies(PacketPolicy::Hold, PacketPolicy::Forward);
+    assert_eq!(fixture.request("payment"), RequestOutcome::NotDelivered);
+    let before = fixture.server.transport.traffic().received_packets;
+    fixture.forwarder.release();
+    wait_for(|| fixture.server.transport.traffic().received_packets > before);
     // A request on the same connection, which works again, is handled after the late one.
-    stage.forwarder.set(Passage::Open, Passage::Open);
+    fixture.forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Forward);
     for _ in 0..20 {
-        assert_eq!(stage.request("b"), answer("b"));
+        assert_eq!(fixture.request("b"), answer("b"));
     }
-    assert_eq!(stage.server.runs(), 21);
+    assert_eq!(fixture.server.runs(), 21);
 }
 
 /// Guards against a second run because a new process at an address does not know the attempt.
 #[test]
 fn process_that_restarted_does_not_vouch_for_the_one_before() {
-    let stage = Stage::new();
-    let successor = Node::echo(stage.authority.settings());
+    let fixture = Fixture::new();
+    let successor = Node::echo(fixture.authority.settings());
     thread::scope(|scope| {
-        stage.forwarder.set(Passage::Open, Passage::Silent);
-        stage.forwarder.retarget(successor.transport.local_addr());
-        let waiting = scope.spawn(|| stage.request("slow"));
-        stage.started.recv_timeout(PATIENCE).unwrap();
+        fixture.forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Drop);
+        fixture.forwarder.retarget(successor.transport.local_addr());
+        let waiting = scope.spawn(|| fixture.request("slow"));
+        fixture.started.recv_timeout(WAIT_TIMEOUT).unwrap();
         assert_eq!(waiting.join().unwrap(), RequestOutcome::Lost);
-        stage.go.send(()).unwrap();
+        fixture.resume.send(()).unwrap();
     });
     assert_eq!(successor.runs(), 0);
 }
@@ -209,73 +211,73 @@
 /// Guards against a new connection for each of many requests on one that has gone silent.
 #[test]
 fn silence_under_load_costs_one_connection() {
-    let stage = Stage::new();
-    stage.forwarder.set(Passage::Silent, Passage::Silent);
+    let fixture = Fixture::new();
+    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
     thread::scope(|scope| {
-        let callers: Vec<_> = (0..32).map(|_| scope.spawn(|| stage.request("a"))).collect();
+        let callers: Vec<_> = (0..32).map(|_| scope.spawn(|| fixture.request("a"))).collect();
         for caller in callers {
             let outcome = caller.join().unwrap();
             assert!(outcome == RequestOutcome::NotDelivered || outcome == answer("a"));
         }
     });
-    assert_eq!(stage.request("b"), answer("b"));
-    assert_eq!(stage.forwarder.flows(), 2);
+    assert_eq!(fixture.request("b"), answer("b"));
+    assert_eq!(fixture.forwarder.flows(), 2);
 }
 
 /// Guards against a verdict that is wrong, or does not come, when nothing passes any more.
 #[test]
 fn request_into_a_partition_gets_its_verdict() {
-    let stage = Stage::new();
-    stage.forwarder.set(Passage::Silent, Passage::Silent);
+    let fixture = Fixture::new();
+    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
     // Nobody listens there.
     let nobody = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    stage.forwarder.retarget(nobody.local_addr().unwrap());
-    assert_eq!(stage.request("a"), RequestOutcome::Lost);
-    assert_eq!(stage.request("b"), RequestOutcome::NotDelivered);
-    assert_eq!(stage.server.runs(), 1);
+    fixture.forwarder.retarget(nobody.local_addr().unwrap());
+    assert_eq!(fixture.request("a"), RequestOutcome::Lost);
+    assert_eq!(fixture.request("b"), RequestOutcome::NotDelivered);
+    assert_eq!(fixture.server.runs(), 1);
 }
 
 /// Guards against a request that is given up while the server of a silent member works on it.
 #[test]
 fn answer_is_taken_from_a_member_that_was_silent_for_seconds() {
-    let stage = Stage::new();
+    let fixture = Fixture::new();
     thread::scope(|scope| {
-        let waiting = scope.spawn(|| stage.request("slow"));
-        stage.wait_for_start();
-        stage.forwarder.set_cut(true);
-        thread::sleep(CUT);
-        stage.forwarder.set_cut(false);
-        stage.go.send(()).unwrap();
+        let waiting = scope.spawn(|| fixture.request("slow"));
+        fixture.wait_for_start();
+        fixture.forwarder.set_cut(true);
+        thread::sleep(CUT_DURATION);
+        fixture.forwarder.set_cut(false);
+        fixture.resume.send(()).unwrap();
         assert_eq!(waiting.join().unwrap(), answer("slow"));
     });
-    assert_eq!(stage.server.runs(), 2);
+    assert_eq!(fixture.server.runs(), 2);
 }
 
 /// Guards against an answer that is lost because its member keeps it no more for those who ask.
 #[test]
 fn answer_that_is_kept_no_more_is_taken_from_its_own_connection() {
-    let stage = Stage::new();
+    let fixture = Fixture::new();
     thread::scope(|scope| {
-        let waiting = scope.spawn(|| stage.request("slow"));
-        stage.wait_for_start();
-        stage.forwarder.set_cut(true);
-        stage.go.send(()).unwrap();
-        thread::sleep(LONG_CUT);
-        stage.forwarder.set_cut(false);
+        let waiting = scope.spawn(|| fixture.request("slow"));
+        fixture.wait_for_start();
+        fixture.forwarder.set_cut(true);
+        fixture.resume.send(()).unwrap();
+        thread::sleep(LONG_CUT_DURATION);
+        fixture.forwarder.set_cut(false);
         assert_eq!(waiting.join().unwrap(), answer("slow"));
     });
-    assert_eq!(stage.server.runs(), 2);
+    assert_eq!(fixture.server.runs(), 2);
 }
 
 /// Guards against "may have run" for a request that a silent member has not read.
 #[test]
 fn request_to_a_member_that_was_silent_for_seconds_gets_a_sure_verdict() {
-    let stage = Stage::new();
+    let fixture = Fixture::new();
     thread::scope(|scope| {
-        stage.forwarder.set_cut(true);
-        let waiting = scope.spawn(|| stage.request("a"));
-        thread::sleep(CUT);
-        stage.forwarder.set_cut(false);
+        fixture.forwarder.set_cut(true);
+        let waiting = scope.spawn(|| fixture.request("a"));
+        thread::sleep(CUT_DURATION);
+        fixture.forwarder.set_cut(false);
         let runs = match waiting.join().unwrap() {
             RequestOutcome::NotDelivered => 1,
             outcome => {
@@ -284,38 +286,38 @@
             }
         };
         // A connection may take longer than a request waits for it; then the request has not run.
-        wait_for(|| stage.request("b") == answer("b"));
-        assert_eq!(stage.server.runs(), runs + 1);
+        wait_for(|| fixture.request("b") == answer("b"));
+        assert_eq!(fixture.server.runs(), runs + 1);
     });
 }
 
 /// Guards against a wait until the deadline for a member that has said that it ends.
 #[test]
 fn request_at_a_member_that_has_said_farewell_is_lost_at_once() {
-    let stage = Stage::new();
+    let fixture = Fixture::new();
     let start = Instant::now();
     thread::scope(|scope| {
-        let waiting = scope.spawn(|| stage.request("slow"));
-        stage.started.recv_timeout(PATIENCE).unwrap();
-        stage.server.transport.stop();
+        let waiting = scope.spawn(|| fixture.request("slow"));
+        fixture.started.recv_timeout(WAIT_TIMEOUT).unwrap();
+        fixture.server.transport.stop();
         assert_eq!(waiting.join().unwrap(), RequestOutcome::Lost);
-        stage.go.send(()).unwrap();
+        fixture.resume.send(()).unwrap();
     });
-    assert!(start.elapsed() < PATIENCE / 2, "{:?}", start.elapsed());
+    assert!(start.elapsed() < WAIT_TIMEOUT / 2, "{:?}", start.elapsed());
 }
 
 /// Guards against a stop that waits to deliver an answer and refuses the question for it.
 #[test]
 fn answer_that_a_stop_waits_for_is_asked_for_on_another_connection() {
-    let stage = Stage::new();
+    let fixture = Fixture::new();
     thread::scope(|scope| {
-        let waiting = scope.spawn(|| stage.request("slow"));
-        stage.wait_for_start();
-        scope.spawn(|| stage.server.transport.stop_within(PATIENCE / 2));
-        stage.forwarder.set(Passage::Silent, Passage::Silent);
-        wait_for(|| stage.forwarder.flows() >= 2);
+        let waiting = scope.spawn(|| fixture.request("slow"));
+        fixture.wait_for_start();
+        scope.spawn(|| fixture.server.transport.stop_within(WAIT_TIMEOUT / 2));
+        fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+        wait_for(|| fixture.forwarder.flows() >= 2);
         thread::sleep(Duration::from_millis(300));
-        stage.go.send(()).unwrap();
+        fixture.resume.send(()).unwrap();
         assert_eq!(waiting.join().unwrap(), answer("slow"));
     });
 }
@@ -323,12 +325,12 @@
 /// Guards against handshakes that keep a member without processor from catching up.
 #[test]
 fn a_silent_member_is_asked_for_few_connections() {
-    let stage = Stage::new();
-    stage.forwarder.set(Passage::Silent, Passage::Silent);
+    let fixture = Fixture::new();
+    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
     let nobody = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    stage.forwarder.retarget(nobody.local_addr().unwrap());
-    let (to, left) = (stage.forwarder.address, 3 * CUT);
-    let outcome = stage.client.transport.blocking_request(to, request("a"), left);
+    fixture.forwarder.retarget(nobody.local_addr().unwrap());
+    let (to, left) = (fixture.forwarder.address, 3 * CUT_DURATION);
+    let outcome = fixture.client.transport.blocking_request(to, request("a"), left);
     assert_eq!(outcome, RequestOutcome::Lost);
-    assert!(stage.forwarder.flows() <= 6, "{} connections", stage.forwarder.flows());
+    assert!(fixture.forwarder.flows() <= 6, "{} connections", fixture.forwarder.flows());
 }
--- a/acaciaringd/tests/peer_slow.rs
+++ b/acaciaringd/tests/peer_slow.rs
@@ -7,35 +7,35 @@
 
 use acaciaringd::peer::{self, PeerSettings, RequestOutcome};
 
-use crate::peer_support::{Authority, Forwarder, Node, PATIENCE, echo, request, wait_for};
+use crate::peer_support::{Authority, Forwarder, Node, WAIT_TIMEOUT, echo, request, wait_for};
 
 /// Delay in each direction; there and back takes well above the time for an acknowledgement.
-const FAR: Duration = Duration::from_millis(60);
+const LONG_DELAY: Duration = Duration::from_millis(60);
 
 /// The same so short that it matters to nobody, and yet nothing is back before the test has gone on.
-const NEAR: Duration = Duration::from_millis(10);
+const SHORT_DELAY: Duration = Duration::from_millis(10);
 
 /// Time for which a process does nothing, and rounds of it.
-const HELD: Duration = Duration::from_millis(150);
+const STALL_DURATION: Duration = Duration::from_millis(150);
 const ROUNDS: usize = 10;
 
 /// Pause after which a connection is tested before it is used.
-const REST: Duration = Duration::from_millis(400);
+const IDLE_DURATION: Duration = Duration::from_millis(400);
 
 /// Two members with a forwarder between them.
-struct Stage {
+struct Fixture {
     client: Node,
     server: Node,
     forwarder: Forwarder,
     _authority: Authority,
 }
 
-impl Stage {
+impl Fixture {
     fn new(settings: &PeerSettings, delay: Duration) -> Self {
         let authority = Authority::new();
         let server = Node::start(authority.settings(), |request, _| {
             if request.body == b"slow" {
-                thread::sleep(HELD / 3);
+                thread::sleep(STALL_DURATION / 3);
             }
             echo(request)
         });
@@ -46,13 +46,13 @@
         });
         let forwarder = Forwarder::start(server.transport.local_addr());
         forwarder.set_delay(delay);
-        let stage = Self { client, server, forwarder, _authority: authority };
-        assert_eq!(stage.request("warm"), answer("warm"));
-        stage
+        let fixture = Self { client, server, forwarder, _authority: authority };
+        assert_eq!(fixture.request("warm"), answer("warm"));
+        fixture
     }
 
     fn request(&self, body: &str) -> RequestOutcome {
-        self.client.transport.blocking_request(self.forwarder.address, request(body), PATIENCE)
+        self.client.transport.blocking_request(self.forwarder.address, request(body), WAIT_TIMEOUT)
     }
 }
 
@@ -65,30 +65,31 @@
 /// faster: in a saturated fleet 22,424 connections in 30 s. A request must cost no connection.
 #[test]
 fn a_member_that_answers_late_is_not_taken_for_a_silent_one() {
-    let settings = PeerSettings { connect: PATIENCE, ..PeerSettings::default() };
-    let stage = Stage::new(&settings, FAR);
+    let settings = PeerSettings { connect: WAIT_TIMEOUT, ..PeerSettings::default() };
+    let fixture = Fixture::new(&settings, LONG_DELAY);
     for round in 0..ROUNDS {
-        assert_eq!(stage.request("a"), answer("a"), "round {round}");
+        assert_eq!(fixture.request("a"), answer("a"), "round {round}");
     }
-    thread::sleep(REST);
-    assert_eq!(stage.request("a"), answer("a"), "after a rest");
-    assert_eq!(stage.forwarder.flows(), 1, "connections");
-    assert_eq!(stage.server.runs(), ROUNDS + 2);
+    thread::sleep(IDLE_DURATION);
+    assert_eq!(fixture.request("a"), answer("a"), "after a rest");
+    assert_eq!(fixture.forwarder.flows(), 1, "connections");
+    assert_eq!(fixture.server.runs(), ROUNDS + 2);
 }
 
 /// A process gets no processor for a moment while an answer comes to it. When it goes on its timers are over
 /// and the answer lies unread in its socket: it must read before it calls the other end silent.
 #[test]
 fn a_process_that_was_late_itself_does_not_call_others_silent() {
-    let stage = Stage::new(&PeerSettings { threads: 1, ..PeerSettings::default() }, NEAR);
+    let fixture =
+        Fixture::new(&PeerSettings { threads: 1, ..PeerSettings::default() }, SHORT_DELAY);
     for round in 0..ROUNDS {
         thread::scope(|scope| {
-            let runs = stage.server.runs();
-            let waiting = scope.spawn(|| stage.request("slow"));
-            wait_for(|| stage.server.runs() > runs);
-            stage.client.transport.runtime().spawn(async { thread::sleep(HELD) });
+            let runs = fixture.server.runs();
+            let waiting = scope.spawn(|| fixture.request("slow"));
+            wait_for(|| fixture.server.runs() > runs);
+            fixture.client.transport.runtime().spawn(async { thread::sleep(STALL_DURATION) });
             assert_eq!(waiting.join().expect("it ends"), answer("slow"), "round {round}");
         });
     }
-    assert_eq!(stage.forwarder.flows(), 1, "connections");
+    assert_eq!(fixture.forwarder.flows(), 1, "connections");
 }
--- a/acaciaringd/tests/peer_stop.rs
+++ b/acaciaringd/tests/peer_stop.rs
@@ -9,35 +9,37 @@
 use acaciaringd::peer::{self, RequestOutcome};
 use crossbeam_channel::bounded;
 
-use crate::peer_support::{Authority, Forwarder, Node, PATIENCE, Passage, echo, request, wait_for};
+use crate::peer_support::{
+    Authority, Forwarder, Node, PacketPolicy, WAIT_TIMEOUT, echo, request, wait_for,
+};
 
 /// Bound of a stop that does not wait for what is in hand.
-const BRIEF: Duration = Duration::from_millis(50);
+const SHORT_STOP_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Time in which the acknowledgement of an answer passes, well below that after which a member is asked first.
-const ACKNOWLEDGED: Duration = Duration::from_millis(100);
+const ACK_DURATION: Duration = Duration::from_millis(100);
 
 /// Member that reports when a request runs and goes on when the test says so.
-struct Slow {
+struct PausedServer {
     node: Node,
     started: crossbeam_channel::Receiver<()>,
-    go: crossbeam_channel::Sender<()>,
+    resume: crossbeam_channel::Sender<()>,
 }
 
-impl Slow {
+impl PausedServer {
     fn start(authority: &Authority) -> Self {
         let (start, started) = bounded(4);
-        let (go, wait) = bounded(4);
+        let (resume, wait) = bounded(4);
         let node = Node::start(authority.settings(), move |request, _| {
             start.send(()).unwrap();
-            wait.recv_timeout(PATIENCE).unwrap();
+            wait.recv_timeout(WAIT_TIMEOUT).unwrap();
             echo(request)
         });
-        Self { node, started, go }
+        Self { node, started, resume }
     }
 
     fn wait_for_start(&self) {
-        self.started.recv_timeout(PATIENCE).unwrap();
+        self.started.recv_timeout(WAIT_TIMEOUT).unwrap();
     }
 }
 
@@ -48,10 +50,10 @@
     let server = Node::echo(authority.settings());
     let client = Node::echo(authority.settings());
     let forwarder = Forwarder::start(server.transport.local_addr());
-    let send = || client.transport.blocking_request(forwarder.address, request("a"), PATIENCE);
+    let send = || client.transport.blocking_request(forwarder.address, request("a"), WAIT_TIMEOUT);
     assert!(matches!(send(), RequestOutcome::Answer(_)));
-    thread::sleep(ACKNOWLEDGED);
-    forwarder.set(Passage::Held, Passage::Open);
+    thread::sleep(ACK_DURATION);
+    forwarder.set_policies(PacketPolicy::Hold, PacketPolicy::Forward);
     thread::scope(|scope| {
         let waiting = scope.spawn(send);
         wait_for(|| forwarder.held() > 0);
@@ -70,11 +72,11 @@
     let forwarder = Forwarder::start(server.transport.local_addr());
     let send = || {
         let call = call::Body::Status(StatusQuery {});
-        client.transport.blocking_call(forwarder.address, call, PATIENCE)
+        client.transport.blocking_call(forwarder.address, call, WAIT_TIMEOUT)
     };
     send().unwrap();
-    thread::sleep(ACKNOWLEDGED);
-    forwarder.set(Passage::Held, Passage::Open);
+    thread::sleep(ACK_DURATION);
+    forwarder.set_policies(PacketPolicy::Hold, PacketPolicy::Forward);
     thread::scope(|scope| {
         let waiting = scope.spawn(send);
         wait_for(|| forwarder.held() > 0);
@@ -87,15 +89,16 @@
 #[test]
 fn a_request_that_a_stop_cuts_off_may_have_run() {
     let authority = Authority::new();
-    let server = Slow::start(&authority);
+    let server = PausedServer::start(&authority);
     let client = Node::echo(authority.settings());
     let to = server.node.transport.local_addr();
     thread::scope(|scope| {
-        let waiting = scope.spawn(|| client.transport.blocking_request(to, request("a"), PATIENCE));
+        let waiting =
+            scope.spawn(|| client.transport.blocking_request(to, request("a"), WAIT_TIMEOUT));
         server.wait_for_start();
-        assert_eq!(server.node.transport.stop_within(BRIEF), 1);
+        assert_eq!(server.node.transport.stop_within(SHORT_STOP_TIMEOUT), 1);
         assert_eq!(waiting.join().unwrap(), RequestOutcome::Lost);
-        server.go.send(()).unwrap();
+        server.resume.send(()).unwrap();
     });
 }
 
@@ -103,20 +106,20 @@
 #[test]
 fn a_stop_is_told_on_connections_that_the_member_made() {
     let authority = Authority::new();
-    let server = Slow::start(&authority);
+    let server = PausedServer::start(&authority);
     let client = Node::echo(authority.settings());
     let (here, there) = (client.transport.local_addr(), server.node.transport.local_addr());
-    let outcome = server.node.transport.blocking_request(here, request("a"), PATIENCE);
+    let outcome = server.node.transport.blocking_request(here, request("a"), WAIT_TIMEOUT);
     assert!(matches!(outcome, RequestOutcome::Answer(_)));
     thread::scope(|scope| {
-        let send = || client.transport.blocking_request(there, request("b"), PATIENCE);
+        let send = || client.transport.blocking_request(there, request("b"), WAIT_TIMEOUT);
         let waiting = scope.spawn(send);
         server.wait_for_start();
         assert_eq!(client.transport.traffic().connections, 1);
         let start = Instant::now();
-        assert_eq!(server.node.transport.stop_within(BRIEF), 1);
+        assert_eq!(server.node.transport.stop_within(SHORT_STOP_TIMEOUT), 1);
         assert_eq!(waiting.join().unwrap(), RequestOutcome::Lost);
-        assert!(start.elapsed() < PATIENCE / 2, "the end was told");
-        server.go.send(()).unwrap();
+        assert!(start.elapsed() < WAIT_TIMEOUT / 2, "the end was told");
+        server.resume.send(()).unwrap();
     });
 }
--- a/acaciaringd/tests/peer_support/mod.rs
+++ b/acaciaringd/tests/peer_support/mod.rs
@@ -19,10 +19,10 @@
 use super::peer::{BoxFuture, CancelFlag, Handler, PeerSettings, Transport};
 
 /// Longest wait for a condition that holds on any machine that works.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Bytes of the largest packet that is forwarded.
-const PACKET: usize = 2048;
+const MAX_PACKET_BYTES: usize = 2048;
 
 /// Authority whose certificates lie in a directory of their own.
 pub struct Authority {
@@ -65,17 +65,17 @@
     }
 }
 
-type Run = Arc<dyn Fn(Request, &CancelFlag) -> Answer + Send + Sync>;
+type RequestFn = Arc<dyn Fn(Request, &CancelFlag) -> Answer + Send + Sync>;
 
 /// Handler that counts, and runs requests as the test says.
-pub struct Fake {
-    run: Run,
+pub struct TestHandler {
+    run: RequestFn,
     /// Requests that have run.
     pub runs: AtomicUsize,
     datagrams: Sender<(SocketAddr, Datagram)>,
 }
 
-impl Handler for Fake {
+impl Handler for TestHandler {
     fn datagram(&self, from: SocketAddr, datagram: Datagram) {
         self.datagrams.send((from, datagram)).unwrap();
     }
@@ -96,7 +96,7 @@
 /// Transport with its handler.
 pub struct Node {
     pub transport: Transport,
-    pub handler: Arc<Fake>,
+    pub handler: Arc<TestHandler>,
     pub datagrams: Receiver<(SocketAddr, Datagram)>,
 }
 
@@ -106,8 +106,8 @@
         run: impl Fn(Request, &CancelFlag) -> Answer + Send + Sync + 'static,
     ) -> Self {
         let (sender, datagrams) = unbounded();
-        let run: Run = Arc::new(run);
-        let handler = Arc::new(Fake { run, runs: AtomicUsize::new(0), datagrams: sender });
+        let run: RequestFn = Arc::new(run);
+        let handler = Arc::new(TestHandler { run, runs: AtomicUsize::new(0), datagrams: sender });
         let transport = Transport::start(settings, handler.clone()).unwrap();
         Self { transport, handler, datagrams }
     }
@@ -136,41 +136,41 @@
 pub fn wait_for(condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "condition does not hold in time");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "condition does not hold in time");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// What happens to the packets of a flow in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Passage {
-    Open,
-    Silent,
+pub enum PacketPolicy {
+    Forward,
+    Drop,
     /// Kept until the test lets them go.
-    Held,
+    Hold,
 }
 
 struct Flow {
     socket: UdpSocket,
-    there: Passage,
-    back: Passage,
+    outbound: PacketPolicy,
+    inbound: PacketPolicy,
     held: Vec<Vec<u8>>,
 }
 
 impl Flow {
     /// Lets held packets go and sets what becomes of the next ones.
-    fn release(&mut self, there: Passage) {
-        self.there = there;
+    fn release(&mut self, outbound: PacketPolicy) {
+        self.outbound = outbound;
         for packet in std::mem::take(&mut self.held) {
             self.socket.send(&packet).unwrap();
         }
     }
 }
 
-struct State {
+struct ForwarderState {
     target: SocketAddr,
     /// Time for which the packets of a new flow are held.
-    pause: Duration,
+    hold: Duration,
     flows: HashMap<SocketAddr, Flow>,
     /// Nothing passes in either direction, on new flows neither.
     cut: bool,
@@ -181,32 +181,32 @@
 /// Forwards UDP packets; tells flows apart by their source address.
 pub struct Forwarder {
     pub address: SocketAddr,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<ForwarderState>>,
     stopped: Arc<AtomicBool>,
 }
 
 impl Forwarder {
     pub fn start(target: SocketAddr) -> Self {
-        Self::slow(target, Duration::ZERO)
+        Self::with_hold(target, Duration::ZERO)
     }
 
     /// Starts one that holds the packets of each new flow for a while.
-    pub fn slow(target: SocketAddr, pause: Duration) -> Self {
+    pub fn with_hold(target: SocketAddr, hold: Duration) -> Self {
         let socket = bind();
         let address = socket.local_addr().unwrap();
         let flows = HashMap::new();
-        let state = State { target, pause, flows, cut: false, delay: Duration::ZERO };
+        let state = ForwarderState { target, hold, flows, cut: false, delay: Duration::ZERO };
         let state = Arc::new(Mutex::new(state));
         let stopped = Arc::new(AtomicBool::new(false));
         let (flows, stop) = (state.clone(), stopped.clone());
-        thread::spawn(move || forward_there(&socket, &flows, &stop));
+        thread::spawn(move || forward_outbound(&socket, &flows, &stop));
         Self { address, state, stopped }
     }
 
     /// Sets the passage of all flows that are known now; new flows are open.
-    pub fn set(&self, there: Passage, back: Passage) {
+    pub fn set_policies(&self, outbound: PacketPolicy, inbound: PacketPolicy) {
         for flow in self.state.lock().flows.values_mut() {
-            (flow.there, flow.back) = (there, back);
+            (flow.outbound, flow.inbound) = (outbound, inbound);
         }
     }
 
@@ -221,14 +221,14 @@
     }
 
     /// Sets for how long the packets of further flows are held.
-    pub fn stall(&self, pause: Duration) {
-        self.state.lock().pause = pause;
+    pub fn set_hold(&self, hold: Duration) {
+        self.state.lock().hold = hold;
     }
 
     /// Lets held packets go.
     pub fn release(&self) {
         for flow in self.state.lock().flows.values_mut() {
-            flow.release(flow.there);
+            flow.release(flow.outbound);
         }
     }
 
@@ -259,8 +259,12 @@
     socket
 }
 
-fn forward_there(socket: &UdpSocket, state: &Arc<Mutex<State>>, stop: &Arc<AtomicBool>) {
-    let mut packet = [0; PACKET];
+fn forward_outbound(
+    socket: &UdpSocket,
+    state: &Arc<Mutex<ForwarderState>>,
+    stop: &Arc<AtomicBool>,
+) {
+    let mut packet = [0; MAX_PACKET_BYTES];
     while !stop.load(Ordering::SeqCst) {
         let Ok((size, from)) = socket.recv_from(&mut packet) else {
             continue;
@@ -269,53 +273,53 @@
         if locked.cut {
             continue;
         }
-        let (target, pause) = (locked.target, locked.pause);
+        let (target, hold) = (locked.target, locked.hold);
         let flow = locked.flows.entry(from).or_insert_with(|| {
             let flow = bind();
             flow.connect(target).unwrap();
             let copies = (socket.try_clone().unwrap(), flow.try_clone().unwrap());
             let (state, stop) = (state.clone(), stop.clone());
             let later = state.clone();
-            thread::spawn(move || forward_back(&copies.0, &copies.1, from, &state, &stop));
-            let there = if pause.is_zero() { Passage::Open } else { Passage::Held };
-            if there == Passage::Held {
+            thread::spawn(move || forward_inbound(&copies.0, &copies.1, from, &state, &stop));
+            let outbound = if hold.is_zero() { PacketPolicy::Forward } else { PacketPolicy::Hold };
+            if outbound == PacketPolicy::Hold {
                 thread::spawn(move || {
-                    thread::sleep(pause);
+                    thread::sleep(hold);
                     let mut state = later.lock();
-                    state.flows.get_mut(&from).unwrap().release(Passage::Open);
+                    state.flows.get_mut(&from).unwrap().release(PacketPolicy::Forward);
                 });
             }
-            Flow { socket: flow, there, back: Passage::Open, held: Vec::new() }
+            Flow { socket: flow, outbound, inbound: PacketPolicy::Forward, held: Vec::new() }
         });
-        match flow.there {
-            Passage::Open => {
+        match flow.outbound {
+            PacketPolicy::Forward => {
                 let target = flow.socket.try_clone().unwrap();
-                pass(locked.delay, packet[..size].to_vec(), move |packet| {
+                send_delayed(locked.delay, packet[..size].to_vec(), move |packet| {
                     drop(target.send(packet));
                 });
             }
-            Passage::Held => flow.held.push(packet[..size].to_vec()),
-            Passage::Silent => {}
+            PacketPolicy::Hold => flow.held.push(packet[..size].to_vec()),
+            PacketPolicy::Drop => {}
         }
     }
 }
 
-fn forward_back(
+fn forward_inbound(
     socket: &UdpSocket,
     flow: &UdpSocket,
     to: SocketAddr,
-    state: &Mutex<State>,
+    state: &Mutex<ForwarderState>,
     stop: &AtomicBool,
 ) {
-    let mut packet = [0; PACKET];
+    let mut packet = [0; MAX_PACKET_BYTES];
     while !stop.load(Ordering::SeqCst) {
         let Ok(size) = flow.recv(&mut packet) else {
             continue;
         };
         let locked = state.lock();
-        if !locked.cut && locked.flows[&to].back == Passage::Open {
+        if !locked.cut && locked.flows[&to].inbound == PacketPolicy::Forward {
             let socket = socket.try_clone().unwrap();
-            pass(locked.delay, packet[..size].to_vec(), move |packet| {
+            send_delayed(locked.delay, packet[..size].to_vec(), move |packet| {
                 drop(socket.send_to(packet, to));
             });
         }
@@ -323,7 +327,7 @@
 }
 
 /// Passes a packet on, after a delay on a thread of its own.
-fn pass(delay: Duration, packet: Vec<u8>, send: impl FnOnce(&[u8]) + Send + 'static) {
+fn send_delayed(delay: Duration, packet: Vec<u8>, send: impl FnOnce(&[u8]) + Send + 'static) {
     if delay.is_zero() {
         return send(&packet);
     }
--- a/acaciaringd/tests/place.rs
+++ b/acaciaringd/tests/place.rs
@@ -9,32 +9,33 @@
 use acaciaring_testing::{Ask, ask, ask_until_answered};
 use serde_json::Value;
 
-use common::watch::{self, AGAIN};
-use common::{CONTRACTS, korenveld};
+use common::watch::{self, RECOVERY_TIMEOUT};
+use common::{CONTRACTS, start_cluster};
 
 /// Time without a lease after which a member gives up by the default settings.
-const ABANDON: Duration = Duration::from_secs(30);
+const ABANDON_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Bound on the time until a place that started again serves.
-const RESTART: Duration = Duration::from_mins(1);
+const RESTART_TIMEOUT: Duration = Duration::from_mins(1);
 
 // A data centre goes with two of eight VMs. No member had two lessors there, so the others keep
 // their leases, vote on both, and every key of the two is served again by members elsewhere.
 #[test]
 fn a_lost_data_centre_is_taken_over() {
-    let mut cluster = korenveld(8, 0);
+    let mut cluster = start_cluster(8, 0);
     let lost = [0, 4];
     let centre = |vm: usize| cluster.vms[vm].options.data_centre.clone();
     assert_eq!(centre(lost[0]), centre(lost[1]));
-    let keys: Vec<String> = lost.iter().flat_map(|vm| watch::keys_of(&cluster, *vm, 1)).collect();
+    let keys: Vec<String> =
+        lost.iter().flat_map(|vm| watch::owned_keys(&cluster, *vm, 1)).collect();
     let start = Instant::now();
     for vm in lost {
         cluster.kill(vm);
     }
-    let took = watch::answered_again(cluster.vms[1].http, &keys, start);
+    let took = watch::wait_until_served(cluster.vms[1].http, &keys, start);
     println!("data centre: {} keys served again after {took:?}", keys.len());
     let lost = ["vm-0", "vm-4"].map(Some);
-    wait_until("the log names other owners", AGAIN, || {
+    wait_until("the log names other owners", RECOVERY_TIMEOUT, || {
         let owner = |key: &String| cluster.owner(1, CONTRACTS, key);
         keys.iter().all(|key| !lost.contains(&owner(key).as_deref()))
     })
@@ -46,7 +47,7 @@
 // third one begins anew, long before it would give up hope.
 #[test]
 fn a_member_that_lost_two_lessors_at_once_serves_again_soon() {
-    let mut cluster = korenveld(8, 0);
+    let mut cluster = start_cluster(8, 0);
     let lessors = |vm: usize| -> Vec<usize> {
         let status = cluster.admin(0, "/v1/members").unwrap_or_default();
         let rows = status["members"].as_array().cloned().unwrap_or_default();
@@ -59,15 +60,15 @@
     let left = 7;
     let lost: Vec<usize> = lessors(left).into_iter().filter(|vm| *vm != 0).take(2).collect();
     assert_eq!(lost.len(), 2, "{lost:?}");
-    let keys = watch::keys_of(&cluster, left, 1);
+    let keys = watch::owned_keys(&cluster, left, 1);
     for vm in &lost {
         cluster.kill(*vm);
     }
     // Its lease is over before its keys count as served again.
     thread::sleep(Duration::from_secs(2));
-    let took = watch::answered_again(cluster.vms[0].http, &keys, Instant::now());
+    let took = watch::wait_until_served(cluster.vms[0].http, &keys, Instant::now());
     println!("two lessors lost: {} keys served again after {took:?}", keys.len());
-    assert!(took < ABANDON / 2, "{took:?}");
+    assert!(took < ABANDON_TIMEOUT / 2, "{took:?}");
 }
 
 fn vm_of(name: &str) -> usize {
@@ -80,9 +81,10 @@
 // its memory went with the VMs, so the answer is unknown.
 #[test]
 fn a_place_that_lost_all_its_vms_serves_again() {
-    let mut cluster = korenveld(5, 0);
+    let mut cluster = start_cluster(5, 0);
     let sign = Ask { method: "POST", path: "/contracts/k1", key: "sign-1", ..Ask::default() };
-    let reply = ask_until_answered(cluster.vms[0].http, &sign, AGAIN).expect("an answer");
+    let reply =
+        ask_until_answered(cluster.vms[0].http, &sign, RECOVERY_TIMEOUT).expect("an answer");
     assert_eq!(reply.verdict, "answered", "{reply:?}");
     let all: Vec<usize> = (0..cluster.vms.len()).collect();
     for vm in &all {
@@ -95,7 +97,7 @@
     }
     let read = Ask { path: "/contracts/k1", ..Ask::default() };
     let start = Instant::now();
-    let reply = ask_until_answered(cluster.vms[0].http, &read, RESTART).expect("an answer");
+    let reply = ask_until_answered(cluster.vms[0].http, &read, RESTART_TIMEOUT).expect("an answer");
     assert_eq!(reply.verdict, "answered", "{reply:?}");
     println!("place: served again {:?} after the start", start.elapsed());
     let again = ask(cluster.vms[0].http, &sign).expect("an answer");
--- a/acaciaringd/tests/platform.rs
+++ b/acaciaringd/tests/platform.rs
@@ -10,7 +10,7 @@
 
 fn client(answer: Vec<u8>, close: bool) -> LogClient {
     let answer = Box::leak(answer.into_boxed_slice());
-    LogClient::new(support::answering(answer, close), LogTimeouts::default())
+    LogClient::new(support::serve_answer(answer, close), LogTimeouts::default())
 }
 
 fn answer(status: u16, body: &[u8]) -> Vec<u8> {
@@ -30,7 +30,7 @@
         let error = client(answer(status, b""), false).append(b"record").expect_err("refused");
         assert!(matches!(error, AppendError::Refused { .. }), "{error}");
     }
-    let nobody = LogClient::new(support::nobody(), LogTimeouts::default());
+    let nobody = LogClient::new(support::unused_address(), LogTimeouts::default());
     assert!(matches!(nobody.append(b"record"), Err(AppendError::Refused { .. })));
 }
 
--- a/acaciaringd/tests/shed.rs
+++ b/acaciaringd/tests/shed.rs
@@ -11,18 +11,25 @@
     check_records,
 };
 
-use common::policy::{SOON, command, head, keyed, owner, pooled, run_all, small, stream, value};
-use common::{QUALITY, vm};
+use common::policy::{
+    WAIT_TIMEOUT, class_load, control_upstream, header_value, limited_upstreams, owner_index,
+    response_head, run_loads, start_keyed, start_pooled,
+};
+use common::{QUALITY, vm_options};
 
-fn shed(cluster: &Cluster, vm: usize, shed: bool) {
-    command(cluster, vm, &UpstreamControl { shed: Some(shed), ..UpstreamControl::default() });
+fn set_shedding(cluster: &Cluster, vm: usize, shed: bool) {
+    control_upstream(
+        cluster,
+        vm,
+        &UpstreamControl { shed: Some(shed), ..UpstreamControl::default() },
+    );
 }
 
-fn answered(figures: &LoadFigures) -> usize {
+fn answered_count(figures: &LoadFigures) -> usize {
     figures.sent.iter().filter(|sent| sent.tries.last() == Some(&Told::Answered)).count()
 }
 
-fn counted(cluster: &Cluster, vm: usize) -> u64 {
+fn shed_count(cluster: &Cluster, vm: usize) -> u64 {
     cluster.vms[vm].upstream.as_ref().map_or(0, |upstream| upstream.handle().counts().shed)
 }
 
@@ -31,29 +38,30 @@
 // before that, and once it takes requests again they are answered.
 #[test]
 fn an_owner_that_sheds_is_left_alone() {
-    let cluster = keyed(small(20, 1), 3, "[balance]\nmoves = 0\n");
-    let server = owner(&cluster, "k1");
+    let cluster = start_keyed(limited_upstreams(20, 1), 3, "[balance]\nmoves = 0\n");
+    let server = owner_index(&cluster, "k1");
     let entry = cluster.vms[(server + 1) % 3].http;
     let path = "/contracts/query/k1";
-    shed(&cluster, server, true);
+    set_shedding(&cluster, server, true);
     let start = Instant::now();
     let mut asked = 0;
     while start.elapsed() < Duration::from_secs(4) {
-        let (head, _) = head(entry, path, 2000);
-        assert_eq!(value(&head, "x-acaciaring-verdict"), Some("not-run"), "{head}");
-        let retry =
-            value(&head, "x-acaciaring-retry-ms").and_then(|retry| retry.parse::<u64>().ok());
+        let (head, _) = response_head(entry, path, 2000);
+        assert_eq!(header_value(&head, "x-acaciaring-verdict"), Some("not-run"), "{head}");
+        let retry = header_value(&head, "x-acaciaring-retry-ms")
+            .and_then(|retry| retry.parse::<u64>().ok());
         assert!(retry.is_some_and(|retry| retry > 0), "{head}");
         asked += 1;
         thread::sleep(Duration::from_millis(10));
     }
-    let arrived = counted(&cluster, server);
+    let arrived = shed_count(&cluster, server);
     println!("{asked} requests, {arrived} reached the upstream");
     let most = start.elapsed().as_secs() + 1;
     assert!((1..=most).contains(&arrived), "{arrived} of {asked} requests, one a second is right");
-    shed(&cluster, server, false);
-    wait_until("the owner is asked again", SOON, || {
-        value(&head(entry, path, 2000).0, "x-acaciaring-verdict") == Some("answered")
+    set_shedding(&cluster, server, false);
+    wait_until("the owner is asked again", WAIT_TIMEOUT, || {
+        header_value(&response_head(entry, path, 2000).0, "x-acaciaring-verdict")
+            == Some("answered")
     })
     .expect("it is answered");
 }
@@ -62,14 +70,14 @@
 // for, and the others answer everybody.
 #[test]
 fn a_member_of_a_pool_that_sheds_is_left_alone() {
-    let cluster = pooled(small(20, 2), 3, "");
-    shed(&cluster, 1, true);
-    let load = stream(&cluster, "query", "/quality-lab/query", 150.0, 61);
+    let cluster = start_pooled(limited_upstreams(20, 2), 3, "");
+    set_shedding(&cluster, 1, true);
+    let load = class_load(&cluster, "query", "/quality-lab/query", 150.0, 61);
     let start = Instant::now();
-    let figures = run_all(&[load]).remove(0);
-    let arrived = counted(&cluster, 1);
+    let figures = run_loads(&[load]).remove(0);
+    let arrived = shed_count(&cluster, 1);
     println!("{:?} {:?}, {arrived} reached the upstream", figures.told, figures.reasons);
-    assert!(answered(&figures) * 100 >= figures.sent.len() * 98, "{:?}", figures.reasons);
+    assert!(answered_count(&figures) * 100 >= figures.sent.len() * 98, "{:?}", figures.reasons);
     let most = 2 * (start.elapsed().as_secs() + 1);
     assert!((1..=most).contains(&arrived), "{arrived} requests reached it");
     let report = check_records(&cluster.runs(), &figures.sent);
@@ -77,7 +85,7 @@
 }
 
 /// Runs that began in a part of a second after a time, in microseconds.
-fn within(runs: &[Run], start: u64, span: u64) -> usize {
+fn runs_within(runs: &[Run], start: u64, span: u64) -> usize {
     runs.iter().filter(|run| (start..start + span).contains(&run.start)).count()
 }
 
@@ -86,27 +94,28 @@
 // burst of refusals as everybody rushes to the idle newcomer.
 #[test]
 fn a_cold_upstream_gets_little_at_first() {
-    let upstream = UpstreamOptions { cold: Duration::from_secs(4), ..small(8, 40).upstream };
+    let upstream =
+        UpstreamOptions { cold: Duration::from_secs(4), ..limited_upstreams(8, 40).upstream };
     let cold = upstream.cold;
-    let mut cluster = pooled(ClusterOptions { upstream, ..small(8, 40) }, 3, "");
+    let mut cluster = start_pooled(ClusterOptions { upstream, ..limited_upstreams(8, 40) }, 3, "");
     // The three are to be warm, else the load is above what all of them can carry.
     thread::sleep(cold + Duration::from_secs(1));
-    let mut load = stream(&cluster, "query", "/quality-lab/query", 400.0, 71);
+    let mut load = class_load(&cluster, "query", "/quality-lab/query", 400.0, 71);
     load.duration = 8000;
     load.threads = 48;
-    let load = thread::spawn(move || run_all(&[load]).remove(0));
-    let newcomer = cluster.add(vm(3, QUALITY)).expect("a VM starts");
+    let load = thread::spawn(move || run_loads(&[load]).remove(0));
+    let newcomer = cluster.add(vm_options(3, QUALITY)).expect("a VM starts");
     let figures = load.join().expect("the load ends");
     let runs = cluster.vms[newcomer].runs();
     let first = runs.first().expect("the newcomer gets requests").start;
     let end = figures.sent.iter().map(|sent| sent.end).max().unwrap_or(0);
     let (early, late) =
-        (within(&runs, first, 1_000_000), within(&runs, end - 1_000_000, 1_000_000));
+        (runs_within(&runs, first, 1_000_000), runs_within(&runs, end - 1_000_000, 1_000_000));
     let others: usize =
-        cluster.vms[..3].iter().map(|vm| within(&vm.runs(), first, 1_000_000)).sum();
+        cluster.vms[..3].iter().map(|vm| runs_within(&vm.runs(), first, 1_000_000)).sum();
     println!("first second {early} of {}, last {late}; {:?}", early + others, figures.told);
     assert!(early * 12 < others, "{early} at the newcomer, {others} at three others");
     assert!(late > early, "{late} in its last second, {early} in its first");
-    let refused = figures.sent.len() - answered(&figures);
+    let refused = figures.sent.len() - answered_count(&figures);
     assert!(refused * 100 <= figures.sent.len(), "{:?}", figures.reasons);
 }
--- a/acaciaringd/tests/shutdown.rs
+++ b/acaciaringd/tests/shutdown.rs
@@ -11,51 +11,51 @@
     Ask, ClusterOptions, LoadFigures, LogControl, Run, Told, UpstreamControl, UpstreamOptions, ask,
 };
 
-use common::watch::{self, AGAIN};
-use common::{korenveld_with, options};
+use common::watch::{self, RECOVERY_TIMEOUT};
+use common::{options, start_cluster_with};
 
 /// End of the path of requests that take long.
-const LONG: &str = "/long";
+const SLOW_SUFFIX: &str = "/long";
 
 /// Bound on the end of a process after SIGTERM, more than its own bound.
-const EXIT: Duration = Duration::from_secs(30);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 // An operator replaces a VM under load. The daemon finishes what it runs, hands its keys to the
 // standbys and ends with 0. No caller loses an answer, at no entry, and none is told `unknown`.
 #[test]
 fn a_planned_stop_cuts_nothing_off() {
-    planned(51, false);
+    check_planned_stop(51, false);
 }
 
 // The same while the log is down: the stop cannot be recorded, so the daemon releases its keys to
 // the standbys directly.
 #[test]
 fn a_planned_stop_cuts_nothing_off_while_the_log_is_down() {
-    planned(52, true);
+    check_planned_stop(52, true);
 }
 
-fn planned(seed: u64, outage: bool) {
+fn check_planned_stop(seed: u64, outage: bool) {
     // Long enough for requests to be in flight whenever the stop comes.
     let service = Duration::from_millis(30);
     let upstream = UpstreamOptions { service, ..UpstreamOptions::default() };
-    let mut cluster = korenveld_with(ClusterOptions { upstream, ..options() }, 5, 0);
+    let mut cluster = start_cluster_with(ClusterOptions { upstream, ..options() }, 5, 0);
     let victim = 1;
-    let keys = watch::keys_of(&cluster, victim, 0);
-    let others = watch::entries(&cluster, &[0, 2, 3, 4]);
-    let load = watch::start(watch::load(others, seed, 8000));
-    let own = watch::entries(&cluster, &[victim]);
+    let keys = watch::owned_keys(&cluster, victim, 0);
+    let others = watch::entry_addresses(&cluster, &[0, 2, 3, 4]);
+    let load = watch::spawn_load(watch::mixed_load(others, seed, 8000));
+    let own = watch::entry_addresses(&cluster, &[victim]);
     let at_victim = acaciaring_testing::LoadOptions {
         tries: 1,
         threads: 4,
-        ..watch::load(own, seed + 100, 8000)
+        ..watch::mixed_load(own, seed + 100, 8000)
     };
-    let at_victim = watch::start(at_victim);
-    wait_until("the victim serves", AGAIN, || cluster.vms[victim].runs().len() > 20)
+    let at_victim = watch::spawn_load(at_victim);
+    wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
     let control = LogControl { outage: Some(outage), ..LogControl::default() };
     cluster.log.handle().set(&control);
     let server = cluster.vms[victim].upstream.as_ref().expect("an upstream").handle();
-    let costs = [(LONG.to_owned(), 1000.0)].into();
+    let costs = [(SLOW_SUFFIX.to_owned(), 1000.0)].into();
     server.set(&UpstreamControl { costs: Some(costs), ..UpstreamControl::default() });
     let entry = cluster.vms[0].http;
     let start;
@@ -65,26 +65,28 @@
         start = Instant::now();
         cluster.vms[victim].process.term();
         thread::sleep(Duration::from_millis(1400));
-        callers = ask_long(entry, &keys);
+        callers = send_slow(entry, &keys);
     } else {
-        callers = ask_long(entry, &keys);
-        wait_until("the long requests run", AGAIN, || long(&server.records()) == keys.len())
-            .expect("all of them run");
+        callers = send_slow(entry, &keys);
+        wait_until("the long requests run", RECOVERY_TIMEOUT, || {
+            slow_count(&server.records()) == keys.len()
+        })
+        .expect("all of them run");
         start = Instant::now();
         cluster.vms[victim].process.term();
     }
-    let status = cluster.vms[victim].process.wait(EXIT).expect("the process ends");
+    let status = cluster.vms[victim].process.wait(EXIT_TIMEOUT).expect("the process ends");
     let ended = start.elapsed();
-    let took = watch::answered_again(cluster.vms[0].http, &keys, start);
+    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("stop, log down {outage}: ended after {ended:?}, keys at the heirs after {took:?}");
     let (figures, own) = (load.join().expect("it ends"), at_victim.join().expect("it ends"));
     let runs = cluster.runs();
-    watch::judge(&runs, &figures);
-    watch::judge(&runs, &own);
+    watch::assert_consistent(&runs, &figures);
+    watch::assert_consistent(&runs, &own);
     assert_eq!(status.code(), Some(0), "exit code");
     let verdicts: Vec<String> =
         callers.into_iter().map(|caller| caller.join().expect("a caller ends")).collect();
-    println!("long requests: {} ran, told {verdicts:?}", long(&server.records()));
+    println!("long requests: {} ran, told {verdicts:?}", slow_count(&server.records()));
     assert!(!verdicts.iter().any(|verdict| verdict == "unknown"), "{verdicts:?}");
     assert_eq!(overlaps(&runs), Vec::<(Run, Run)>::new(), "ran beside the former owner");
     assert_eq!(cut_off(&runs, &figures), Vec::<String>::new(), "at other entries");
@@ -92,9 +94,9 @@
 }
 
 /// Asks for each key with a request that takes long at the member that stops.
-fn ask_long(entry: SocketAddr, keys: &[String]) -> Vec<JoinHandle<String>> {
+fn send_slow(entry: SocketAddr, keys: &[String]) -> Vec<JoinHandle<String>> {
     let call = |key: &String| {
-        let path = format!("{}{LONG}", watch::path(key));
+        let path = format!("{}{SLOW_SUFFIX}", watch::key_path(key));
         thread::spawn(move || {
             let reply = ask(entry, &Ask { path: &path, ..Ask::default() });
             reply.map(|reply| reply.verdict).unwrap_or_default()
@@ -104,13 +106,13 @@
 }
 
 /// Count of long requests that have begun to run.
-fn long(runs: &[Run]) -> usize {
-    runs.iter().filter(|run| run.path.ends_with(LONG)).count()
+fn slow_count(runs: &[Run]) -> usize {
+    runs.iter().filter(|run| run.path.ends_with(SLOW_SUFFIX)).count()
 }
 
 /// Runs on one slot that began at another server while a long one was running.
 fn overlaps(runs: &[Run]) -> Vec<(Run, Run)> {
-    let long = runs.iter().filter(|run| run.path.ends_with(LONG));
+    let long = runs.iter().filter(|run| run.path.ends_with(SLOW_SUFFIX));
     let pairs = long.flat_map(|long| runs.iter().map(move |run| (long, run)));
     let beside = |(long, run): &(&Run, &Run)| {
         run.slot == long.slot
--- a/acaciaringd/tests/silence.rs
+++ b/acaciaringd/tests/silence.rs
@@ -8,11 +8,11 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{ClusterOptions, LoadFigures, Told, UpstreamControl, UpstreamOptions};
 
-use common::watch::{self, AGAIN};
-use common::{CONTRACTS, korenveld, korenveld_with, networked, options, vm};
+use common::watch::{self, RECOVERY_TIMEOUT};
+use common::{CONTRACTS, options, start_cluster, start_cluster_with, start_proxied, vm_options};
 
 /// Time after which a server that has left gets nothing more; a few seconds.
-const LEFT: Duration = Duration::from_secs(6);
+const LEAVE_TIME: Duration = Duration::from_secs(6);
 
 // The server beside a daemon freezes: it answers nothing, announces nothing, and its connections
 // stay open. Callers are answered or refused within their deadline. The daemon takes it for lost
@@ -21,23 +21,23 @@
 #[test]
 fn a_frozen_server_that_returns_runs_nothing_late() {
     let upstream = UpstreamOptions { recheck: true, ..UpstreamOptions::default() };
-    let cluster = korenveld_with(ClusterOptions { upstream, ..options() }, 5, 0);
+    let cluster = start_cluster_with(ClusterOptions { upstream, ..options() }, 5, 0);
     let victim = 2;
-    let keys = watch::keys_of(&cluster, victim, 0);
-    let all = watch::entries(&cluster, &[0, 1, 2, 3, 4]);
-    let load = watch::start(watch::load(all, 61, 9000));
+    let keys = watch::owned_keys(&cluster, victim, 0);
+    let all = watch::entry_addresses(&cluster, &[0, 1, 2, 3, 4]);
+    let load = watch::spawn_load(watch::mixed_load(all, 61, 9000));
     let upstream = cluster.vms[victim].upstream.as_ref().expect("an upstream").handle();
-    wait_until("the victim serves", AGAIN, || upstream.records().len() > 20)
+    wait_until("the victim serves", RECOVERY_TIMEOUT, || upstream.records().len() > 20)
         .expect("the load reaches the victim");
     let start = Instant::now();
     upstream.set(&UpstreamControl { frozen: Some(true), ..UpstreamControl::default() });
-    let took = watch::answered_again(cluster.vms[0].http, &keys, start);
+    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("frozen server: {} keys served again after {took:?}", keys.len());
     upstream.set(&UpstreamControl { frozen: Some(false), ..UpstreamControl::default() });
     let figures = load.join().expect("the load ends");
     println!("refused after the thaw: {:?}", upstream.counts());
-    watch::judge(&cluster.runs(), &figures);
-    answered_all(&figures);
+    watch::assert_consistent(&cluster.runs(), &figures);
+    assert_all_answered(&figures);
 }
 
 // A network device forgets its flows: the connections between members are open at both ends and
@@ -45,51 +45,54 @@
 // within their deadline, and none of their requests runs twice.
 #[test]
 fn silent_connections_cost_no_answer_and_run_nothing_twice() {
-    let vms = (0..5).map(|number| vm(number, CONTRACTS)).collect();
-    let (cluster, network) = networked(options(), vms);
+    let vms = (0..5).map(|number| vm_options(number, CONTRACTS)).collect();
+    let (cluster, network) = start_proxied(options(), vms);
     let all: Vec<usize> = (0..5).collect();
-    let load = watch::start(watch::load(watch::entries(&cluster, &all), 62, 8000));
-    wait_until("all serve", AGAIN, || all.iter().all(|vm| cluster.vms[*vm].runs().len() > 20))
-        .expect("the load reaches all");
+    let load =
+        watch::spawn_load(watch::mixed_load(watch::entry_addresses(&cluster, &all), 62, 8000));
+    wait_until("all serve", RECOVERY_TIMEOUT, || {
+        all.iter().all(|vm| cluster.vms[*vm].runs().len() > 20)
+    })
+    .expect("the load reaches all");
     for vm in &all {
         assert!(network.proxy(*vm).silence() > 0, "flows to vm-{vm} go silent");
         thread::sleep(Duration::from_millis(700));
     }
-    let keys: Vec<String> = (1..=watch::KEYS).map(|number| format!("key-{number}")).collect();
-    let took = watch::answered_again(cluster.vms[0].http, &keys, Instant::now());
+    let keys: Vec<String> = (1..=watch::KEY_COUNT).map(|number| format!("key-{number}")).collect();
+    let took = watch::wait_until_served(cluster.vms[0].http, &keys, Instant::now());
     println!("silent connections: all keys answered after {took:?}");
     let figures = load.join().expect("the load ends");
-    watch::judge(&cluster.runs(), &figures);
-    answered_all(&figures);
+    watch::assert_consistent(&cluster.runs(), &figures);
+    assert_all_answered(&figures);
 }
 
 // A server announces that it is leaving. Its daemon gives its keys to others, and after a few
 // seconds it gets nothing new, while its callers are served elsewhere.
 #[test]
 fn a_leaving_server_gets_no_new_work() {
-    let cluster = korenveld(5, 0);
+    let cluster = start_cluster(5, 0);
     let victim = 1;
-    let keys = watch::keys_of(&cluster, victim, 0);
-    let all = watch::entries(&cluster, &[0, 1, 2, 3, 4]);
-    let load = watch::start(watch::load(all, 63, 9000));
+    let keys = watch::owned_keys(&cluster, victim, 0);
+    let all = watch::entry_addresses(&cluster, &[0, 1, 2, 3, 4]);
+    let load = watch::spawn_load(watch::mixed_load(all, 63, 9000));
     let upstream = cluster.vms[victim].upstream.as_ref().expect("an upstream").handle();
-    wait_until("the victim serves", AGAIN, || upstream.records().len() > 20)
+    wait_until("the victim serves", RECOVERY_TIMEOUT, || upstream.records().len() > 20)
         .expect("the load reaches the victim");
     let start = Instant::now();
     upstream.set(&UpstreamControl { draining: Some(true), ..UpstreamControl::default() });
     let name = cluster.vms[victim].options.vm.clone();
-    wait_until("the keys are elsewhere", AGAIN, || {
+    wait_until("the keys are elsewhere", RECOVERY_TIMEOUT, || {
         let owner = |key: &String| cluster.owner(0, CONTRACTS, key);
         keys.iter().all(|key| owner(key).is_some_and(|owner| owner != name))
     })
     .expect("the keys pass to others");
     println!("leaving server: keys elsewhere after {:?}", start.elapsed());
-    thread::sleep(LEFT.saturating_sub(start.elapsed()));
+    thread::sleep(LEAVE_TIME.saturating_sub(start.elapsed()));
     let count = upstream.records().len();
     let figures = load.join().expect("the load ends");
-    assert_eq!(upstream.records().len(), count, "new work after {LEFT:?}");
-    watch::judge(&cluster.runs(), &figures);
-    answered_all(&figures);
+    assert_eq!(upstream.records().len(), count, "new work after {LEAVE_TIME:?}");
+    watch::assert_consistent(&cluster.runs(), &figures);
+    assert_all_answered(&figures);
     let unknown = figures.told.get(&Told::Unknown);
     assert_eq!(unknown, None, "a planned end loses no answer");
 }
@@ -98,24 +101,24 @@
 // announces nothing more, and its keys pass to others.
 #[test]
 fn keys_of_a_lost_server_pass_to_others() {
-    let cluster = korenveld(5, 0);
+    let cluster = start_cluster(5, 0);
     let victim = 0;
-    let keys = watch::keys_of(&cluster, victim, 1);
-    let all = watch::entries(&cluster, &[0, 1, 2, 3, 4]);
-    let load = watch::start(watch::load(all, 64, 7000));
-    wait_until("the victim serves", AGAIN, || cluster.vms[victim].runs().len() > 20)
+    let keys = watch::owned_keys(&cluster, victim, 1);
+    let all = watch::entry_addresses(&cluster, &[0, 1, 2, 3, 4]);
+    let load = watch::spawn_load(watch::mixed_load(all, 64, 7000));
+    wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
     let start = Instant::now();
     cluster.vms[victim].upstream.as_ref().expect("an upstream").stop();
-    let took = watch::answered_again(cluster.vms[victim].http, &keys, start);
+    let took = watch::wait_until_served(cluster.vms[victim].http, &keys, start);
     println!("lost server: {} keys served again after {took:?}", keys.len());
     let figures = load.join().expect("the load ends");
-    watch::judge(&cluster.runs(), &figures);
-    answered_all(&figures);
+    watch::assert_consistent(&cluster.runs(), &figures);
+    assert_all_answered(&figures);
 }
 
 /// Asserts that every try had an answer of the system: the caller's patience is twice the deadline.
-fn answered_all(figures: &LoadFigures) {
+fn assert_all_answered(figures: &LoadFigures) {
     let silent: Vec<&str> = figures
         .sent
         .iter()
--- a/acaciaringd/tests/slow_upstream.rs
+++ b/acaciaringd/tests/slow_upstream.rs
@@ -8,22 +8,24 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{Cluster, Health, LoadFigures, UpstreamControl, check_records};
 
-use common::policy::{command, keyed, pooled, run_all, small, stream};
+use common::policy::{
+    class_load, control_upstream, limited_upstreams, run_loads, start_keyed, start_pooled,
+};
 
 /// Bound on the time until balance has moved units; generous, no verdict on speed.
-const MOVED: Duration = Duration::from_secs(30);
+const REBALANCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn slow(cluster: &Cluster, vm: usize, service: f64) {
+fn slow_down(cluster: &Cluster, vm: usize, service: f64) {
     let lie = Some(Health { healthy: true, load: 0.0 });
     let control = UpstreamControl { lie, service: Some(service), ..UpstreamControl::default() };
-    command(cluster, vm, &control);
+    control_upstream(cluster, vm, &control);
 }
 
-fn phase(cluster: &Cluster, seed: u64, millis: u64) -> (LoadFigures, usize, usize) {
+fn run_phase(cluster: &Cluster, seed: u64, millis: u64) -> (LoadFigures, usize, usize) {
     let before = (cluster.runs().len(), cluster.vms[1].runs().len());
-    let mut load = stream(cluster, "query", "/quality-lab/query", 200.0, seed);
+    let mut load = class_load(cluster, "query", "/quality-lab/query", 200.0, seed);
     load.duration = millis;
-    let figures = run_all(&[load]).remove(0);
+    let figures = run_loads(&[load]).remove(0);
     (figures, cluster.runs().len() - before.0, cluster.vms[1].runs().len() - before.1)
 }
 
@@ -32,13 +34,13 @@
 // callers see the latency of a healthy server again.
 #[test]
 fn a_pool_turns_away_from_a_slow_member() {
-    let cluster = pooled(small(8, 20), 4, "");
-    let (fast, all, share) = phase(&cluster, 81, 2000);
+    let cluster = start_pooled(limited_upstreams(8, 20), 4, "");
+    let (fast, all, share) = run_phase(&cluster, 81, 2000);
     println!("before: {share} of {all} runs, {:?}", fast.classes);
-    slow(&cluster, 1, 200.0);
-    let (change, all, share) = phase(&cluster, 82, 2000);
+    slow_down(&cluster, 1, 200.0);
+    let (change, all, share) = run_phase(&cluster, 82, 2000);
     println!("change: {share} of {all} runs, {:?}", change.classes);
-    let (after, all, share) = phase(&cluster, 83, 4000);
+    let (after, all, share) = run_phase(&cluster, 83, 4000);
     println!("after: {share} of {all} runs, {:?}", after.classes);
     assert!(share * 16 < all, "{share} of {all} runs at the slow member");
     let mut times: Vec<u64> = after.sent.iter().map(|sent| sent.end - sent.start).collect();
@@ -52,7 +54,7 @@
     assert!(report.clean(), "{report:#?}");
 }
 
-fn owned(cluster: &Cluster, vm: usize) -> u64 {
+fn owned_units(cluster: &Cluster, vm: usize) -> u64 {
     let status = cluster.admin(0, "/v1/members").unwrap_or_default();
     let rows = status["members"].as_array().cloned().unwrap_or_default();
     let name = cluster.vms[vm].options.vm.as_str();
@@ -64,20 +66,21 @@
 // cooler members, so that fewer clerks wait for it; no clerk's request is lost on the way.
 #[test]
 fn units_move_away_from_a_slow_owner() {
-    let cluster = keyed(small(2, 10), 4, "[balance]\ninterval = 200ms\nmoves = 600\n");
-    let before = owned(&cluster, 1);
-    slow(&cluster, 1, 100.0);
-    let mut load = stream(&cluster, "query", "/contracts/query/{key}", 200.0, 91);
+    let cluster =
+        start_keyed(limited_upstreams(2, 10), 4, "[balance]\ninterval = 200ms\nmoves = 600\n");
+    let before = owned_units(&cluster, 1);
+    slow_down(&cluster, 1, 100.0);
+    let mut load = class_load(&cluster, "query", "/contracts/query/{key}", 200.0, 91);
     load.duration = 10_000;
-    let load = thread::spawn(move || run_all(&[load]).remove(0));
+    let load = thread::spawn(move || run_loads(&[load]).remove(0));
     let fewer = |left: u64| left * 4 < before * 3;
     let mut least = before;
-    let moved = wait_until("units move away", MOVED, || {
-        least = least.min(owned(&cluster, 1));
+    let moved = wait_until("units move away", REBALANCE_TIMEOUT, || {
+        least = least.min(owned_units(&cluster, 1));
         fewer(least) || load.is_finished()
     });
     let figures = load.join().expect("the load ends");
-    let left = owned(&cluster, 1);
+    let left = owned_units(&cluster, 1);
     println!("owned {before}, {least}, then {left}; {:?}", figures.classes);
     moved.expect("the owner gives units away");
     assert!(fewer(least), "of {before} units it keeps {least}");
--- a/acaciaringd/tests/support/mod.rs
+++ b/acaciaringd/tests/support/mod.rs
@@ -7,17 +7,17 @@
 use std::time::Duration;
 
 /// Bound of each wait; only a failing test reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Connects with a read timeout.
 pub fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect_timeout(&address, PATIENCE).expect("connect");
-    stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
+    let stream = TcpStream::connect_timeout(&address, WAIT_TIMEOUT).expect("connect");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("timeout");
     stream
 }
 
 /// Reads one message: head, and body by its content length. Empty at the end of the stream.
-pub fn message(stream: &mut TcpStream) -> String {
+pub fn read_message(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut byte = [0];
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -38,18 +38,18 @@
 pub fn exchange(address: SocketAddr, request: &str) -> String {
     let mut stream = connect(address);
     stream.write_all(request.as_bytes()).expect("write");
-    message(&mut stream)
+    read_message(&mut stream)
 }
 
 /// Returns what the peer sends until it closes.
-pub fn rest(stream: &mut TcpStream) -> Vec<u8> {
+pub fn read_to_end(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
     bytes
 }
 
 /// Runs `script` for each connection, on a thread of its own, with its number from 0.
-pub fn serve(script: impl Fn(usize, TcpStream) + Clone + Send + 'static) -> SocketAddr {
+pub fn spawn_server(script: impl Fn(usize, TcpStream) + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
     thread::spawn(move || {
@@ -62,9 +62,9 @@
 }
 
 /// Answers each request of each connection with the same bytes, then closes when `close`.
-pub fn answering(answer: &'static [u8], close: bool) -> SocketAddr {
-    serve(move |_, mut stream| {
-        while !message(&mut stream).is_empty() {
+pub fn serve_answer(answer: &'static [u8], close: bool) -> SocketAddr {
+    spawn_server(move |_, mut stream| {
+        while !read_message(&mut stream).is_empty() {
             let _ = stream.write_all(answer);
             if close {
                 let _ = stream.shutdown(Shutdown::Both);
@@ -75,13 +75,13 @@
 }
 
 /// Returns an address at which nobody listens.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     listener.local_addr().expect("address")
 }
 
 /// Waits until `done`, with a generous bound.
-pub fn wait(mut done: impl FnMut() -> bool) -> bool {
+pub fn wait_until(mut done: impl FnMut() -> bool) -> bool {
     let step = Duration::from_millis(5);
     (0..4000).any(|_| {
         done() || {
