--- a/acaciaringd/tests/upstream.rs
+++ b/acaciaringd/tests/upstream.rs
@@ -25,7 +25,7 @@
         body: b"",
         id: RequestId([0xab; 16]),
         attempt: 7,
-        left: support::PATIENCE,
+        left: support::WAIT_TIMEOUT,
         fence: None,
         trace: TRACE,
     }
@@ -42,8 +42,8 @@
 #[test]
 fn sends_the_request_as_the_caller_did() {
     let (sender, requests) = mpsc::channel();
-    let address = support::serve(move |_, mut stream| {
-        let request = support::message(&mut stream);
+    let address = support::spawn_server(move |_, mut stream| {
+        let request = support::read_message(&mut stream);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
         sender.send(request).expect("test waits");
     });
@@ -59,7 +59,7 @@
         UpstreamCall { method: "POST", headers: &headers, body: b"beef", fence, ..call(address) };
     Upstream::new(UpstreamSettings::default()).send(&call).expect("answer");
 
-    let request = requests.recv_timeout(support::PATIENCE).expect("request");
+    let request = requests.recv_timeout(support::WAIT_TIMEOUT).expect("request");
     let (head, body) = request.split_once("\r\n\r\n").expect("head");
     assert_eq!(body, "beef");
     let mut lines: Vec<_> = head.lines().map(str::to_owned).collect();
@@ -89,7 +89,7 @@
 fn hands_on_the_answer_byte_for_byte() {
     let answer = b"HTTP/1.1 418 Teapot\r\nx-note: caf\xe9\r\nkeep-alive: 5\r\nset-cookie: a\r\n\
         set-cookie: b\r\nx-acaciaring-verdict: not-run\r\ncontent-length: 3\r\n\r\n\0\xff\n";
-    let answer = send(support::answering(answer, false)).expect("answer");
+    let answer = send(support::serve_answer(answer, false)).expect("answer");
     let headers = [("x-note", &b"caf\xe9"[..]), ("set-cookie", b"a"), ("set-cookie", b"b")];
     let headers = headers.map(|(name, value)| (name.to_owned(), value.to_vec()));
     assert_eq!(answer.headers, headers);
@@ -99,15 +99,15 @@
 #[test]
 fn answers_without_body_state_a_length_only_for_head() {
     let head = b"HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n";
-    let address = support::answering(head, false);
+    let address = support::serve_answer(head, false);
     let call = UpstreamCall { method: "HEAD", ..call(address) };
     let answer = Upstream::new(UpstreamSettings::default()).send(&call).expect("answer");
     assert_eq!(answer.headers, [("content-length".to_owned(), b"900".to_vec())]);
     for bare in [&b"HTTP/1.1 204 No Content\r\n\r\n"[..], b"HTTP/1.1 304 Not Modified\r\n\r\n"] {
-        assert_eq!(send(support::answering(bare, false)).expect("answer").body, b"");
+        assert_eq!(send(support::serve_answer(bare, false)).expect("answer").body, b"");
     }
     let hints = b"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nx";
-    assert_eq!(send(support::answering(hints, false)).expect("answer").body, b"x");
+    assert_eq!(send(support::serve_answer(hints, false)).expect("answer").body, b"x");
 }
 
 /// A clerk sees half a delivery commitment as if it were all of it.
@@ -125,41 +125,41 @@
     ];
     for answer in cut {
         let text = String::from_utf8_lossy(answer);
-        assert_eq!(send(support::answering(answer, true)), lost(), "{text}");
+        assert_eq!(send(support::serve_answer(answer, true)), lost(), "{text}");
     }
 }
 
 #[test]
 fn whole_answer_on_a_connection_that_closes_is_whole() {
     let answer = b"HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 5\r\n\r\nwhole";
-    assert_eq!(send(support::answering(answer, true)).expect("answer").body, b"whole");
+    assert_eq!(send(support::serve_answer(answer, true)).expect("answer").body, b"whole");
 }
 
 #[test]
 fn connection_refused_is_not_run() {
-    assert_eq!(send(support::nobody()), Err(Refusal::not_run(Reason::UpstreamDown)));
+    assert_eq!(send(support::unused_address()), Err(Refusal::not_run(Reason::UpstreamDown)));
 }
 
 #[test]
 fn refusals_of_the_upstream_are_not_run() {
     let fence =
         b"HTTP/1.1 409 Conflict\r\nx-acaciaring-refused: fence\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(send(support::answering(fence, false)), Err(Refusal::not_run(Reason::NoLease)));
+    assert_eq!(send(support::serve_answer(fence, false)), Err(Refusal::not_run(Reason::NoLease)));
     let shed = b"HTTP/1.1 503 Busy\r\nx-acaciaring-refused: shed\r\nretry-after: 7\r\n\
         content-length: 0\r\n\r\n";
     let busy = Refusal::not_run(Reason::Busy).after(Duration::from_secs(7));
-    assert_eq!(send(support::answering(shed, false)), Err(busy));
+    assert_eq!(send(support::serve_answer(shed, false)), Err(busy));
     let late = b"HTTP/1.1 504 Late\r\nx-acaciaring-refused: deadline\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(send(support::answering(late, false)), Err(Refusal::not_run(Reason::Expired)));
+    assert_eq!(send(support::serve_answer(late, false)), Err(Refusal::not_run(Reason::Expired)));
     let conflict = b"HTTP/1.1 409 Conflict\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(send(support::answering(conflict, false)).expect("answer").status, 409);
+    assert_eq!(send(support::serve_answer(conflict, false)).expect("answer").status, 409);
     let failed = b"HTTP/1.1 503 Down\r\nretry-after: 7\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(send(support::answering(failed, false)).expect("answer").status, 503);
+    assert_eq!(send(support::serve_answer(failed, false)).expect("answer").status, 503);
 }
 
 #[test]
 fn request_that_is_not_http_is_not_run() {
-    let address = support::answering(b"", true);
+    let address = support::serve_answer(b"", true);
     let upstream = Upstream::new(UpstreamSettings::default());
     for (method, path) in [("GET", "/a b"), ("GET", "/a#b"), ("G T", "/")] {
         let refusal = upstream.send(&UpstreamCall { method, path, ..call(address) });
@@ -176,13 +176,13 @@
 fn client_repeats_nothing() {
     let count = Arc::new(AtomicUsize::new(0));
     let counter = Arc::clone(&count);
-    let address = support::serve(move |_, mut stream| {
+    let address = support::spawn_server(move |_, mut stream| {
         let moved = b"HTTP/1.1 307 Moved\r\nlocation: /other\r\ncontent-length: 0\r\n\r\n";
-        if !support::message(&mut stream).is_empty() {
+        if !support::read_message(&mut stream).is_empty() {
             counter.fetch_add(1, Ordering::SeqCst);
             stream.write_all(moved).expect("write");
         }
-        if !support::message(&mut stream).is_empty() {
+        if !support::read_message(&mut stream).is_empty() {
             counter.fetch_add(1, Ordering::SeqCst);
         }
     });
@@ -197,9 +197,9 @@
 /// late, on connections that other requests could have taken over.
 #[test]
 fn late_answer_reaches_nobody_else() {
-    let address = support::serve(|_, mut stream| {
+    let address = support::spawn_server(|_, mut stream| {
         loop {
-            let request = support::message(&mut stream);
+            let request = support::read_message(&mut stream);
             let Some(path) = request.split(' ').nth(1) else { return };
             if path.ends_with("slow") {
                 thread::sleep(Duration::from_millis(60));
@@ -217,7 +217,7 @@
                 for number in 0..60 {
                     let slow = number % 3 == 0;
                     let path = format!("/{worker}/{number}/{}", if slow { "slow" } else { "fast" });
-                    let left = if slow { Duration::from_millis(20) } else { support::PATIENCE };
+                    let left = if slow { Duration::from_millis(20) } else { support::WAIT_TIMEOUT };
                     match upstream.send(&UpstreamCall { path: &path, left, ..call(address) }) {
                         Ok(answer) => {
                             assert_eq!(answer.body, path.as_bytes());
@@ -238,12 +238,12 @@
 #[test]
 fn cancellation_names_the_try() {
     let (sender, requests) = mpsc::channel();
-    let address = support::serve(move |_, mut stream| {
-        sender.send(support::message(&mut stream)).expect("test waits");
+    let address = support::spawn_server(move |_, mut stream| {
+        sender.send(support::read_message(&mut stream)).expect("test waits");
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
     });
     Upstream::new(UpstreamSettings::default()).cancel(address, 41);
-    let request = requests.recv_timeout(support::PATIENCE).expect("request");
+    let request = requests.recv_timeout(support::WAIT_TIMEOUT).expect("request");
     assert!(request.starts_with("POST /acaciaring/cancel/41 HTTP/1.1\r\n"), "{request}");
 }
 
--- a/acaciaringd/tests/web_stop.rs
+++ b/acaciaringd/tests/web_stop.rs
@@ -14,17 +14,17 @@
 use tokio::runtime::{Builder, Runtime};
 
 /// Bound of a stop on any machine that works.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Size of an answer that no socket holds whole.
-const SIZE: usize = 16 << 20;
+const ANSWER_BYTES: usize = 16 << 20;
 
 /// Site whose answers are large.
 struct Large;
 
 impl Site for Large {
     fn answer(&self, _head: Parts, _body: Bytes) -> BoxFuture<'_, Response> {
-        Box::pin(async { text(StatusCode::OK, vec![b'x'; SIZE]) })
+        Box::pin(async { text(StatusCode::OK, vec![b'x'; ANSWER_BYTES]) })
     }
 }
 
@@ -45,12 +45,12 @@
     caller.write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n").expect("write");
     caller.peek(&mut [0]).expect("the answer has begun");
     thread::scope(|scope| {
-        let drain = scope.spawn(|| server.drain(PATIENCE));
+        let drain = scope.spawn(|| server.drain(WAIT_TIMEOUT));
         thread::sleep(Duration::from_millis(300));
-        assert!(!drain.is_finished(), "the process would end with {SIZE} bytes under way");
+        assert!(!drain.is_finished(), "the process would end with {ANSWER_BYTES} bytes under way");
         let mut answer = Vec::new();
         caller.read_to_end(&mut answer).expect("the whole answer, then the end");
-        assert!(answer.len() > SIZE);
+        assert!(answer.len() > ANSWER_BYTES);
         assert_eq!(drain.join().expect("it ends"), 0);
     });
 }
@@ -62,13 +62,13 @@
     let unused = TcpStream::connect(server.local_addr()).expect("connect");
     let mut idle = TcpStream::connect(server.local_addr()).expect("connect");
     idle.write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n").expect("write");
-    let mut left = SIZE;
+    let mut left = ANSWER_BYTES;
     let mut buffer = vec![0; 1 << 16];
     while left > 0 {
         left = left.saturating_sub(idle.read(&mut buffer).expect("the answer"));
     }
     let start = Instant::now();
-    assert_eq!(server.drain(PATIENCE), 0);
-    assert!(start.elapsed() < PATIENCE / 2, "{:?}", start.elapsed());
+    assert_eq!(server.drain(WAIT_TIMEOUT), 0);
+    assert!(start.elapsed() < WAIT_TIMEOUT / 2, "{:?}", start.elapsed());
     drop((unused, idle));
 }
