--- a/acaciaringd/tests/answers.rs
+++ b/acaciaringd/tests/answers.rs
@@ -10,11 +10,11 @@
     Ask, Cluster, LoadClass, LoadOptions, Told, UpstreamControl, ask, check_records, run_load,
 };
 
-use common::policy::{
+use common::classes::{
     WAIT_TIMEOUT, class_load, control_upstream, limited_upstreams, owner_index, run_count,
     run_loads, start_pooled, sync_standbys,
 };
-use common::{start_cluster, watch};
+use common::{recovery, start_cluster};
 
 fn sign<'a>(path: &'a str, key: &'a str) -> Ask<'a> {
     Ask { method: "POST", path, key, body: "signature", ..Ask::default() }
@@ -78,9 +78,9 @@
         let faults = UpstreamControl { lose: Some(1_000_000), ..UpstreamControl::default() };
         control_upstream(&cluster, vm, &faults);
     }
-    let class = LoadClass { path: watch::key_path("{key}"), ..LoadClass::default() };
+    let class = LoadClass { path: recovery::key_path("{key}"), ..LoadClass::default() };
     let load = LoadOptions {
-        entries: watch::entry_addresses(&cluster, &[0, 1, 2]),
+        entries: recovery::entry_addresses(&cluster, &[0, 1, 2]),
         threads: 16,
         duration: 4000,
         rate: 200.0,
@@ -102,15 +102,17 @@
 #[test]
 fn nobody_gets_the_answer_of_another() {
     let cluster = start_cluster(3, 0);
-    let keys: Vec<String> = (1..=watch::KEY_COUNT).map(|number| format!("key-{number}")).collect();
+    let keys: Vec<String> =
+        (1..=recovery::KEY_COUNT).map(|number| format!("key-{number}")).collect();
     sync_standbys(&cluster, &keys);
-    let mut options = watch::mixed_load(watch::entry_addresses(&cluster, &[0, 1, 2]), 31, 5000);
+    let mut options =
+        recovery::mixed_load(recovery::entry_addresses(&cluster, &[0, 1, 2]), 31, 5000);
     options.threads = 24;
     options.rate = 240.0;
     for class in &mut options.classes {
         class.deadline = 250;
     }
-    let load = watch::spawn_load(options);
+    let load = recovery::spawn_load(options);
     while !load.is_finished() {
         for vm in 0..3 {
             let faults = UpstreamControl {
@@ -129,7 +131,7 @@
     assert_eq!((told(Told::Wrong), told(Told::Nothing)), (0, 0), "{:?}", figures.told);
     assert!(told(Told::Unknown) > 0, "no answer was late");
     assert!(told(Told::Answered) > 200, "{:?}", figures.told);
-    watch::assert_consistent(&cluster.runs(), &figures);
+    recovery::assert_consistent(&cluster.runs(), &figures);
 }
 
 // The entry at which a clerk signs is killed while the contract is being signed. The clerk asks
--- a/acaciaringd/tests/ask_again.rs
+++ b/acaciaringd/tests/ask_again.rs
@@ -8,8 +8,8 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{Cluster, VmOptions};
 
-use common::policy::{header_value, response_head};
-use common::watch::{self, RECOVERY_TIMEOUT};
+use common::classes::{header_value, response_head};
+use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, options, vm_options};
 
 /// Deadline of the requests in milliseconds, well below the time until the keys are taken over.
@@ -36,10 +36,10 @@
             .expect("a VM starts");
     }
     common::publish_contracts(&cluster, 3);
-    let key = watch::owned_keys(&cluster, 1, 0).remove(0);
+    let key = recovery::owned_keys(&cluster, 1, 0).remove(0);
     cluster.kill(1);
     for _ in 0..REQUEST_COUNT {
-        let (head, _) = response_head(cluster.vms[0].http, &watch::key_path(&key), DEADLINE_MS);
+        let (head, _) = response_head(cluster.vms[0].http, &recovery::key_path(&key), DEADLINE_MS);
         assert_ne!(header_value(&head, "x-acaciaring-verdict"), Some("answered"), "{head}");
     }
     let lines = || {
--- a/acaciaringd/tests/caller.rs
+++ b/acaciaringd/tests/caller.rs
@@ -7,7 +7,7 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{Cluster, UpstreamControl};
 
-use common::policy::{
+use common::classes::{
     WAIT_TIMEOUT, control_upstream, header_value, limited_upstreams, owner_index, response_head,
     run_count, send_request, start_keyed,
 };
--- a/acaciaringd/tests/common/mod.rs
+++ b/acaciaringd/tests/common/mod.rs
@@ -2,8 +2,8 @@
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
-pub mod policy;
-pub mod watch;
+pub mod classes;
+pub mod recovery;
 
 use std::env;
 use std::path::PathBuf;
--- a/acaciaringd/tests/freeze.rs
+++ b/acaciaringd/tests/freeze.rs
@@ -10,7 +10,7 @@
     Ask, ClusterOptions, LoadFigures, Run, UpstreamControl, UpstreamOptions, ask,
 };
 
-use common::watch::{self, RECOVERY_TIMEOUT};
+use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, options, start_proxied, vm_options};
 
 /// Requests of callers that wait in the frozen member.
@@ -45,9 +45,9 @@
     let vms = (0..5).map(|number| vm_options(number, CONTRACTS)).collect();
     let (mut cluster, network) = start_proxied(options, vms);
     let (victim, others) = (1, [0, 2, 3, 4]);
-    let keys = watch::owned_keys(&cluster, victim, 0);
-    let live = watch::entry_addresses(&cluster, &others);
-    let load = watch::spawn_load(watch::mixed_load(live, seed, 7000));
+    let keys = recovery::owned_keys(&cluster, victim, 0);
+    let live = recovery::entry_addresses(&cluster, &others);
+    let load = recovery::spawn_load(recovery::mixed_load(live, seed, 7000));
     wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
     let server = cluster.vms[victim].upstream.as_ref().expect("an upstream").handle();
@@ -69,12 +69,12 @@
         .cloned()
         .map(|key| {
             thread::spawn(move || {
-                let path = format!("{}/waiting", watch::key_path(&key));
+                let path = format!("{}/waiting", recovery::key_path(&key));
                 ask(own, &Ask { path: &path, ..Ask::default() })
             })
         })
         .collect();
-    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
+    let took = recovery::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("freeze, fenced {fenced}: {} keys served again after {took:?}", keys.len());
     server.set(&UpstreamControl { frozen: Some(false), ..UpstreamControl::default() });
     if fenced {
@@ -104,7 +104,7 @@
         let late = |run: &Run| run.upstream == name && run.start > frozen;
         runs.retain(|run| !(late(run) && sent_before(&figures, run, frozen)));
     }
-    watch::assert_consistent(&runs, &figures);
+    recovery::assert_consistent(&runs, &figures);
 }
 
 /// Whether a run is of a request that was sent before a time in microseconds of Unix time.
--- a/acaciaringd/tests/hot_key.rs
+++ b/acaciaringd/tests/hot_key.rs
@@ -9,8 +9,8 @@
     Ask, Cluster, LoadClass, LoadFigures, Run, UpstreamControl, ask, run_load,
 };
 
-use common::policy::{class_load, control_upstream, limited_upstreams, start_keyed};
-use common::watch;
+use common::classes::{class_load, control_upstream, limited_upstreams, start_keyed};
+use common::recovery;
 
 /// Path of the key that gets half of all requests.
 const HOT_PATH: &str = "/contracts/sign/month-end";
@@ -95,5 +95,5 @@
     assert!(after < before, "the fullest server had {before} times the mean, then {after}");
     assert_eq!(overlaps(&runs), [], "two servers at once");
     assert!(servers.len() > 1, "the key did not move");
-    watch::assert_consistent(&all, &figures);
+    recovery::assert_consistent(&all, &figures);
 }
--- a/acaciaringd/tests/loss.rs
+++ b/acaciaringd/tests/loss.rs
@@ -6,7 +6,7 @@
 
 use acaciaring_testing::harness::wait_until;
 
-use common::watch::{self, RECOVERY_TIMEOUT};
+use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, start_cluster};
 
 // A mill clerk signs while the VM that owns the contract dies: the process is killed, its lessors
@@ -17,14 +17,14 @@
 fn keys_of_a_killed_member_are_served_again() {
     let mut cluster = start_cluster(5, 0);
     let victim = 3;
-    let keys = watch::owned_keys(&cluster, victim, 0);
-    let live = watch::entry_addresses(&cluster, &[0, 1, 2, 4]);
-    let load = watch::spawn_load(watch::mixed_load(live, 11, 7000));
+    let keys = recovery::owned_keys(&cluster, victim, 0);
+    let live = recovery::entry_addresses(&cluster, &[0, 1, 2, 4]);
+    let load = recovery::spawn_load(recovery::mixed_load(live, 11, 7000));
     wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
     let start = Instant::now();
     cluster.kill(victim);
-    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
+    let took = recovery::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("kill: {} keys served again after {took:?}", keys.len());
     let figures = load.join().expect("the load ends");
     let name = cluster.vms[victim].options.vm.clone();
@@ -32,5 +32,5 @@
         let owner = cluster.owner(0, CONTRACTS, key);
         assert_ne!(owner.as_deref(), Some(name.as_str()), "{key}");
     }
-    watch::assert_consistent(&cluster.runs(), &figures);
+    recovery::assert_consistent(&cluster.runs(), &figures);
 }
--- a/acaciaringd/tests/near.rs
+++ b/acaciaringd/tests/near.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::policy::{class_load, limited_upstreams, run_loads, start_pooled};
+use common::classes::{class_load, limited_upstreams, run_loads, start_pooled};
 
 // Half of all requests to a wide deployment's dossiers came to a process whose own upstream serves them and
 // had places free. Each went to one of all members alike: 204,144 requests went to another process, on
--- a/acaciaringd/tests/once.rs
+++ b/acaciaringd/tests/once.rs
@@ -10,8 +10,8 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{Ask, Reply, UpstreamControl, ask};
 
+use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::start_cluster;
-use common::watch::{self, RECOVERY_TIMEOUT};
 
 /// Time that a signature takes, in milliseconds: longer than its deadline, so that none is answered.
 const SIGN_SERVICE_MS: f64 = 10_000.0;
@@ -24,7 +24,7 @@
 fn signatures_in_flight_at_a_killed_member_run_once() {
     let mut cluster = start_cluster(5, 0);
     let victim = 2;
-    let keys = watch::owned_keys(&cluster, victim, 0);
+    let keys = recovery::owned_keys(&cluster, victim, 0);
     let (first, second) = (cluster.vms[0].http, cluster.vms[1].http);
     for key in &keys {
         // The standby is synced once a signature runs.
@@ -63,7 +63,7 @@
 }
 
 fn sign(entry: SocketAddr, key: &str, name: &str) -> Option<Reply> {
-    let (path, name) = (watch::key_path(key), format!("{key}-{name}"));
+    let (path, name) = (recovery::key_path(key), format!("{key}-{name}"));
     let request = Ask { method: "POST", path: &path, key: &name, body: "signed", ..Ask::default() };
     ask(entry, &request).ok()
 }
--- a/acaciaringd/tests/operators.rs
+++ b/acaciaringd/tests/operators.rs
@@ -10,7 +10,7 @@
 use acaciaring_testing::{Cluster, LogControl, VmOptions};
 use serde_json::Value;
 
-use common::watch::RECOVERY_TIMEOUT;
+use common::recovery::RECOVERY_TIMEOUT;
 use common::{CONTRACTS, options, start_cluster, start_vms, vm_options};
 
 const VM_COUNT: usize = 5;
--- a/acaciaringd/tests/outage.rs
+++ b/acaciaringd/tests/outage.rs
@@ -7,7 +7,7 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{Cluster, LogControl};
 
-use common::watch::{self, RECOVERY_TIMEOUT};
+use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, start_cluster};
 
 // The log is down, and in the same hour a VM dies. Nobody can write down who follows; the standby
@@ -17,15 +17,18 @@
 fn a_standby_takes_over_while_the_log_is_down() {
     let mut cluster = start_cluster(5, 0);
     let (victim, live) = (2, [0, 1, 3, 4]);
-    let keys = watch::owned_keys(&cluster, victim, 0);
-    let load =
-        watch::spawn_load(watch::mixed_load(watch::entry_addresses(&cluster, &live), 41, 8000));
+    let keys = recovery::owned_keys(&cluster, victim, 0);
+    let load = recovery::spawn_load(recovery::mixed_load(
+        recovery::entry_addresses(&cluster, &live),
+        41,
+        8000,
+    ));
     wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
     set_outage(&cluster, true);
     let start = Instant::now();
     cluster.kill(victim);
-    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
+    let took = recovery::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("kill without log: {} keys served again after {took:?}", keys.len());
     let servers = last_servers(&cluster, &keys);
     let name = cluster.vms[victim].options.vm.clone();
@@ -44,14 +47,14 @@
     .expect("the records follow");
     println!("all agree {:?} after the log is back", back.elapsed());
     let figures = load.join().expect("the load ends");
-    watch::assert_consistent(&cluster.runs(), &figures);
+    recovery::assert_consistent(&cluster.runs(), &figures);
 }
 
 /// Names of the upstreams at which the last run of each key was.
 fn last_servers(cluster: &Cluster, keys: &[String]) -> Vec<String> {
     let runs = cluster.runs();
     let last = |key: &String| {
-        let path = watch::key_path(key);
+        let path = recovery::key_path(key);
         let runs = runs.iter().filter(|run| run.path == path);
         runs.max_by_key(|run| run.start).expect("a run of the key").upstream.clone()
     };
--- a/acaciaringd/tests/overload.rs
+++ b/acaciaringd/tests/overload.rs
@@ -9,7 +9,7 @@
 
 use acaciaring_testing::{Cluster, LoadFigures, LoadOptions, Sent, Told, check_records};
 
-use common::policy::{
+use common::classes::{
     class_load, header_value, limited_upstreams, response_head, run_loads, start_keyed,
     start_pooled,
 };
--- a/acaciaringd/tests/partition.rs
+++ b/acaciaringd/tests/partition.rs
@@ -11,7 +11,7 @@
 use acaciaring_testing::{Ask, Cluster, Network, VmOptions, ask, ask_until_answered};
 use serde_json::Value;
 
-use common::watch::{self, RECOVERY_TIMEOUT};
+use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, options, start_proxied, vm_options};
 
 /// Members of a system.
@@ -59,16 +59,19 @@
 fn check_cut_off(seed: u64, cut: impl Fn(&Network, bool)) {
     let vms = (0..VM_COUNT).map(|number| vm_options(number, CONTRACTS)).collect();
     let (cluster, network) = start_proxied(options(), vms);
-    let keys = watch::owned_keys(&cluster, VICTIM, 0);
-    let load =
-        watch::spawn_load(watch::mixed_load(watch::entry_addresses(&cluster, &OTHERS), seed, 7000));
+    let keys = recovery::owned_keys(&cluster, VICTIM, 0);
+    let load = recovery::spawn_load(recovery::mixed_load(
+        recovery::entry_addresses(&cluster, &OTHERS),
+        seed,
+        7000,
+    ));
     wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[VICTIM].runs().len() > 20)
         .expect("the load reaches the victim");
     let start = Instant::now();
     cut(&network, true);
-    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
+    let took = recovery::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("cut {seed}: {} keys served again after {took:?}", keys.len());
-    let path = watch::key_path(&keys[0]);
+    let path = recovery::key_path(&keys[0]);
     let request = Ask { path: &path, ..Ask::default() };
     let reply = ask(cluster.vms[VICTIM].http, &request).expect("an answer");
     println!("at the cut entry: {} {}", reply.verdict, reply.reason);
@@ -77,7 +80,7 @@
         .expect("an answer");
     assert_eq!(reply.verdict, "answered", "{reply:?}");
     let figures = load.join().expect("the load ends");
-    watch::assert_consistent(&cluster.runs(), &figures);
+    recovery::assert_consistent(&cluster.runs(), &figures);
 }
 
 // Two regions lose each other, and the log is in the first. Lessors are in the own region, so each
@@ -109,7 +112,7 @@
     while Instant::now() < end {
         for (vms, keys) in [one, other].iter().zip(&keys) {
             for (vm, key) in vms.iter().zip(keys) {
-                let path = watch::key_path(key);
+                let path = recovery::key_path(key);
                 let request = Ask { path: &path, ..Ask::default() };
                 let reply = ask(cluster.vms[*vm].http, &request).expect("an answer");
                 assert_eq!(reply.verdict, "answered", "{key} at vm-{vm}: {reply:?}");
@@ -117,14 +120,14 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    let path = watch::key_path(&keys[0][0]);
+    let path = recovery::key_path(&keys[0][0]);
     let reply = ask(cluster.vms[other[0]].http, &Ask { path: &path, ..Ask::default() });
     // It is unknown where the request went out on a connection that the cut has silenced.
     assert_ne!(reply.expect("an answer").verdict, "answered", "a key of the other region");
     network.heal();
     for vm in 0..cluster.vms.len() {
         let all: Vec<String> = keys.iter().flatten().cloned().collect();
-        watch::wait_until_served(cluster.vms[vm].http, &all, Instant::now());
+        recovery::wait_until_served(cluster.vms[vm].http, &all, Instant::now());
     }
     let stale = acaciaring_testing::check_tokens(&cluster.runs());
     assert!(stale.is_empty(), "{stale:#?}");
@@ -150,7 +153,7 @@
 /// Keys of the load that these VMs own.
 fn keys_owned_by(cluster: &Cluster, vms: &[usize]) -> Vec<String> {
     let names: Vec<&str> = vms.iter().map(|vm| cluster.vms[*vm].options.vm.as_str()).collect();
-    let keys = (1..=watch::KEY_COUNT).map(|number| format!("key-{number}"));
+    let keys = (1..=recovery::KEY_COUNT).map(|number| format!("key-{number}"));
     keys.filter(|key| {
         cluster.owner(0, CONTRACTS, key).is_some_and(|owner| names.contains(&owner.as_str()))
     })
--- a/acaciaringd/tests/place.rs
+++ b/acaciaringd/tests/place.rs
@@ -9,7 +9,7 @@
 use acaciaring_testing::{Ask, ask, ask_until_answered};
 use serde_json::Value;
 
-use common::watch::{self, RECOVERY_TIMEOUT};
+use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, start_cluster};
 
 /// Time without a lease after which a member gives up by the default settings.
@@ -27,12 +27,12 @@
     let centre = |vm: usize| cluster.vms[vm].options.data_centre.clone();
     assert_eq!(centre(lost[0]), centre(lost[1]));
     let keys: Vec<String> =
-        lost.iter().flat_map(|vm| watch::owned_keys(&cluster, *vm, 1)).collect();
+        lost.iter().flat_map(|vm| recovery::owned_keys(&cluster, *vm, 1)).collect();
     let start = Instant::now();
     for vm in lost {
         cluster.kill(vm);
     }
-    let took = watch::wait_until_served(cluster.vms[1].http, &keys, start);
+    let took = recovery::wait_until_served(cluster.vms[1].http, &keys, start);
     println!("data centre: {} keys served again after {took:?}", keys.len());
     let lost = ["vm-0", "vm-4"].map(Some);
     wait_until("the log names other owners", RECOVERY_TIMEOUT, || {
@@ -60,13 +60,13 @@
     let left = 7;
     let lost: Vec<usize> = lessors(left).into_iter().filter(|vm| *vm != 0).take(2).collect();
     assert_eq!(lost.len(), 2, "{lost:?}");
-    let keys = watch::owned_keys(&cluster, left, 1);
+    let keys = recovery::owned_keys(&cluster, left, 1);
     for vm in &lost {
         cluster.kill(*vm);
     }
     // Its lease is over before its keys count as served again.
     thread::sleep(Duration::from_secs(2));
-    let took = watch::wait_until_served(cluster.vms[0].http, &keys, Instant::now());
+    let took = recovery::wait_until_served(cluster.vms[0].http, &keys, Instant::now());
     println!("two lessors lost: {} keys served again after {took:?}", keys.len());
     assert!(took < ABANDON_TIMEOUT / 2, "{took:?}");
 }
--- a/acaciaringd/tests/shed.rs
+++ b/acaciaringd/tests/shed.rs
@@ -11,7 +11,7 @@
     check_records,
 };
 
-use common::policy::{
+use common::classes::{
     WAIT_TIMEOUT, class_load, control_upstream, header_value, limited_upstreams, owner_index,
     response_head, run_loads, start_keyed, start_pooled,
 };
--- a/acaciaringd/tests/shutdown.rs
+++ b/acaciaringd/tests/shutdown.rs
@@ -11,7 +11,7 @@
     Ask, ClusterOptions, LoadFigures, LogControl, Run, Told, UpstreamControl, UpstreamOptions, ask,
 };
 
-use common::watch::{self, RECOVERY_TIMEOUT};
+use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{options, start_cluster_with};
 
 /// End of the path of requests that take long.
@@ -40,16 +40,16 @@
     let upstream = UpstreamOptions { service, ..UpstreamOptions::default() };
     let mut cluster = start_cluster_with(ClusterOptions { upstream, ..options() }, 5, 0);
     let victim = 1;
-    let keys = watch::owned_keys(&cluster, victim, 0);
-    let others = watch::entry_addresses(&cluster, &[0, 2, 3, 4]);
-    let load = watch::spawn_load(watch::mixed_load(others, seed, 8000));
-    let own = watch::entry_addresses(&cluster, &[victim]);
+    let keys = recovery::owned_keys(&cluster, victim, 0);
+    let others = recovery::entry_addresses(&cluster, &[0, 2, 3, 4]);
+    let load = recovery::spawn_load(recovery::mixed_load(others, seed, 8000));
+    let own = recovery::entry_addresses(&cluster, &[victim]);
     let at_victim = acaciaring_testing::LoadOptions {
         tries: 1,
         threads: 4,
-        ..watch::mixed_load(own, seed + 100, 8000)
+        ..recovery::mixed_load(own, seed + 100, 8000)
     };
-    let at_victim = watch::spawn_load(at_victim);
+    let at_victim = recovery::spawn_load(at_victim);
     wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
     let control = LogControl { outage: Some(outage), ..LogControl::default() };
@@ -77,12 +77,12 @@
     }
     let status = cluster.vms[victim].process.wait(EXIT_TIMEOUT).expect("the process ends");
     let ended = start.elapsed();
-    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
+    let took = recovery::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("stop, log down {outage}: ended after {ended:?}, keys at the heirs after {took:?}");
     let (figures, own) = (load.join().expect("it ends"), at_victim.join().expect("it ends"));
     let runs = cluster.runs();
-    watch::assert_consistent(&runs, &figures);
-    watch::assert_consistent(&runs, &own);
+    recovery::assert_consistent(&runs, &figures);
+    recovery::assert_consistent(&runs, &own);
     assert_eq!(status.code(), Some(0), "exit code");
     let verdicts: Vec<String> =
         callers.into_iter().map(|caller| caller.join().expect("a caller ends")).collect();
@@ -96,7 +96,7 @@
 /// Asks for each key with a request that takes long at the member that stops.
 fn send_slow(entry: SocketAddr, keys: &[String]) -> Vec<JoinHandle<String>> {
     let call = |key: &String| {
-        let path = format!("{}{SLOW_SUFFIX}", watch::key_path(key));
+        let path = format!("{}{SLOW_SUFFIX}", recovery::key_path(key));
         thread::spawn(move || {
             let reply = ask(entry, &Ask { path: &path, ..Ask::default() });
             reply.map(|reply| reply.verdict).unwrap_or_default()
--- a/acaciaringd/tests/silence.rs
+++ b/acaciaringd/tests/silence.rs
@@ -8,7 +8,7 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{ClusterOptions, LoadFigures, Told, UpstreamControl, UpstreamOptions};
 
-use common::watch::{self, RECOVERY_TIMEOUT};
+use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, options, start_cluster, start_cluster_with, start_proxied, vm_options};
 
 /// Time after which a server that has left gets nothing more; a few seconds.
@@ -23,20 +23,20 @@
     let upstream = UpstreamOptions { recheck: true, ..UpstreamOptions::default() };
     let cluster = start_cluster_with(ClusterOptions { upstream, ..options() }, 5, 0);
     let victim = 2;
-    let keys = watch::owned_keys(&cluster, victim, 0);
-    let all = watch::entry_addresses(&cluster, &[0, 1, 2, 3, 4]);
-    let load = watch::spawn_load(watch::mixed_load(all, 61, 9000));
+    let keys = recovery::owned_keys(&cluster, victim, 0);
+    let all = recovery::entry_addresses(&cluster, &[0, 1, 2, 3, 4]);
+    let load = recovery::spawn_load(recovery::mixed_load(all, 61, 9000));
     let upstream = cluster.vms[victim].upstream.as_ref().expect("an upstream").handle();
     wait_until("the victim serves", RECOVERY_TIMEOUT, || upstream.records().len() > 20)
         .expect("the load reaches the victim");
     let start = Instant::now();
     upstream.set(&UpstreamControl { frozen: Some(true), ..UpstreamControl::default() });
-    let took = watch::wait_until_served(cluster.vms[0].http, &keys, start);
+    let took = recovery::wait_until_served(cluster.vms[0].http, &keys, start);
     println!("frozen server: {} keys served again after {took:?}", keys.len());
     upstream.set(&UpstreamControl { frozen: Some(false), ..UpstreamControl::default() });
     let figures = load.join().expect("the load ends");
     println!("refused after the thaw: {:?}", upstream.counts());
-    watch::assert_consistent(&cluster.runs(), &figures);
+    recovery::assert_consistent(&cluster.runs(), &figures);
     assert_all_answered(&figures);
 }
 
@@ -48,8 +48,11 @@
     let vms = (0..5).map(|number| vm_options(number, CONTRACTS)).collect();
     let (cluster, network) = start_proxied(options(), vms);
     let all: Vec<usize> = (0..5).collect();
-    let load =
-        watch::spawn_load(watch::mixed_load(watch::entry_addresses(&cluster, &all), 62, 8000));
+    let load = recovery::spawn_load(recovery::mixed_load(
+        recovery::entry_addresses(&cluster, &all),
+        62,
+        8000,
+    ));
     wait_until("all serve", RECOVERY_TIMEOUT, || {
         all.iter().all(|vm| cluster.vms[*vm].runs().len() > 20)
     })
@@ -58,11 +61,12 @@
         assert!(network.proxy(*vm).silence() > 0, "flows to vm-{vm} go silent");
         thread::sleep(Duration::from_millis(700));
     }
-    let keys: Vec<String> = (1..=watch::KEY_COUNT).map(|number| format!("key-{number}")).collect();
-    let took = watch::wait_until_served(cluster.vms[0].http, &keys, Instant::now());
+    let keys: Vec<String> =
+        (1..=recovery::KEY_COUNT).map(|number| format!("key-{number}")).collect();
+    let took = recovery::wait_until_served(cluster.vms[0].http, &keys, Instant::now());
     println!("silent connections: all keys answered after {took:?}");
     let figures = load.join().expect("the load ends");
-    watch::assert_consistent(&cluster.runs(), &figures);
+    recovery::assert_consistent(&cluster.runs(), &figures);
     assert_all_answered(&figures);
 }
 
@@ -72,9 +76,9 @@
 fn a_leaving_server_gets_no_new_work() {
     let cluster = start_cluster(5, 0);
     let victim = 1;
-    let keys = watch::owned_keys(&cluster, victim, 0);
-    let all = watch::entry_addresses(&cluster, &[0, 1, 2, 3, 4]);
-    let load = watch::spawn_load(watch::mixed_load(all, 63, 9000));
+    let keys = recovery::owned_keys(&cluster, victim, 0);
+    let all = recovery::entry_addresses(&cluster, &[0, 1, 2, 3, 4]);
+    let load = recovery::spawn_load(recovery::mixed_load(all, 63, 9000));
     let upstream = cluster.vms[victim].upstream.as_ref().expect("an upstream").handle();
     wait_until("the victim serves", RECOVERY_TIMEOUT, || upstream.records().len() > 20)
         .expect("the load reaches the victim");
@@ -91,7 +95,7 @@
     let count = upstream.records().len();
     let figures = load.join().expect("the load ends");
     assert_eq!(upstream.records().len(), count, "new work after {LEAVE_TIME:?}");
-    watch::assert_consistent(&cluster.runs(), &figures);
+    recovery::assert_consistent(&cluster.runs(), &figures);
     assert_all_answered(&figures);
     let unknown = figures.told.get(&Told::Unknown);
     assert_eq!(unknown, None, "a planned end loses no answer");
@@ -103,17 +107,17 @@
 fn keys_of_a_lost_server_pass_to_others() {
     let cluster = start_cluster(5, 0);
     let victim = 0;
-    let keys = watch::owned_keys(&cluster, victim, 1);
-    let all = watch::entry_addresses(&cluster, &[0, 1, 2, 3, 4]);
-    let load = watch::spawn_load(watch::mixed_load(all, 64, 7000));
+    let keys = recovery::owned_keys(&cluster, victim, 1);
+    let all = recovery::entry_addresses(&cluster, &[0, 1, 2, 3, 4]);
+    let load = recovery::spawn_load(recovery::mixed_load(all, 64, 7000));
     wait_until("the victim serves", RECOVERY_TIMEOUT, || cluster.vms[victim].runs().len() > 20)
         .expect("the load reaches the victim");
     let start = Instant::now();
     cluster.vms[victim].upstream.as_ref().expect("an upstream").stop();
-    let took = watch::wait_until_served(cluster.vms[victim].http, &keys, start);
+    let took = recovery::wait_until_served(cluster.vms[victim].http, &keys, start);
     println!("lost server: {} keys served again after {took:?}", keys.len());
     let figures = load.join().expect("the load ends");
-    watch::assert_consistent(&cluster.runs(), &figures);
+    recovery::assert_consistent(&cluster.runs(), &figures);
     assert_all_answered(&figures);
 }
 
--- a/acaciaringd/tests/slow_upstream.rs
+++ b/acaciaringd/tests/slow_upstream.rs
@@ -8,7 +8,7 @@
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{Cluster, Health, LoadFigures, UpstreamControl, check_records};
 
-use common::policy::{
+use common::classes::{
     class_load, control_upstream, limited_upstreams, run_loads, start_keyed, start_pooled,
 };
 
