--- a/acaciaringd/tests/common/classes.rs
+++ b/acaciaringd/tests/common/classes.rs
@@ -1,4 +1,4 @@
-//! Systems with small upstreams and four ranks of requests, and callers that close early.
+//! Clusters with limited upstreams and request classes of all four ranks, and raw HTTP callers.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,20 +14,20 @@
 
 use super::{CONTRACTS, QUALITY, SETTLE_TIMEOUT, options, vm_options};
 
-/// Bound on what a test waits for; generous, no verdict on speed.
+/// Upper bound on waits of a test; not a target.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Long leases: these tests fill the machine, and none is about the loss of a member.
+/// Long lease terms, so that no lease expires while a test saturates the machine.
 const LEASE_SETTINGS: &str = "[lease]\nterm = 8s\n";
 
-/// Options of a system whose upstreams run `slots` requests at once, each for `service` ms.
+/// Options of a cluster whose upstreams run `slots` requests at once, each for `service` ms.
 pub fn limited_upstreams(slots: usize, service: u64) -> ClusterOptions {
     let service = Duration::from_millis(service);
     let upstream = UpstreamOptions { slots, service, ..UpstreamOptions::default() };
     ClusterOptions { upstream, ..options() }
 }
 
-/// Starts a service that is not divided by key, with classes of all ranks, and waits until all serve.
+/// Starts a pooled workspace with classes of all ranks and waits until each upstream has served.
 pub fn start_pooled(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
     let upstream = UpstreamOptions { fenced: false, ..options.upstream.clone() };
     let options = ClusterOptions { upstream, ..options };
@@ -43,7 +43,7 @@
     cluster
 }
 
-/// The same for a service that is divided by key, with lines added to the settings.
+/// Starts a workspace partitioned by key with classes of all ranks; waits until slots have owners.
 pub fn start_keyed(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
     let kind = "kind = keyed\nslots = 64\nkey = segment:1";
     let cluster = start_with_classes(options, count, CONTRACTS, "contracts", kind, settings);
@@ -60,7 +60,7 @@
     kind: &str,
     settings: &str,
 ) -> Cluster {
-    let mut cluster = Cluster::start(options).expect("the log stand-in starts");
+    let mut cluster = Cluster::start(options).expect("the test log starts");
     let settings = format!("{LEASE_SETTINGS}{settings}");
     for number in 0..count {
         let options = VmOptions { settings: settings.clone(), ..vm_options(number, workspace) };
@@ -81,7 +81,7 @@
     cluster
 }
 
-/// Waits until each owner may run requests that run once, that is until its standbys know what it knows.
+/// Waits until the owner of each key runs at-most-once requests, which needs synchronised standbys.
 pub fn sync_standbys(cluster: &Cluster, keys: &[String]) {
     for (number, key) in keys.iter().enumerate() {
         let path = format!("/contracts/{key}?warm");
@@ -92,7 +92,7 @@
     }
 }
 
-/// Load of one class at all entries.
+/// Load of one class at all entries; `rate` in requests per second.
 pub fn class_load(cluster: &Cluster, name: &str, path: &str, rate: f64, seed: u64) -> LoadOptions {
     let class = LoadClass { name: name.into(), path: path.into(), ..LoadClass::default() };
     LoadOptions {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Runs loads beside each other.
+/// Runs loads concurrently.
 pub fn run_loads(loads: &[LoadOptions]) -> Vec<LoadFigures> {
     thread::scope(|scope| {
         let run = |load| move || run_load(load).expect("the load runs");
@@ -117,7 +117,7 @@
     })
 }
 
-/// Gives commands to the upstream of a VM.
+/// Changes the behaviour of the upstream of a VM.
 pub fn control_upstream(cluster: &Cluster, vm: usize, control: &UpstreamControl) {
     cluster.vms[vm].upstream.as_ref().expect("the VM has an upstream").handle().set(control);
 }
@@ -129,12 +129,12 @@
     found.expect("the owner is a VM of the system")
 }
 
-/// Count of runs for a path at all upstreams.
+/// Count of runs of a path over all upstreams.
 pub fn run_count(cluster: &Cluster, path: &str) -> usize {
     cluster.runs().iter().filter(|run| run.path == path).count()
 }
 
-/// Sends a request and leaves the connection open.
+/// Sends a request with a deadline in milliseconds and returns the open connection.
 pub fn send_request(entry: SocketAddr, path: &str, deadline: u64) -> TcpStream {
     let mut stream = TcpStream::connect(entry).expect("the entry accepts");
     let text = format!(
@@ -144,7 +144,7 @@
     stream
 }
 
-/// Head of an answer, and the time that it took.
+/// Sends a request; returns the head of the response in lower case, and the time it took.
 pub fn response_head(entry: SocketAddr, path: &str, deadline: u64) -> (String, Duration) {
     let start = Instant::now();
     let mut stream = send_request(entry, path, deadline);
@@ -154,7 +154,7 @@
     (head, start.elapsed())
 }
 
-/// Value of a header in a head.
+/// Value of a header in a response head.
 pub fn header_value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let line = |line: &'a str| line.strip_prefix(name)?.strip_prefix(':').map(str::trim);
     head.lines().find_map(line)
--- a/acaciaringd/tests/common/mod.rs
+++ b/acaciaringd/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Systems for tests with real processes.
+//! Clusters of real daemon processes for the integration tests.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -14,19 +14,19 @@
     Cluster, ClusterOptions, LogOptions, Network, UpstreamOptions, VmOptions,
 };
 
-/// Workspace that is divided by key.
+/// Workspace that is partitioned by key.
 pub const CONTRACTS: &str = "korenveld-contracts";
 
-/// Workspace that is not divided by key.
+/// Workspace that is not partitioned by key.
 pub const QUALITY: &str = "korenveld-quality-lab";
 
-/// Data centres of Korenveld.
+/// Data centres over which the VMs are spread.
 const DATA_CENTRES: [&str; 4] = ["bethlehem", "kroonstad", "welkom", "bloem-a"];
 
-/// Bound on the time until a new system serves.
+/// Upper bound on the time until a new cluster serves.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Options of a system under test.
+/// Options of a cluster under test.
 pub fn options() -> ClusterOptions {
     ClusterOptions {
         daemon: PathBuf::from(env!("CARGO_BIN_EXE_acaciaringd")),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Options of the VM with a number.
+/// Options of the VM `vm-{number}` with an upstream of this workspace.
 pub fn vm_options(number: usize, workspace: &str) -> VmOptions {
     VmOptions {
         vm: format!("vm-{number}"),
@@ -47,14 +47,14 @@
     }
 }
 
-/// Starts Korenveld's two services on this many VMs each and waits until they serve.
+/// Starts a cluster with this many VMs for each workspace and waits until it serves.
 pub fn start_cluster(contracts: usize, quality: usize) -> Cluster {
     start_cluster_with(options(), contracts, quality)
 }
 
-/// Starts Korenveld's contracts with lines added to the settings of each daemon.
+/// Starts [`CONTRACTS`] on `count` VMs with lines added to the settings of each daemon.
 pub fn start_contracts_with_settings(count: usize, settings: &str) -> Cluster {
-    let mut cluster = Cluster::start(options()).expect("the log stand-in starts");
+    let mut cluster = Cluster::start(options()).expect("the test log starts");
     for number in 0..count {
         let options = VmOptions { settings: settings.into(), ..vm_options(number, CONTRACTS) };
         cluster.add(options).expect("a VM starts");
@@ -63,14 +63,14 @@
     cluster
 }
 
-/// Publishes Korenveld's contracts and waits until all VMs serve them.
+/// Publishes [`CONTRACTS`] and waits until its slots have owners on all VMs.
 pub fn publish_contracts(cluster: &Cluster, count: usize) {
     publish(cluster, false);
     let all: Vec<usize> = (0..count).collect();
     cluster.settle(CONTRACTS, &all, SETTLE_TIMEOUT).expect("the slots have owners");
 }
 
-/// Starts Korenveld's two services with other options than [`options`].
+/// Like [`start_cluster`], with other options than [`options`].
 pub fn start_cluster_with(options: ClusterOptions, contracts: usize, quality: usize) -> Cluster {
     let contracts = (0..contracts).map(|number| vm_options(number, CONTRACTS));
     let first = contracts.len();
@@ -78,9 +78,9 @@
     start_vms(options, contracts.chain(quality).collect())
 }
 
-/// Starts Korenveld's services on these VMs and waits until they serve.
+/// Starts these VMs, publishes their workspaces and waits until the slots have owners.
 pub fn start_vms(options: ClusterOptions, vms: Vec<VmOptions>) -> Cluster {
-    let mut cluster = Cluster::start(options).expect("the log stand-in starts");
+    let mut cluster = Cluster::start(options).expect("the test log starts");
     let all: Vec<usize> = (0..vms.len()).collect();
     let pooled = vms.iter().any(|vm| vm.workspace.as_deref() == Some(QUALITY));
     for vm in vms {
@@ -91,9 +91,9 @@
     cluster
 }
 
-/// Starts the contract service on VMs behind proxies and waits until it serves.
+/// Starts [`CONTRACTS`] on VMs behind network proxies and waits until the slots have owners.
 pub fn start_proxied(options: ClusterOptions, vms: Vec<VmOptions>) -> (Cluster, Network) {
-    let mut cluster = Cluster::start(options).expect("the log stand-in starts");
+    let mut cluster = Cluster::start(options).expect("the test log starts");
     let mut network = Network::default();
     let count = vms.len();
     for vm in vms {
--- a/acaciaringd/tests/common/recovery.rs
+++ b/acaciaringd/tests/common/recovery.rs
@@ -1,4 +1,4 @@
-//! What a test looks at while a system fails and recovers.
+//! Load, waits and checks for tests in which a cluster fails and recovers.
 
 use std::net::SocketAddr;
 use std::thread::{self, JoinHandle};
@@ -11,18 +11,18 @@
 
 use super::CONTRACTS;
 
-/// Bound on the time until the keys of a lost member are served again; generous, no verdict on speed.
+/// Upper bound on the time until the keys of a lost member are served again; not a target.
 pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Keys of a load, see `key` there.
+/// Count of keys of a load: `key-1` to `key-{KEY_COUNT}`.
 pub const KEY_COUNT: u64 = 40;
 
-/// Path of a key.
+/// Request path of a key.
 pub fn key_path(key: &str) -> String {
     format!("/contracts/{key}")
 }
 
-/// Keys of the load that a VM owns, seen from another one.
+/// Keys of the load that `vm` owns, as the VM `seen` reports it.
 pub fn owned_keys(cluster: &Cluster, vm: usize, seen: usize) -> Vec<String> {
     let name = &cluster.vms[vm].options.vm;
     let keys = (1..=KEY_COUNT).map(|number| format!("key-{number}"));
@@ -32,12 +32,12 @@
     keys
 }
 
-/// Entries of VMs.
+/// Addresses of the entries of these VMs.
 pub fn entry_addresses(cluster: &Cluster, vms: &[usize]) -> Vec<SocketAddr> {
     vms.iter().map(|vm| cluster.vms[*vm].http).collect()
 }
 
-/// Load of reads and of requests that may run once, over all keys.
+/// Load of reads and of requests that may run at most once, over all keys; duration in ms.
 pub fn mixed_load(entries: Vec<SocketAddr>, seed: u64, duration: u64) -> LoadOptions {
     let read = LoadClass { path: key_path("{key}"), weight: 2, ..LoadClass::default() };
     let sign = LoadClass {
@@ -62,12 +62,12 @@
     }
 }
 
-/// Runs a load beside the test.
+/// Runs a load on a thread of its own.
 pub fn spawn_load(options: LoadOptions) -> JoinHandle<LoadFigures> {
     thread::spawn(move || run_load(&options).expect("the load runs"))
 }
 
-/// Asks for each key until it is answered; returns when the last one was, counted from `since`.
+/// Requests each key until it is answered; returns the time from `since` to the last first answer.
 pub fn wait_until_served(entry: SocketAddr, keys: &[String], since: Instant) -> Duration {
     let wait = |key: &String| {
         let path = key_path(key);
@@ -88,7 +88,8 @@
     })
 }
 
-/// Asserts that the upstreams' records show no fault in what a load was told.
+/// Asserts that the verdicts a load received match the upstreams' records, and that no request ran
+/// under an outdated token.
 pub fn assert_consistent(runs: &[Run], figures: &LoadFigures) {
     let report = check_records(runs, &figures.sent);
     println!("told {:?}, matched {}, reasons {:?}", figures.told, report.matched, figures.reasons);
--- a/acaciaringd/tests/peer_support/mod.rs
+++ b/acaciaringd/tests/peer_support/mod.rs
@@ -1,4 +1,4 @@
-//! Certificates, a handler and a UDP forwarder for tests of the transport.
+//! Certificates, a request handler and a UDP forwarder for tests of the peer transport.
 
 #![allow(dead_code)] // Each test file uses a part.
 
@@ -15,16 +15,16 @@
 use parking_lot::Mutex;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
-// The parent names the module, for this file serves unit and integration tests.
+// The including file provides `peer`: the module of the crate, or its import in integration tests.
 use super::peer::{BoxFuture, CancelFlag, Handler, PeerSettings, Transport};
 
-/// Longest wait for a condition that holds on any machine that works.
+/// Upper bound of each wait; only a failing test reaches it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bytes of the largest packet that is forwarded.
+/// Largest packet that is forwarded.
 const MAX_PACKET_BYTES: usize = 2048;
 
-/// Authority whose certificates lie in a directory of their own.
+/// Certificate authority with a temporary directory for its files.
 pub struct Authority {
     dir: PathBuf,
     issuer: Issuer<'static, KeyPair>,
@@ -43,7 +43,7 @@
         Self { dir, issuer: Issuer::new(params, key) }
     }
 
-    /// Writes a certificate and returns the settings of a member that has it.
+    /// Issues a certificate and returns the settings of a member that uses it.
     pub fn settings(&self) -> PeerSettings {
         let key = KeyPair::generate().unwrap();
         let params = CertificateParams::new(vec!["acaciaring".into()]).unwrap();
@@ -67,10 +67,10 @@
 
 type RequestFn = Arc<dyn Fn(Request, &CancelFlag) -> Answer + Send + Sync>;
 
-/// Handler that counts, and runs requests as the test says.
+/// Handler that counts requests and runs a function of the test for each.
 pub struct TestHandler {
     run: RequestFn,
-    /// Requests that have run.
+    /// Count of requests that were started.
     pub runs: AtomicUsize,
     datagrams: Sender<(SocketAddr, Datagram)>,
 }
@@ -87,13 +87,13 @@
     fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> BoxFuture<'a, Answer> {
         self.runs.fetch_add(1, Ordering::SeqCst);
         let (run, cancelled) = (Arc::clone(&self.run), cancelled.clone());
-        // Tests block in their handlers.
+        // The functions of tests block.
         let job = tokio::task::spawn_blocking(move || run(request, &cancelled));
         Box::pin(async { job.await.unwrap() })
     }
 }
 
-/// Transport with its handler.
+/// Transport with its handler and the datagrams it received.
 pub struct Node {
     pub transport: Transport,
     pub handler: Arc<TestHandler>,
@@ -127,12 +127,12 @@
     Answer { verdict: Verdict::Answered.into(), body: request.body, length, ..Answer::default() }
 }
 
-/// Returns a request with a new attempt and this body.
+/// Returns a request with a random attempt number and this body.
 pub fn request(body: impl Into<Vec<u8>>) -> Request {
     Request { attempt: rand::random(), body: body.into(), ..Request::default() }
 }
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds; panics after [`WAIT_TIMEOUT`].
 pub fn wait_for(condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
@@ -141,12 +141,12 @@
     }
 }
 
-/// What happens to the packets of a flow in one direction.
+/// Treatment of the packets of a flow in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PacketPolicy {
     Forward,
     Drop,
-    /// Kept until the test lets them go.
+    /// Queued until the test releases them.
     Hold,
 }
 
@@ -158,7 +158,7 @@
 }
 
 impl Flow {
-    /// Lets held packets go and sets what becomes of the next ones.
+    /// Sends the held packets and sets the policy of later ones.
     fn release(&mut self, outbound: PacketPolicy) {
         self.outbound = outbound;
         for packet in std::mem::take(&mut self.held) {
@@ -169,16 +169,16 @@
 
 struct ForwarderState {
     target: SocketAddr,
-    /// Time for which the packets of a new flow are held.
+    /// Time for which the outbound packets of a new flow are held.
     hold: Duration,
     flows: HashMap<SocketAddr, Flow>,
-    /// Nothing passes in either direction, on new flows neither.
+    /// Drops all packets in both directions, also of new flows.
     cut: bool,
-    /// Time that each packet takes in each direction.
+    /// One-way delay of each packet.
     delay: Duration,
 }
 
-/// Forwards UDP packets; tells flows apart by their source address.
+/// UDP forwarder; a flow is identified by its source address.
 pub struct Forwarder {
     pub address: SocketAddr,
     state: Arc<Mutex<ForwarderState>>,
@@ -190,7 +190,7 @@
         Self::with_hold(target, Duration::ZERO)
     }
 
-    /// Starts one that holds the packets of each new flow for a while.
+    /// Starts a forwarder that holds the outbound packets of each new flow for `hold`.
     pub fn with_hold(target: SocketAddr, hold: Duration) -> Self {
         let socket = bind();
         let address = socket.local_addr().unwrap();
@@ -203,36 +203,36 @@
         Self { address, state, stopped }
     }
 
-    /// Sets the passage of all flows that are known now; new flows are open.
+    /// Sets the policies of all existing flows; new flows are forwarded.
     pub fn set_policies(&self, outbound: PacketPolicy, inbound: PacketPolicy) {
         for flow in self.state.lock().flows.values_mut() {
             (flow.outbound, flow.inbound) = (outbound, inbound);
         }
     }
 
-    /// Lets nothing pass on any flow, or all that the flows let pass.
+    /// Drops all packets, or applies the policies of the flows again.
     pub fn set_cut(&self, cut: bool) {
         self.state.lock().cut = cut;
     }
 
-    /// Lets each packet take this long in each direction.
+    /// Sets the one-way delay of each packet.
     pub fn set_delay(&self, delay: Duration) {
         self.state.lock().delay = delay;
     }
 
-    /// Sets for how long the packets of further flows are held.
+    /// Sets for how long the outbound packets of later flows are held.
     pub fn set_hold(&self, hold: Duration) {
         self.state.lock().hold = hold;
     }
 
-    /// Lets held packets go.
+    /// Sends the held packets of all flows.
     pub fn release(&self) {
         for flow in self.state.lock().flows.values_mut() {
             flow.release(flow.outbound);
         }
     }
 
-    /// Sends new flows to another target.
+    /// Sets the target of later flows.
     pub fn retarget(&self, target: SocketAddr) {
         self.state.lock().target = target;
     }
@@ -241,7 +241,7 @@
         self.state.lock().flows.len()
     }
 
-    /// Returns how many packets are held.
+    /// Returns the count of held packets.
     pub fn held(&self) -> usize {
         self.state.lock().flows.values().map(|flow| flow.held.len()).sum()
     }
@@ -326,7 +326,7 @@
     }
 }
 
-/// Passes a packet on, after a delay on a thread of its own.
+/// Sends a packet, after the delay on a thread of its own unless the delay is zero.
 fn send_delayed(delay: Duration, packet: Vec<u8>, send: impl FnOnce(&[u8]) + Send + 'static) {
     if delay.is_zero() {
         return send(&packet);
--- a/acaciaringd/tests/support/mod.rs
+++ b/acaciaringd/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Callers and upstreams that write their bytes by hand.
+//! HTTP clients and servers over plain sockets, which can send malformed and partial messages.
 #![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::io::{Read, Write};
@@ -6,10 +6,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Bound of each wait; only a failing test reaches it.
+/// Upper bound of each wait; only a failing test reaches it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Connects with a read timeout.
+/// Connects with a connect and read timeout of [`WAIT_TIMEOUT`].
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect_timeout(&address, WAIT_TIMEOUT).expect("connect");
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("timeout");
@@ -34,21 +34,21 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Sends one request on a connection of its own and returns the answer.
+/// Sends one request on a new connection and returns the answer.
 pub fn exchange(address: SocketAddr, request: &str) -> String {
     let mut stream = connect(address);
     stream.write_all(request.as_bytes()).expect("write");
     read_message(&mut stream)
 }
 
-/// Returns what the peer sends until it closes.
+/// Returns all bytes until the peer closes or resets the connection.
 pub fn read_to_end(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
     bytes
 }
 
-/// Runs `script` for each connection, on a thread of its own, with its number from 0.
+/// Starts a server that runs `script` on a thread per connection, with its number from 0.
 pub fn spawn_server(script: impl Fn(usize, TcpStream) + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
@@ -61,7 +61,7 @@
     address
 }
 
-/// Answers each request of each connection with the same bytes, then closes when `close`.
+/// Starts a server that answers each request with the same bytes and then closes if `close` is set.
 pub fn serve_answer(answer: &'static [u8], close: bool) -> SocketAddr {
     spawn_server(move |_, mut stream| {
         while !read_message(&mut stream).is_empty() {
@@ -74,13 +74,13 @@
     })
 }
 
-/// Returns an address at which nobody listens.
+/// Returns an address on which no socket listens.
 pub fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     listener.local_addr().expect("address")
 }
 
-/// Waits until `done`, with a generous bound.
+/// Polls until `done` returns true; returns false if it never does.
 pub fn wait_until(mut done: impl FnMut() -> bool) -> bool {
     let step = Duration::from_millis(5);
     (0..4000).any(|_| {
