--- a/acaciaringd/examples/entry.rs
+++ b/acaciaringd/examples/entry.rs
@@ -1,9 +1,8 @@
-//! Trial: requests a second, latency and processor time of the HTTP edges.
+//! Measures throughput, latency and CPU time of the entry and the upstream client.
 //!
-//! Compares, over loopback and in one process, a direct call of a small upstream,
-//! the entry alone, and the entry with the client of the upstream behind it. The
-//! callers are the same in all rows, so the difference of two rows is what the
-//! edges add. Arguments: callers, seconds a row, trials.
+//! Compares, over loopback and in one process, direct calls of a minimal upstream, the entry alone,
+//! and the entry with the upstream client. The callers are the same in all rows, so the difference
+//! of two rows is the overhead. Arguments: callers, seconds per row, trials.
 
 use std::env;
 use std::io::{Read, Write};
@@ -25,7 +24,7 @@
 const BODY_BYTES: usize = 64;
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers by itself, or by the upstream when there is one.
+/// Echoes the body, or forwards the request to the upstream if there is one.
 struct BenchService(Option<(Upstream, SocketAddr)>);
 
 impl Service for BenchService {
@@ -81,7 +80,7 @@
     }
 }
 
-/// Upstream that does as little as it can.
+/// Starts an upstream that answers each request with [`ANSWER`].
 fn upstream() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bind");
     let address = listener.local_addr().expect("address");
@@ -147,7 +146,7 @@
     }
 }
 
-/// Returns the processor time of this process.
+/// Returns the CPU time of this process.
 fn cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
--- a/acaciaringd/examples/hop.rs
+++ b/acaciaringd/examples/hop.rs
@@ -1,7 +1,7 @@
-//! Measures one hop of a request over loopback: rate, latency, processor time and memory.
+//! Measures one hop between members over loopback: throughput, latency, CPU time and memory.
 //!
 //! Run with `cargo run --release -p acaciaringd --example hop`. Both ends are
-//! in this process, so processor time is that of sender and receiver together.
+//! in this process, so CPU time and memory are those of sender and receiver together.
 
 #[path = "../tests/peer_support/mod.rs"]
 mod peer_support;
@@ -16,22 +16,22 @@
 
 use crate::peer_support::{Authority, Node, request};
 
-/// Bytes of a request's body and of its answer.
+/// Length of the body of a request and of its answer.
 const BODY_BYTES: usize = 512;
 
-/// Length of one row.
+/// Duration of one row.
 const ROW_DURATION: Duration = Duration::from_secs(3);
 
-/// Connections for the measure of memory.
+/// Connections over which the memory is averaged.
 const CONNECTION_COUNT: u8 = 200;
 
-/// Time after which handshakes have settled.
+/// Time for the last packets of the handshakes.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// Renewals for the measure of control bytes.
+/// Lease renewals over which the traffic is counted.
 const RENEWAL_COUNT: u32 = 10;
 
-/// Interval of renewals.
+/// Interval of lease renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
@@ -83,7 +83,7 @@
     );
 }
 
-/// Measures a connection without requests: memory of both ends together, bytes of its handshake and of lease renewals.
+/// Measures idle connections: memory of both ends, and bytes of the handshake and of renewals.
 fn measure_idle(authority: &Authority) {
     let address = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
     let server = Node::echo(PeerSettings { address, ..authority.settings() });
--- a/acaciaringd/tests/announce.rs
+++ b/acaciaringd/tests/announce.rs
@@ -1,4 +1,4 @@
-//! Listener for announcements and operators.
+//! Admin listener: dispatch of announcements and operator requests, and refusals.
 
 mod support;
 
--- a/acaciaringd/tests/answers.rs
+++ b/acaciaringd/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are lost, cut off, late or out of order, with real processes.
+//! Answers of upstreams that are lost, truncated, late or out of order, with real processes.
 
 mod common;
 
@@ -20,7 +20,7 @@
     Ask { method: "POST", path, key, body: "signature", ..Ask::default() }
 }
 
-/// Asks every entry for a request whose only run gave no answer.
+/// Asserts that every entry answers `unknown` to a repeated request, and that it ran once.
 fn assert_stays_unknown(cluster: &Cluster, request: &Ask<'_>) {
     for vm in &cluster.vms {
         let reply = ask(vm.http, request).expect("an answer");
@@ -29,9 +29,8 @@
     assert_eq!(run_count(cluster, request.path), 1, "{} ran again", request.path);
 }
 
-// A clerk signs a contract; the server does the work, and its connection breaks before the answer.
-// The clerk is told at once that the outcome is unknown, not at the deadline. Whoever asks again
-// with the same key, at whatever entry, is told the same, and the contract is signed once.
+// Guards against a second run of an at-most-once request whose answer was lost, at whatever entry
+// it is repeated, and against a verdict that comes only at the deadline.
 #[test]
 fn a_signature_whose_answer_is_lost_stays_unknown() {
     let cluster = start_cluster(3, 0);
@@ -50,8 +49,8 @@
     }
 }
 
-// A clerk looks at a contract and the answer is lost or cut off in the middle of its body. Looking
-// does no harm, so the entry asks again by itself, and the clerk gets the whole answer.
+// Guards against idempotent requests that fail because their answer is lost or truncated: the entry
+// retries them.
 #[test]
 fn a_look_whose_answer_is_lost_or_cut_is_answered() {
     let cluster = start_cluster(3, 0);
@@ -69,8 +68,7 @@
     }
 }
 
-// An upstream loses every answer for a while. Each look at a contract is tried again, but the
-// retries are bounded: without a budget each would run as often as fits into its search.
+// Guards against retry amplification: with every answer lost, the retry budgets bound the runs.
 #[test]
 fn lost_answers_do_not_multiply_the_work() {
     let cluster = start_cluster(3, 0);
@@ -91,14 +89,13 @@
     let figures = run_load(&load).expect("the load runs");
     let (sent, runs) = (figures.sent.len(), cluster.runs().len());
     println!("{sent} requests, {runs} runs, told {:?}", figures.told);
-    // Each of the three entries starts with 20 saved retries, beside one for ten requests.
+    // Each of the three entries has an initial budget of 20 retries and one more per ten requests.
     assert!(runs <= sent + sent / 5 + 3 * 25, "{sent} requests ran {runs} times");
     assert_eq!(figures.told.get(&Told::Unknown), Some(&(sent as u64)), "{:?}", figures.told);
 }
 
-// Many clerks work at once while the upstreams answer late, out of order and in part. A late answer
-// must find no other clerk's request on its connection: each gets the echo of its own request, or a
-// verdict, and nothing that may run once runs twice.
+// Guards against a late or truncated answer that is taken for the answer of another request on the
+// same connection, and against a second run of at-most-once requests.
 #[test]
 fn nobody_gets_the_answer_of_another() {
     let cluster = start_cluster(3, 0);
@@ -134,9 +131,8 @@
     recovery::assert_consistent(&cluster.runs(), &figures);
 }
 
-// The entry at which a clerk signs is killed while the contract is being signed. The clerk asks
-// another entry with the same key: it gets the answer of the first run, or that it is unknown, and
-// the contract is not signed a second time.
+// Guards against a second run when the entry is killed during an at-most-once request and the
+// caller repeats it at another entry.
 #[test]
 fn an_entry_that_dies_leaves_one_run() {
     let mut cluster = start_cluster(4, 0);
@@ -165,9 +161,8 @@
     assert_eq!(run_count(&cluster, path), 1, "signed a second time");
 }
 
-// Of two servers of the quality lab one works and loses its answers, the other sheds load. A request
-// that ran at the first and was then refused by the second may have run: nobody is told that it has
-// not, and come back with it.
+// Guards against the verdict `not-run` for a request that ran at one pool member, lost its answer,
+// and was then refused by another member.
 #[test]
 fn a_pool_does_not_deny_what_may_have_run() {
     let cluster = start_pooled(limited_upstreams(20, 1), 3, "");
--- a/acaciaringd/tests/ask_again.rs
+++ b/acaciaringd/tests/ask_again.rs
@@ -1,4 +1,4 @@
-//! Keys that have no server for a while, with real processes.
+//! Retries for keys that have no owner for a while, with real processes.
 
 mod common;
 
@@ -12,22 +12,19 @@
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, options, vm_options};
 
-/// Deadline of the requests in milliseconds, well below the time until the keys are taken over.
+/// Deadline of the requests, well below the time until the keys are taken over.
 const DEADLINE_MS: u64 = 1500;
 
 const REQUEST_COUNT: usize = 3;
 
-// Small machines lost leases, and for a second or more some units had no server. Each request for them asked
-// every ten milliseconds a member that had just said that it is not the owner: five tries in the median and up to 15
-// in one line of the log, each a way to another process without processor and back, while what is served fell
-// from 1,915 a second to 550. Here a member is killed and its lease runs on. The members that are left say
-// nothing new, so they are asked again a few times only.
+// Guards against retry storms: while the lease of a killed owner runs out, the entry asks the
+// remaining members, whose answer has not changed, only a few times per request.
 #[test]
 fn a_member_that_has_nothing_new_to_say_is_seldom_asked() {
     let log = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("ask-again.log");
     let mut options = options();
     options.level = "info".into();
-    let mut cluster = Cluster::start(options).expect("the log stand-in starts");
+    let mut cluster = Cluster::start(options).expect("the test log starts");
     for number in 0..3 {
         let stderr = (number == 0).then(|| log.clone());
         let settings = "[lease]\nterm = 8s\n".into();
@@ -47,10 +44,10 @@
         let ended = |line: &&str| line.contains("request ended without an answer");
         text.lines().filter(ended).map(str::to_owned).collect::<Vec<_>>()
     };
-    wait_until("the entry has written its lines", RECOVERY_TIMEOUT, || {
+    wait_until("the entry has logged its refusals", RECOVERY_TIMEOUT, || {
         lines().len() >= REQUEST_COUNT
     })
-    .expect("each refusal has a line");
+    .expect("each refusal has a log line");
     for line in lines() {
         let (tries, took) = (number(&line, "tries="), number(&line, "took_ms="));
         println!("{tries} tries in {took} ms");
--- a/acaciaringd/tests/caller.rs
+++ b/acaciaringd/tests/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that go away before their answer, with real processes.
+//! Callers that disconnect before their answer, with real processes.
 
 mod common;
 
@@ -31,8 +31,8 @@
     status["busy"].as_u64().unwrap_or(u64::MAX)
 }
 
-// Clerks close their browsers while their requests wait for the one slot. Their requests leave the
-// queue by their deadline, never run, and hold no place: the clerk who stays is answered.
+// Guards against queued requests of disconnected callers that run or occupy the queue beyond their
+// deadline.
 #[test]
 fn requests_of_callers_that_left_do_not_run() {
     let (cluster, server) = start_with_slow_path(1500.0);
@@ -56,9 +56,8 @@
         .expect("all places are free");
 }
 
-// A clerk closes the browser during a request that runs for very long. At its deadline the owner
-// gives it up and tells the upstream, so that the one slot is free for the next clerk long before
-// the work would have ended.
+// Guards against a run that keeps its slot at the upstream after its deadline: the owner cancels
+// it.
 #[test]
 fn a_run_that_was_given_up_is_cancelled_at_the_upstream() {
     let (cluster, server) = start_with_slow_path(30_000.0);
--- a/acaciaringd/tests/config.rs
+++ b/acaciaringd/tests/config.rs
@@ -48,8 +48,8 @@
 
 #[test]
 fn a_term_that_cannot_outlive_a_lost_renewal_is_refused() {
-    // An operator shortens the term to speed up takeover. Each time one renewal is lost the lease
-    // ends before the next try is granted, and callers see `no-lease` although nothing has failed.
+    // With a shorter term, a single lost renewal ends the lease before the next attempt is granted,
+    // and callers get `no-lease` without a failure.
     let lease = |values: &str| format!("{EXAMPLE}\n[lease]\n{values}");
     let found = faults(&lease("term = 750ms\n"));
     assert_eq!(found, ["a.ini:35: lease.term: must be above interval + resend + margin"]);
--- a/acaciaringd/tests/cut_off.rs
+++ b/acaciaringd/tests/cut_off.rs
@@ -1,4 +1,4 @@
-//! A stop that cannot wait for its requests, with a real process.
+//! Exit code of a stop that cuts off a request, with real processes.
 
 mod common;
 
@@ -14,24 +14,23 @@
 
 use common::{QUALITY, options, vm_options};
 
-/// Bound on waits; a pass takes far less.
+/// Upper bound of each wait; only a failing test reaches it.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longer than a stop waits.
+/// Service time above the drain timeout.
 const SLOW_SERVICE_MS: f64 = 25_000.0;
 
-// An operator stops a VM while a caller waits for a request that takes longer than any bound of the
-// stop. The process ends all the same, and its exit code says that it cut a request off; a script
-// that stops one VM after another can tell.
+// Guards against a stop that never ends for a request longer than its drain timeout, or that does
+// not report by its exit code that it cut the request off.
 #[test]
 fn a_stop_tells_that_it_cut_off_a_request() {
-    // The stand-in would refuse what is not divided by key if it checked fences.
+    // With fences, the test upstream would refuse requests of a pooled workspace.
     let upstream = UpstreamOptions { fenced: false, ..UpstreamOptions::default() };
     let options = ClusterOptions { upstream, ..options() };
-    let mut cluster = Cluster::start(options).expect("the log stand-in starts");
+    let mut cluster = Cluster::start(options).expect("the test log starts");
     let settings = "[limits]\ndrain = 1s\n".into();
     cluster.add(VmOptions { settings, ..vm_options(0, QUALITY) }).expect("a VM starts");
-    // A member alone has nobody to grant it a lease.
+    // The member needs others that grant it a lease.
     for number in 1..3 {
         cluster
             .add(VmOptions { workspace: None, ..vm_options(number, QUALITY) })
--- a/acaciaringd/tests/drain.rs
+++ b/acaciaringd/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Planned stops of members that own keys.
+//! Planned stops of members that own keys, with real processes.
 
 mod common;
 
@@ -6,13 +6,11 @@
 
 use common::start_contracts_with_settings;
 
-/// Bound on the stop, far below the member's own bound on its drain.
+/// Upper bound on the stop, far below the drain timeout of the member.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-// An operator restarts a VM by night, and each restart lasts for the whole drain bound although
-// nothing runs there: the units go to other members, each of which serves some of them next and
-// stands by for others. Its acknowledgement of both together was taken for none, so the units
-// counted as not released, were released again and again, and the member never left.
+// Guards against a drain that lasts until its timeout because the acknowledgement of a member that
+// becomes owner of some units and standby of others is not counted.
 #[test]
 fn idle_member_ends_as_soon_as_its_units_are_released() {
     let mut cluster = start_contracts_with_settings(4, "[limits]\ndrain = 5min\n");
--- a/acaciaringd/tests/entry.rs
+++ b/acaciaringd/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Entry: what reaches the handler, what callers get, and what callers do wrong.
+//! Entry: requests as the handler receives them, answers, malformed and slow clients, and drain.
 
 mod support;
 
@@ -14,10 +14,10 @@
 
 const TRACE: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 
-/// Length of an answer that no socket buffer holds.
+/// Body length above the capacity of any socket buffer.
 const LARGE_BODY_BYTES: usize = 32 << 20;
 
-/// Handler that keeps the requests and answers by their paths.
+/// Handler that records the requests and selects the answer by path.
 #[derive(Default)]
 struct Handler {
     requests: Mutex<Vec<EntryRequest>>,
@@ -67,7 +67,7 @@
     (Entry::start(settings, service).expect("entry"), handler)
 }
 
-/// Settings under which slow callers are given up soon.
+/// Settings with short timeouts for slow clients.
 fn short_timeouts() -> EntrySettings {
     let soon = Duration::from_millis(300);
     EntrySettings { workers: 1, uploads: 2, read: soon, idle: soon, ..EntrySettings::default() }
@@ -158,9 +158,8 @@
     assert_eq!(body, r#"{"reason":"busy","retry_ms":1200,"verdict":"not-run"}"#);
 }
 
-/// A client with a fault stops everybody's requests.
-/// It sends what is not HTTP, or what two readers would understand in two ways,
-/// or hangs up, while others go on. Each must get its own answer and none may run.
+/// Guards against malformed, ambiguous or aborted requests that run or disturb the requests of
+/// other clients.
 #[test]
 fn malformed_requests_harm_nobody() {
     let (entry, handler) = start(EntrySettings { header: 2000, body: 5000, ..short_timeouts() });
@@ -208,9 +207,8 @@
     assert!(handler.paths().iter().all(|path| path.starts_with("/good/")));
 }
 
-/// A clerk's request waits behind somebody's endless upload.
-/// All threads read bodies that do not arrive. Uploads have threads of their own,
-/// are given up in time, and what is beyond these threads is refused as busy.
+/// Guards against slow uploads that occupy all workers: uploads have threads of their own, time
+/// out, and are refused as busy beyond their limit.
 #[test]
 fn slow_bodies_hold_no_worker() {
     let (entry, handler) = start(short_timeouts());
@@ -227,9 +225,8 @@
     assert_eq!(handler.paths(), ["/good"]);
 }
 
-/// A commitment is booked that nobody sent: it stood inside of a document.
-/// An upload stalls, is given up, and goes on later; its rest would be read as
-/// the next request of the connection. Such a connection is marked.
+/// Guards against request smuggling: the rest of a body whose upload timed out must not be read as
+/// the next request of the connection.
 #[test]
 fn rest_of_an_abandoned_body_never_runs() {
     let (entry, handler) = start(short_timeouts());
@@ -250,9 +247,7 @@
     assert_eq!(handler.paths(), Vec::<String>::new());
 }
 
-/// A caller takes half of one answer and all of another for one document.
-/// It asks twice and does not read; the entry gives the first answer up midway,
-/// and would write the second behind it on the same connection.
+/// Guards against a second answer that is written behind a truncated one on the same connection.
 #[test]
 fn nothing_follows_an_answer_that_was_cut_off() {
     let (entry, handler) = start(short_timeouts());
@@ -268,9 +263,8 @@
     assert!(get(entry.local_addr(), "/good").starts_with("HTTP/1.1 200 OK\r\n"));
 }
 
-/// One caller that does not wait for its answers stops everybody's.
-/// It sends many requests at once; the first takes long, and whoever answers the
-/// others has to wait for it. They wait in a queue of their connection instead.
+/// Guards against a client that blocks all workers with pipelined requests behind a slow one: they
+/// wait in a queue of their connection.
 #[test]
 fn requests_behind_a_slow_one_hold_no_worker() {
     let (entry, handler) = start(EntrySettings { workers: 2, ..EntrySettings::default() });
@@ -306,9 +300,8 @@
     assert!(support::read_message(&mut stream).starts_with("HTTP/1.1 200 OK\r\n"));
 }
 
-/// The whole member dies of one header line.
-/// `tiny_http` allocates the rest of a body when it drops a request; a stated
-/// length of terabytes fails to allocate, which ends the process.
+/// Guards against an abort of the process: `tiny_http` allocates the rest of a body when it drops a
+/// request, which fails for an enormous content length.
 #[test]
 fn absurd_length_does_not_end_the_process() {
     let (entry, _) = start(short_timeouts());
@@ -333,9 +326,8 @@
     assert!(get(entry.local_addr(), "/good").starts_with("HTTP/1.1 200 OK\r\n"));
 }
 
-/// Nobody can reach a member that was idle for a while.
-/// The timeout that ends silent connections holds for the listening socket too,
-/// and `tiny_http` stops to accept for good after the first failure.
+/// Guards against an entry that stops accepting: the read timeout also applies to the listening
+/// socket, and `tiny_http` stops at the first failure of `accept`.
 #[test]
 fn silent_connections_end_and_accepting_goes_on() {
     let (entry, _) = start(short_timeouts());
@@ -362,7 +354,7 @@
         kept.write_all(b"GET /late HTTP/1.1\r\n\r\n").expect("write");
         support::read_message(&mut kept).contains("x-acaciaring-reason: draining")
     });
-    assert!(late, "an open connection is told");
+    assert!(late, "an open connection is refused as draining");
     release.send(()).expect("held");
     assert!(caller.join().expect("caller").starts_with("HTTP/1.1 200 OK\r\n"));
     assert_eq!(drain.join().expect("drain"), 0);
--- a/acaciaringd/tests/entry_descriptors.rs
+++ b/acaciaringd/tests/entry_descriptors.rs
@@ -1,4 +1,4 @@
-//! Entry when file descriptors run out; a process of its own, since the limit is the process's.
+//! Entry under exhausted file descriptors; in a process of its own, as the limit is per process.
 
 mod support;
 
@@ -20,9 +20,8 @@
     }
 }
 
-/// A member never answers again after a burst of connections.
-/// File descriptors run out, `accept` fails once, and `tiny_http` ends its accept
-/// thread, while the process looks healthy. The entry must accept again.
+/// Guards against an entry that never accepts again: `tiny_http` ends its accept thread when
+/// `accept` fails for lack of file descriptors.
 #[test]
 fn accepting_goes_on_after_descriptors_ran_out() {
     let entry = Entry::start(EntrySettings::default(), Arc::new(NoRoute)).expect("entry");
--- a/acaciaringd/tests/entry_together.rs
+++ b/acaciaringd/tests/entry_together.rs
@@ -1,4 +1,4 @@
-//! Connections that come to the entry together.
+//! Connections that are opened to the entry at the same time.
 
 mod support;
 
@@ -13,13 +13,13 @@
 
 use support::{connect, read_message};
 
-/// Connections that come at the same time.
+/// Connections that are opened at the same time.
 const CONNECTION_COUNT: usize = 16;
 
-/// Times that they come.
+/// Repetitions of the burst.
 const ROUNDS: usize = 20;
 
-/// Bound on an answer, far below the time after which the entry closes an idle connection.
+/// Timeout of an answer, far below the idle timeout of the entry.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Answering;
@@ -38,9 +38,8 @@
     }
 }
 
-// Many clerks open their pages at the same moment and keep their connections. One of them waits
-// for seconds, until somebody else's connection is closed, though the entry is idle: the HTTP
-// library counts a waiting thread as free until it wakes up, and gives it two connections.
+// Guards against a new connection that is not served while the entry is idle: the HTTP library
+// counts a waiting thread as free until it wakes up, and may assign it two connections.
 #[test]
 fn each_of_many_new_connections_is_answered() {
     let settings = EntrySettings { idle: Duration::from_mins(1), ..EntrySettings::default() };
--- a/acaciaringd/tests/freeze.rs
+++ b/acaciaringd/tests/freeze.rs
@@ -1,4 +1,4 @@
-//! Members that stop for longer than their lease and go on, with real processes.
+//! Members that are suspended beyond their lease and resume, with real processes.
 
 mod common;
 
@@ -13,33 +13,28 @@
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, options, start_proxied, vm_options};
 
-/// Requests of callers that wait in the frozen member.
+/// Requests that callers send to the suspended member.
 const WAITING_REQUESTS: usize = 40;
 
-/// Time in which requests reach a server that is frozen; the load sends several to it meanwhile.
+/// Time for requests of the load to reach the suspended upstream.
 const DELIVERY_TIME: Duration = Duration::from_millis(500);
 
-// A VM is suspended in the middle of its work: its process stops between two instructions. Its keys
-// are taken over. Then it goes on, with requests of callers and members waiting in its sockets, and
-// in its own eyes no time has passed; it reaches neither members nor the log just then, so that nobody tells it. Its
-// clock has run on, so it finds its lease over; what it had
-// already written is refused by the upstream, which checks the fence as a run begins and as it ends.
+// Guards against a suspended member that resumes after its keys were taken over and runs queued
+// requests: its lease has expired, and the upstream refuses by its fence what was already written.
 #[test]
 fn a_thawed_member_runs_nothing_at_a_fenced_upstream() {
     check_freeze(true, 21);
 }
 
-// The same beside an upstream that checks no fence. What arrives at the member after it woke up
-// does not run, for the gate looks at the lease before each write. What is not shown, since it does
-// not hold: a process that was stopped between that look and the write runs this one request late,
-// and so does a server in which a request waits. So requests sent before the freeze are left out.
+// Guards against the same without a fence: the lease is checked before each write. Requests sent
+// before the suspension are excluded, as a write just after the check cannot be prevented.
 #[test]
 fn a_thawed_member_gives_an_unfenced_upstream_nothing_that_waited() {
     check_freeze(false, 22);
 }
 
 fn check_freeze(fenced: bool, seed: u64) {
-    // A run that the freeze has cut in two ends late; the server takes it back.
+    // A run that the suspension interrupted ends late; the upstream discards it.
     let upstream = UpstreamOptions { fenced, recheck: fenced, ..UpstreamOptions::default() };
     let options = ClusterOptions { upstream, ..options() };
     let vms = (0..5).map(|number| vm_options(number, CONTRACTS)).collect();
@@ -52,7 +47,7 @@
         .expect("the load reaches the victim");
     let server = cluster.vms[victim].upstream.as_ref().expect("an upstream").handle();
     if fenced {
-        // What the member has written by then waits in the server until the keys are elsewhere.
+        // Requests already written wait in the upstream until the keys have moved.
         server.set(&UpstreamControl { frozen: Some(true), ..UpstreamControl::default() });
         thread::sleep(DELIVERY_TIME);
     }
@@ -79,10 +74,10 @@
     server.set(&UpstreamControl { frozen: Some(false), ..UpstreamControl::default() });
     if fenced {
         wait_until("the fence refuses", RECOVERY_TIMEOUT, || server.counts().fence > 0)
-            .expect("the server refuses what waited in it");
+            .expect("the upstream refuses the queued requests");
     }
     let woken = cluster.vms[victim].runs().len();
-    // Only its own clock can tell it what has happened.
+    // The member can learn of the time that passed from its own clock only.
     network.part(&[victim], &others, true);
     network.cut_log(victim, true);
     cluster.vms[victim].process.thaw();
@@ -107,7 +102,7 @@
     recovery::assert_consistent(&runs, &figures);
 }
 
-/// Whether a run is of a request that was sent before a time in microseconds of Unix time.
+/// Whether the request of a run was sent before `time`, in microseconds of Unix time.
 fn sent_before(figures: &LoadFigures, run: &Run, time: u64) -> bool {
     let tag = run.tag.rsplit_once('.').map(|(tag, _)| tag);
     figures.sent.iter().any(|sent| Some(sent.tag.as_str()) == tag && sent.start < time)
--- a/acaciaringd/tests/hot_key.rs
+++ b/acaciaringd/tests/hot_key.rs
@@ -1,4 +1,4 @@
-//! Keys that get far more than their share, with real processes.
+//! Keys with far more load than others, with real processes.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use common::classes::{class_load, control_upstream, limited_upstreams, start_keyed};
 use common::recovery;
 
-/// Path of the key that gets half of all requests.
+/// Path of the hot key, which gets half of all requests.
 const HOT_PATH: &str = "/contracts/sign/month-end";
 
 fn hot_runs(cluster: &Cluster) -> Vec<Run> {
@@ -22,7 +22,7 @@
     runs
 }
 
-/// Load of the fullest upstream relative to the mean, over a span of the records.
+/// Runs of the busiest upstream relative to the mean, from `start` to `end`.
 fn imbalance(runs: &[Run], start: u64, end: u64) -> f64 {
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     for run in runs.iter().filter(|run| (start..end).contains(&run.start)) {
@@ -32,7 +32,7 @@
     f64::from(most) * 4.0 / f64::from(counts.values().sum::<u32>().max(1))
 }
 
-/// Runs of the key that began at one server before they had ended at another.
+/// Pairs of runs that overlapped in time at different upstreams.
 fn overlaps(runs: &[Run]) -> Vec<(&Run, &Run)> {
     let pairs = runs.iter().enumerate().flat_map(|(place, first)| {
         runs[place + 1..]
@@ -43,7 +43,7 @@
     pairs.filter(|(first, second)| first.upstream != second.upstream).collect()
 }
 
-/// Signs, one long signature after the other, until the load has ended.
+/// Sends slow signatures, one after the other, until the load has ended.
 fn sign_slowly(cluster: &Cluster, load: &JoinHandle<LoadFigures>) {
     for vm in 0..cluster.vms.len() {
         let costs = Some([("?long".into(), 1500.0)].into());
@@ -51,17 +51,14 @@
     }
     let path = format!("{HOT_PATH}?long");
     while !load.is_finished() {
-        // Whether it is answered is no matter here.
+        // The verdict does not matter: the run only has to overlap the move.
         let request = Ask { method: "POST", path: &path, body: "slow", ..Ask::default() };
         let _ = ask(cluster.vms[0].http, &request);
     }
 }
 
-// At month end half of all requests are signatures for the contract of one big mill. Its owner
-// splits the key out of its slot, and the key and the other units of the owner go apart, so that the
-// other contracts do not suffer. While they move, nothing is signed twice, and nothing runs under
-// an old right, nor at two servers at once: one clerk's signatures take long, so that there is
-// always one that began before the split.
+// Guards against a hot key that stays in its slot with the other keys of its owner, and against
+// second runs, outdated tokens or two owners at once while key and units move.
 #[test]
 fn a_hot_key_is_split_out_and_moved() {
     let cluster =
--- a/acaciaringd/tests/join.rs
+++ b/acaciaringd/tests/join.rs
@@ -1,4 +1,4 @@
-//! Joining members take a share of the units.
+//! Members that join an empty log or a running cluster, with real processes.
 
 mod common;
 
@@ -8,14 +8,14 @@
 
 use common::{CONTRACTS, options, start_contracts_with_settings, vm_options};
 
-/// Bound on the time until a newcomer has its share.
+/// Upper bound on the time until a new member owns its share of the units.
 const REBALANCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-// The first VM of a new system finds a log without a single record. It must join without waiting
-// for one, for an operator looks at the members before publishing anything.
+// Guards against a first member that waits for a record before it joins: nothing is published until
+// an operator has seen the members.
 #[test]
 fn members_join_on_an_empty_log() {
-    let mut cluster = Cluster::start(options()).expect("the log stand-in starts");
+    let mut cluster = Cluster::start(options()).expect("the test log starts");
     for number in 0..2 {
         cluster.add(vm_options(number, CONTRACTS)).expect("a VM starts");
     }
@@ -23,12 +23,11 @@
         let members = cluster.admin(0, "/v1/members").unwrap_or_default();
         members["members"].as_array().map(Vec::len) == Some(2)
     })
-    .expect("nobody waits for a record");
+    .expect("members join without a record in the log");
 }
 
-// A clerk's keys must not stay on five hot servers after a sixth was added: the newcomer gets
-// standby roles from the others and then units from their owners, one planned move at a time, and
-// nobody's request is cut off meanwhile.
+// Guards against a new member that gets no units, and against requests that fail while units move
+// to it.
 #[test]
 fn a_newcomer_takes_a_share_without_losing_a_request() {
     let settings = "[balance]\ninterval = 200ms\nmoves = 600\n";
@@ -38,7 +37,7 @@
     let newcomer = cluster.add(options).expect("a VM starts");
     let entry = cluster.vms[0].http;
     let mut number = 0;
-    wait_until("the newcomer owns units", REBALANCE_TIMEOUT, || {
+    wait_until("the new member owns units", REBALANCE_TIMEOUT, || {
         number += 1;
         let path = format!("/contracts/k{number}");
         let reply = ask(entry, &Ask { path: &path, ..Ask::default() }).expect("an answer");
@@ -47,5 +46,5 @@
         let rows = members["members"].as_array().cloned().unwrap_or_default();
         rows.iter().any(|row| row["vm"] == "vm-5" && row["owned"].as_u64().unwrap_or(0) >= 5)
     })
-    .expect("the newcomer takes a share");
+    .expect("the new member takes a share");
 }
--- a/acaciaringd/tests/logging.rs
+++ b/acaciaringd/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Lines and spans of the logs, and their change at run time.
+//! Log lines and spans, and changes of the log settings at run time.
 
 use std::io::{self, Write};
 use std::path::Path;
@@ -9,7 +9,7 @@
 use acaciaringd::logging::subscriber;
 use tracing::{debug, info, info_span};
 
-/// Memory that the logs are written to.
+/// Log writer that keeps the lines in memory.
 #[derive(Clone, Default)]
 struct Memory(Arc<Mutex<Vec<u8>>>);
 
@@ -60,8 +60,7 @@
 
 #[test]
 fn libraries_do_not_flood_the_logs() {
-    // An operator turns on `debug` to look at one request, and the QUIC library's line for each
-    // packet fills the disk of the log collector.
+    // At `debug` the QUIC library writes a line per packet.
     let settings = Logging { level: LoggingLevel::Debug, ..Logging::default() };
     run(&settings, |memory, _| {
         debug!(target: "quinn_proto::connection", "packet");
--- a/acaciaringd/tests/loss.rs
+++ b/acaciaringd/tests/loss.rs
@@ -1,4 +1,4 @@
-//! Losses of members, with real processes.
+//! Takeover of the keys of a killed member, with real processes.
 
 mod common;
 
@@ -9,10 +9,8 @@
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, start_cluster};
 
-// A mill clerk signs while the VM that owns the contract dies: the process is killed, its lessors
-// find its grant expired and vote, its standby takes over. The clerks are refused or wait for a
-// moment, then every key is served again, each by one server at a time, and nothing that was in
-// flight runs a second time when it is asked again with the same key at another entry.
+// Guards against keys that stay unserved after their owner was killed, against two owners at once,
+// and against a second run of a request that was in flight.
 #[test]
 fn keys_of_a_killed_member_are_served_again() {
     let mut cluster = start_cluster(5, 0);
--- a/acaciaringd/tests/metrics.rs
+++ b/acaciaringd/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics on the wire and on their page.
+//! Metrics as statsd lines, as text, and as listed in the documentation.
 
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
@@ -9,7 +9,7 @@
 
 const PAGE: &str = include_str!("../../docs/METRICS.md");
 
-/// Bound on waits; a pass takes far less.
+/// Upper bound of each wait; only a failing test reaches it.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn section(title: &str) -> BTreeSet<(String, String)> {
@@ -74,8 +74,8 @@
     metrics.flush();
 }
 
-// The on-call has nothing but the page. Counts add up, a gauge has its last value, and times come as
-// quantiles with their sum and count, each under a name that collectors accept.
+// Guards against a text page that collectors cannot parse, and against counters, gauges or
+// quantiles with wrong values.
 #[test]
 fn what_is_kept_is_read_as_text() {
     let metrics = Metrics::none().readable();
@@ -86,7 +86,7 @@
     for millis in [10, 10, 10, 500] {
         metrics.time(Timer::Queue, Duration::from_millis(millis));
     }
-    // Beyond what is told apart: it counts as the longest, and nothing fails.
+    // Above the range of the histogram: recorded as its maximum.
     metrics.time(Timer::Peer, Duration::from_hours(1));
     let text = metrics.text();
     let line = |line: &str| assert!(text.lines().any(|l| l == line), "no {line} in\n{text}");
--- a/acaciaringd/tests/near.rs
+++ b/acaciaringd/tests/near.rs
@@ -1,13 +1,11 @@
-//! Requests that an entry's own upstream can serve, with real processes.
+//! Preference of an entry for its local upstream, with real processes.
 
 mod common;
 
 use common::classes::{class_load, limited_upstreams, run_loads, start_pooled};
 
-// Half of all requests to a wide deployment's dossiers came to a process whose own upstream serves them and
-// had places free. Each went to one of all members alike: 204,144 requests went to another process, on
-// machines whose processors were the bound. Here three members serve, and all callers come to the first,
-// with less than it can carry.
+// Guards against requests that are sent to other members although the local upstream of the entry
+// has free slots.
 #[test]
 fn an_entry_gives_its_own_upstream_what_it_has_room_for() {
     let cluster = start_pooled(limited_upstreams(8, 5), 3, "");
--- a/acaciaringd/tests/observe.rs
+++ b/acaciaringd/tests/observe.rs
@@ -1,4 +1,4 @@
-//! What operators see of real processes: metrics, traces, levels of the logs and answers to publishing.
+//! Metrics, traces, log levels and publish answers of real processes.
 
 mod common;
 
@@ -15,22 +15,22 @@
 
 use common::{CONTRACTS, options, start_contracts_with_settings, vm_options};
 
-/// VMs of a system.
+/// VMs of a cluster.
 const VM_COUNT: usize = 3;
 
-/// Bound on waits; a pass takes far less.
+/// Upper bound of each wait; only a failing test reaches it.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One system at a time: each has hundreds of threads.
+/// Serialises the tests, as each cluster has hundreds of threads.
 fn serial_guard() -> MutexGuard<'static, ()> {
     static SERIAL: Mutex<()> = Mutex::new(());
     SERIAL.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Trace of a caller.
+/// Trace id that the caller sends.
 const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
 
-/// Names of metrics that a system with callers sends, each with its type.
+/// Metrics that a cluster under load sends, as `name|type`.
 const EXPECTED_METRICS: [&str; 9] = [
     "requests.answered|c",
     "requests.time|ms",
@@ -81,9 +81,8 @@
     Some(format!("{name}|{kind}"))
 }
 
-// A caller complains of one slow request. The operator has its trace id from the caller and looks
-// for it in the logs of all VMs: the entry, the owner and the call of the upstream are each there
-// with that trace id and a span id of their own, and the upstream has got the last one.
+// Guards against hops that lose the trace of a request: entry, owner and upstream call each log a
+// span of their own under the trace id of the caller.
 #[test]
 fn the_hops_of_a_request_have_one_trace() {
     let _serial = serial_guard();
@@ -131,8 +130,7 @@
     found
 }
 
-// An operator looks into a running system: the level is changed in the file and the process told
-// by SIGHUP. The lines of the new level come without a restart, and the member keeps its lease.
+// Guards against a log level that does not change on SIGHUP, or a reload that loses the lease.
 #[test]
 fn the_level_changes_without_a_restart() {
     let _serial = serial_guard();
@@ -140,7 +138,7 @@
     let debug =
         |logs: &[PathBuf]| fs::read_to_string(&logs[0]).expect("the log is text").contains("DEBUG");
     let request = |cluster: &Cluster| {
-        // The entry writes a line of its end at this level.
+        // The entry logs the end of each request at `debug`.
         let read = Ask { path: "/contracts/k1", ..Ask::default() };
         ask(cluster.vms[0].http, &read).expect("an answer");
     };
@@ -158,13 +156,13 @@
     assert_eq!(cluster.admin(0, "/v1/status").expect("a status")["leased"], true);
 }
 
-/// Starts VMs whose logs go to files, and waits until they serve.
+/// Starts VMs that log to files and waits until they serve.
 fn start_with_logs(count: usize, logging: &str) -> (Cluster, Vec<PathBuf>) {
     let level = logging.lines().find_map(|line| line.strip_prefix("level = ")).expect("a level");
     let rest: String = logging.lines().filter(|line| !line.starts_with("level")).collect();
     let mut options = options();
     level.clone_into(&mut options.level);
-    let mut cluster = Cluster::start(options).expect("the log stand-in starts");
+    let mut cluster = Cluster::start(options).expect("the test log starts");
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = |number| directory.join(format!("observe-{level}-{number}.log"));
     let logs: Vec<_> = (0..count).map(path).collect();
@@ -178,8 +176,8 @@
     (cluster, logs)
 }
 
-// The answer to a publish is lost between member and tool, and the tool asks again with the same
-// record id. It gets the answer that was lost, not that its change conflicts with itself.
+// Guards against a conflict of a publication with itself when it is repeated with the same record
+// id because its answer was lost.
 #[test]
 fn a_repeated_publish_gets_the_same_answer() {
     let _serial = serial_guard();
@@ -194,8 +192,7 @@
     assert_eq!(post(&cluster, &stale), conflict);
 }
 
-// The log refuses every append while an operator publishes. The answer 503 is a promise: once the
-// log is back, the change does not come into force behind the operator's back.
+// Guards against a publication that comes into force after it was answered with 503.
 #[test]
 fn what_was_not_appended_never_comes() {
     let _serial = serial_guard();
@@ -205,7 +202,7 @@
     let refused = post(&cluster, &publication("00000000000000000000000000000003", 0));
     assert_eq!(refused.0, 503, "{refused:?}");
     log.set(&LogControl { outage: Some(false), ..LogControl::default() });
-    // Goes the same way, behind whatever is left of the first.
+    // Follows the first publication through the same queue.
     let marker = publication("00000000000000000000000000000004", 0);
     let mut applied = (0, Value::Null);
     wait_until("the log is back", WAIT_TIMEOUT, || {
--- a/acaciaringd/tests/once.rs
+++ b/acaciaringd/tests/once.rs
@@ -1,4 +1,4 @@
-//! Requests that may run once, through the loss of the server that ran them.
+//! At-most-once requests across the loss of their owner, with real processes.
 
 mod common;
 
@@ -13,13 +13,11 @@
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::start_cluster;
 
-/// Time that a signature takes, in milliseconds: longer than its deadline, so that none is answered.
+/// Service time of a signature, above its deadline, so that none is answered.
 const SIGN_SERVICE_MS: f64 = 10_000.0;
 
-// Clerks sign contracts; the VM that runs the signatures dies before it has answered. The clerks
-// ask again with the same idempotency key through another entry. The standby had acknowledged each
-// signature before it ran, so it says that the outcome is unknown and runs none of them again; a
-// signature that it has never heard of runs, for the first time.
+// Guards against a second run of a request that was in flight when its owner died and is repeated
+// with the same idempotency key: the standby answers `unknown`, and runs only new requests.
 #[test]
 fn signatures_in_flight_at_a_killed_member_run_once() {
     let mut cluster = start_cluster(5, 0);
@@ -27,7 +25,7 @@
     let keys = recovery::owned_keys(&cluster, victim, 0);
     let (first, second) = (cluster.vms[0].http, cluster.vms[1].http);
     for key in &keys {
-        // The standby is synced once a signature runs.
+        // The standby is synchronised once a signature runs.
         sign_until(first, key, "before", &["answered"]);
     }
     let before = cluster.vms[victim].runs().len();
@@ -68,7 +66,7 @@
     ask(entry, &request).ok()
 }
 
-/// Signs until one of the verdicts is told.
+/// Repeats a signature until it gets one of the verdicts.
 fn sign_until(entry: SocketAddr, key: &str, name: &str, verdicts: &[&str]) -> Reply {
     let start = Instant::now();
     loop {
--- a/acaciaringd/tests/operators.rs
+++ b/acaciaringd/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Documents of operators through lost answers, conflicts and restarts, with real processes.
+//! Published documents through lost answers, conflicts and restarts, with real processes.
 
 mod common;
 
@@ -15,14 +15,13 @@
 
 const VM_COUNT: usize = 5;
 
-/// More documents than the small log keeps records.
+/// More documents than the log retains records.
 const ROUNDS: usize = 600;
 
 const SPARE_WORKSPACE: &str = "spare-contracts";
 
-// The log's answer to an append is lost on the way, and the record is appended again with the same
-// id, so the log has it twice. The operator is told that the document is applied, once, and its
-// version stays that of the first record; the second one changes nothing for the next operator.
+// Guards against a document that is applied twice when an append is repeated because its answer was
+// lost: the second record of the same id must not change the version.
 #[test]
 fn a_lost_answer_of_an_append_applies_a_document_once() {
     let cluster = start_cluster(VM_COUNT, 0);
@@ -32,7 +31,7 @@
     let offset = publish(&cluster, 0, &spare_parameters(1), 0).expect("applied");
     assert!(log.counts().lost > before.lost, "an answer was lost");
     log.set(&LogControl { lose: Some(0), ..LogControl::default() });
-    // The daemon need not repeat a record that it has read back in time, so the test does.
+    // The daemon may have read the record back before its retry, so the test repeats the append.
     let (start, records) = log.records(offset);
     assert_eq!(start, offset);
     let repeated = log.append(records[0].clone());
@@ -49,9 +48,8 @@
     }
 }
 
-// Two operators change the same document at the same moment, both from the version that they have
-// read. One change is applied. The other operator is told of the conflict and of the version that
-// is in force now, so that nothing is overwritten unseen.
+// Guards against lost updates: of two concurrent changes on the same base version one is applied,
+// and the other is refused with the version that is in force.
 #[test]
 fn one_of_two_operators_is_told_of_the_conflict() {
     let cluster = start_cluster(VM_COUNT, 0);
@@ -78,9 +76,8 @@
     }
 }
 
-// A template is retired and its parameters with it. VMs restart later, one by a planned stop and
-// one by a crash, and read the log anew, where the old documents still stand before their
-// retirement. Neither of them, nor anybody else, brings the documents back or serves their route.
+// Guards against retired documents that return when members restart, after a drain or a crash, and
+// replay the log in which the documents precede their retirement.
 #[test]
 fn a_retired_document_does_not_return_when_members_restart() {
     let mut cluster = start_cluster(VM_COUNT, 0);
@@ -108,14 +105,12 @@
         assert_eq!(version(&cluster, vm, "pooled"), Some((gone, true)), "vm-{vm}");
     }
     let stale =
-        publish(&cluster, 1, &spare_parameters(3), second).expect_err("an old version is no base");
+        publish(&cluster, 1, &spare_parameters(3), second).expect_err("an old version is refused");
     assert!(stale.contains(&format!("{{\"current\":{retired}}}")), "{stale}");
 }
 
-// The log keeps few records. A document is published and retired, and so much is published after it
-// that the log has forgotten both; only the snapshots of the members still tell of it. A VM that
-// crashes and one that is stopped begin anew from a snapshot, and the document stays retired there,
-// under its version, while the latest version of another one is in force.
+// Guards against retired documents that return when members restart from a snapshot because the log
+// no longer has the records of publication and retirement.
 #[test]
 fn a_retired_document_does_not_return_from_a_snapshot() {
     let mut options = options();
@@ -130,7 +125,7 @@
     let mut latest = 0;
     for round in 0..ROUNDS {
         if cluster.log.handle().counts().oldest > retired {
-            println!("forgotten by the log after {round} documents");
+            println!("truncated from the log after {round} documents");
             break;
         }
         let vm = round % VM_COUNT;
@@ -149,11 +144,12 @@
         assert_eq!(version(&cluster, vm, SPARE_WORKSPACE), Some((retired, true)), "vm-{vm}");
         assert_eq!(version(&cluster, vm, "pooled"), Some((latest, false)), "vm-{vm}");
     }
-    let stale = publish(&cluster, 3, &spare_parameters(3), 0).expect_err("nothing is no base");
+    let stale =
+        publish(&cluster, 3, &spare_parameters(3), 0).expect_err("0 is not the current version");
     assert!(stale.contains(&format!("{{\"current\":{retired}}}")), "{stale}");
 }
 
-/// Parameters of a service that has no upstream, with a weight that tells versions apart.
+/// Parameters of a workspace without upstreams, with a weight that identifies the version.
 fn spare_parameters(churn: u32) -> String {
     let text = include_str!("common/contracts.ini");
     text.replace("korenveld-contracts", SPARE_WORKSPACE)
@@ -166,7 +162,7 @@
     published.map_err(|error| error.to_string())
 }
 
-/// Waits until every VM has folded a record, as one of them finds by asking all.
+/// Waits until the first VM reports that every VM has applied the record at `offset`.
 fn wait_until_applied(cluster: &Cluster, offset: u64) {
     wait_until("the document is in force", RECOVERY_TIMEOUT, || {
         let answer = cluster.admin(0, &format!("/v1/in-force?offset={offset}")).unwrap_or_default();
--- a/acaciaringd/tests/outage.rs
+++ b/acaciaringd/tests/outage.rs
@@ -1,4 +1,4 @@
-//! Outages of the log, with real processes.
+//! Takeover during an outage of the log, with real processes.
 
 mod common;
 
@@ -10,9 +10,8 @@
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, start_cluster};
 
-// The log is down, and in the same hour a VM dies. Nobody can write down who follows; the standby
-// takes over by the votes of the lessors alone and its callers are answered. When the log is back,
-// the eviction is recorded, every member agrees on the owners, and the standby keeps the keys.
+// Guards against keys that stay unserved when their owner dies during a log outage: the standby
+// takes over by the votes of the lessors, and all members agree on the owners after the outage.
 #[test]
 fn a_standby_takes_over_while_the_log_is_down() {
     let mut cluster = start_cluster(5, 0);
@@ -50,7 +49,7 @@
     recovery::assert_consistent(&cluster.runs(), &figures);
 }
 
-/// Names of the upstreams at which the last run of each key was.
+/// Names of the upstreams that ran the last request of each key.
 fn last_servers(cluster: &Cluster, keys: &[String]) -> Vec<String> {
     let runs = cluster.runs();
     let last = |key: &String| {
--- a/acaciaringd/tests/overload.rs
+++ b/acaciaringd/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More load than the upstreams can carry, with real processes.
+//! Load above the capacity of the upstreams, with real processes.
 
 mod common;
 
@@ -14,7 +14,7 @@
     start_pooled,
 };
 
-/// Shares of the load in its capacity: critical, interactive, bulk, background; twice the capacity.
+/// Load name, class and rate relative to the capacity; twice the capacity in total.
 const LOAD_MIX: [(&str, &str, f64); 4] = [
     ("grade", "grade", 0.25),
     ("query", "query", 0.75),
@@ -22,19 +22,19 @@
     ("archive", "archive", 0.6),
 ];
 
-/// Short queues, so that the callers of a test fill them.
+/// Short queues that the callers of a test can fill.
 const QUEUE_SETTINGS: &str = "[limits]\nqueue = 24\n";
 
-/// Deadline of background requests in milliseconds, see the template.
+/// Deadline of background requests in the template.
 const DEADLINE_MS: u64 = 4000;
 
-/// Callers that send them.
+/// Concurrent callers that send background requests.
 const PROBE_COUNT: usize = 12;
 
-/// Keys for which they ask in turn, so that they meet every owner.
+/// Keys that these callers request in turn, so that every owner is reached.
 const KEY_COUNT: u64 = 30;
 
-/// Answered requests a second when callers ask as fast as they are answered.
+/// Measures the capacity with a closed loop of callers, in answered requests per second.
 fn capacity(cluster: &Cluster, path: &str) -> f64 {
     let load = LoadOptions {
         threads: 16,
@@ -62,7 +62,7 @@
     run_loads(&loads)
 }
 
-/// Asks for background work until the load ends; returns the heads of refusals.
+/// Sends background requests until the load ends; returns the heads of refusals.
 fn probe(cluster: &Cluster, path: &str, end: &AtomicBool) -> Vec<String> {
     let mut refusals = Vec::new();
     let path = path.replace("{class}", "archive");
@@ -78,14 +78,14 @@
     refusals
 }
 
-/// Percentage of a class that was answered.
+/// Percentage of requests of a class that were answered.
 fn share(figures: &LoadFigures, class: &str) -> u64 {
     let class = &figures.classes[class];
     class.answered * 100 / class.sent
 }
 
 fn check_overload(cluster: &Cluster, path: &str) {
-    // Two tests at once would measure each other.
+    // Concurrent tests would distort the measured capacity.
     static SERIAL: Mutex<()> = Mutex::new(());
     let _serial = SERIAL.lock().unwrap_or_else(PoisonError::into_inner);
     let first = capacity(cluster, path);
@@ -100,7 +100,7 @@
         (all, refusals.collect::<Vec<_>>())
     });
     let arrived = arrived(cluster) - before;
-    // The machine may have become busier in between.
+    // Other load on the machine may have reduced the capacity meanwhile.
     let capacity = first.min(capacity(cluster, path));
     let goodput: f64 = all.iter().flat_map(|load| load.classes.values()).map(|c| c.goodput).sum();
     for load in &all {
@@ -136,16 +136,15 @@
     upstreams.map(|upstream| upstream.handle().counts().arrived).sum()
 }
 
-// Month end at the quality lab: twice as many requests as the servers can carry. Grading on the
-// mill floor goes on, archive jobs are told at once when to come back, samples get their share, and
-// the servers do as much useful work as before.
+// Guards against congestion collapse of a pool at twice its capacity: critical requests are
+// answered, background ones refused early with a retry time, bulk keeps its share, goodput holds.
 #[test]
 fn a_pool_at_twice_its_capacity_serves_what_matters() {
     let cluster = start_pooled(limited_upstreams(4, 40), 3, QUEUE_SETTINGS);
     check_overload(&cluster, "/quality-lab/{class}");
 }
 
-// The same for contracts, where each key has one owner and no other can help out.
+// Guards against the same collapse where each key has one owner and no other member can serve it.
 #[test]
 fn owners_at_twice_their_capacity_serve_what_matters() {
     let cluster = start_keyed(limited_upstreams(4, 40), 3, QUEUE_SETTINGS);
--- a/acaciaringd/tests/partition.rs
+++ b/acaciaringd/tests/partition.rs
@@ -1,7 +1,7 @@
-//! Members and regions that are cut off, with real processes behind proxies.
+//! Network partitions of members and regions, with real processes behind proxies.
 //!
-//! What is cut: datagrams between members, by direction, in the proxies of both, and the connection
-//! of a member to the log. Callers still reach every entry, and each upstream its own member.
+//! The proxies drop datagrams between members, by direction, and the connection of a member to the
+//! log. Callers still reach every entry, and each upstream its own member.
 
 mod common;
 
@@ -14,17 +14,16 @@
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, options, start_proxied, vm_options};
 
-/// Members of a system.
+/// Members of the cluster.
 const VM_COUNT: usize = 5;
 
-/// The member that is cut off.
+/// Member that is partitioned.
 const VICTIM: usize = 4;
 
 const OTHERS: [usize; 4] = [0, 1, 2, 3];
 
-// A switch fails: one VM reaches no other VM and no log, while its callers and its upstream still
-// reach it. It must stop by itself before the others begin: its lease runs out, its standbys take
-// over, and its own entry refuses. When the switch is back, the VM joins anew.
+// Guards against two owners at once when a member loses all other members and the log while callers
+// still reach it: its lease must expire before its standbys take over.
 #[test]
 fn a_member_that_is_cut_off_stops_before_its_keys_are_taken_over() {
     check_cut_off(31, |network, cut| {
@@ -33,8 +32,8 @@
     });
 }
 
-// A broken transmitter: nothing that one VM sends to members arrives, all that is sent to it does,
-// and it still reaches the log. Its renewals do not arrive, so its lessors vote.
+// Guards against keys that stay with a member whose outbound packets are lost: its renewals do not
+// arrive, so its lessors vote.
 #[test]
 fn a_member_that_is_not_heard_is_taken_over() {
     check_cut_off(32, |network, cut| {
@@ -44,9 +43,8 @@
     });
 }
 
-// A broken receiver: nothing that members send to one VM arrives, all that it sends does, and it
-// still reaches the log. Its renewals arrive and the grants do not, so its lease ends while its
-// lessors could go on granting for ever.
+// Guards against keys that stay with a member whose inbound packets are lost: its renewals arrive,
+// but the grants do not, so its lease ends.
 #[test]
 fn a_member_that_hears_nothing_is_taken_over() {
     check_cut_off(33, |network, cut| {
@@ -83,10 +81,8 @@
     recovery::assert_consistent(&cluster.runs(), &figures);
 }
 
-// Two regions lose each other, and the log is in the first. Lessors are in the own region, so each
-// region goes on serving the keys that it owns, under the records that it has. The other region's
-// keys are refused at its entries, and so are signatures whose standby is in the other region.
-// When the link is back, the second region reads what it has missed.
+// Guards against a region that stops serving its own keys when it loses the other region and the
+// log: its lessors are local. The keys of the other region must not be answered.
 #[test]
 fn a_region_that_is_cut_off_serves_on() {
     let free = (0..3).map(|number| vm_options(number, CONTRACTS));
@@ -122,7 +118,7 @@
     }
     let path = recovery::key_path(&keys[0][0]);
     let reply = ask(cluster.vms[other[0]].http, &Ask { path: &path, ..Ask::default() });
-    // It is unknown where the request went out on a connection that the cut has silenced.
+    // The verdict is `unknown` if the request was sent on a connection that the partition cut.
     assert_ne!(reply.expect("an answer").verdict, "answered", "a key of the other region");
     network.heal();
     for vm in 0..cluster.vms.len() {
@@ -133,7 +129,7 @@
     assert!(stale.is_empty(), "{stale:#?}");
 }
 
-/// Whether a majority of each member's lessors is in its own region, seen from all.
+/// Whether all VMs report that a majority of each member's lessors is in its own region.
 fn lessors_in_region(cluster: &Cluster) -> bool {
     (0..cluster.vms.len()).all(|vm| {
         let answer = cluster.admin(vm, "/v1/members").unwrap_or_default();
--- a/acaciaringd/tests/path.rs
+++ b/acaciaringd/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path with real processes: publish, route, own, answer, stop.
+//! Publishing, routing and serving by key from end to end, with real processes.
 
 mod common;
 
--- a/acaciaringd/tests/peer.rs
+++ b/acaciaringd/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Transport between members on a network that works.
+//! Peer transport on a network without faults.
 
 mod peer_support;
 
@@ -102,15 +102,14 @@
     assert_ne!(from, holder.transport.local_addr(), "a replacement starts from a new port");
 }
 
-/// A process with a certificate of some other authority tries to take part. If
-/// it were let in it could grant leases and hand out answers. Its requests must
-/// fail as not delivered, and members must not send to it either.
+/// Guards against members that exchange messages with a process whose certificate another authority
+/// issued: requests in either direction are not delivered.
 #[test]
 fn peer_of_another_authority_is_refused() {
     let (ours, theirs) = (Authority::new(), Authority::new());
     let member = Node::echo(ours.settings());
     let stranger = Node::echo(theirs.settings());
-    // The stranger trusts our authority, so only the member's check is left.
+    // This peer trusts our authority, so only the member's check can refuse it.
     let settings = PeerSettings { authority: ours.settings().authority, ..theirs.settings() };
     let sly = Node::echo(settings);
     let to = member.transport.local_addr();
@@ -144,8 +143,7 @@
     assert!(matches!(error, PeerError::NoCertificate { .. }));
 }
 
-/// A client closes the page while its permit query waits behind others. The
-/// work must be told, so that a slot is not spent on an answer for nobody.
+/// Guards against a cancellation that does not reach the handler of a request whose caller is gone.
 #[test]
 fn cancelled_request_is_told() {
     let authority = Authority::new();
@@ -171,9 +169,8 @@
     });
 }
 
-/// An upstream is slow and the caller's time runs out. The caller must hear
-/// that the request may have run, the work must be told to stop, and requests
-/// that were still waiting for a thread must not run at all.
+/// Guards against an expired request whose caller is not told that it may have run, whose handler
+/// is not cancelled, or that still runs after waiting for a worker.
 #[test]
 fn request_whose_time_runs_out_is_lost_and_cancelled() {
     let authority = Authority::new();
@@ -199,14 +196,13 @@
     assert_eq!(server.runs(), 2, "the queued request did not run before the third");
 }
 
-/// A handler has a fault and panics. The sender must get an answer at once, not
-/// wait until its time is over, and the thread must go on to serve others.
+/// Guards against a panic in a handler that leaves the caller without an answer or ends the worker.
 #[test]
 fn handler_that_panics_answers_unknown() {
     let authority = Authority::new();
     let settings = PeerSettings { workers: 1, ..authority.settings() };
     let server = Node::start(settings, |request, _| {
-        assert_ne!(request.body, b"bad", "as the test wants");
+        assert_ne!(request.body, b"bad", "provoked by the test");
         echo(request)
     });
     let client = Node::echo(authority.settings());
@@ -221,8 +217,8 @@
     assert_eq!(body(client.transport.blocking_request(to, request("good"), WAIT_TIMEOUT)), b"good");
 }
 
-/// A member stops after its work is done. Others must see at once that it is
-/// gone, not after an idle timeout, and it must refuse to send.
+/// Guards against peers that notice a stopped transport only at the idle timeout, and against sends
+/// after the stop.
 #[test]
 fn stopped_transport_is_gone_at_once() {
     let authority = Authority::new();
@@ -240,9 +236,8 @@
     assert_eq!(Arc::strong_count(&client.handler), 2, "the transport lives until it is dropped");
 }
 
-/// A member is told to stop, and its last request for another one has just run. Nothing was in flight any
-/// more by its count, so it closed its connections, with the answer still in them. The caller of the other
-/// one was told that nobody knows what became of the request.
+/// Guards against a stop that closes a connection while an answer of a finished request is still
+/// being sent.
 #[test]
 fn a_stop_delivers_the_answers_that_are_due() {
     let authority = Authority::new();
@@ -266,8 +261,8 @@
     });
 }
 
-/// Members send a steady stream of requests to one that stops. Each of them has an answer or has not run:
-/// what comes after the last answer is not taken, and its sender is told so by the end of the connection.
+/// Guards against requests with an unknown outcome during a stop: each is answered or refused as
+/// not run.
 #[test]
 fn requests_that_meet_a_stop_are_answered_or_have_not_run() {
     let authority = Authority::new();
@@ -283,7 +278,7 @@
                     match client.transport.blocking_request(to, request("a"), WAIT_TIMEOUT) {
                         RequestOutcome::Answer(_) => answered.fetch_add(1, Ordering::SeqCst),
                         RequestOutcome::NotDelivered => return,
-                        RequestOutcome::Lost => panic!("a request with an unknown end"),
+                        RequestOutcome::Lost => panic!("a request with an unknown outcome"),
                     };
                 }
             });
--- a/acaciaringd/tests/peer_connect.rs
+++ b/acaciaringd/tests/peer_connect.rs
@@ -1,4 +1,4 @@
-//! Connections to members that are short of processor.
+//! Reuse of peer connections when handshakes or answers are slow.
 
 mod peer_support;
 
@@ -13,11 +13,8 @@
     Authority, Forwarder, Node, PacketPolicy, WAIT_TIMEOUT, echo, request, wait_for,
 };
 
-/// A member had a tenth of a core and all of it was in use, so a handshake with it took longer than
-/// the 200 ms for which a request waits. Each handshake was given up then and the next request began
-/// another one: 2,508 of them ended half way within seven seconds, each at the cost of one to two
-/// milliseconds of processor at both ends, and the requests were told that the member cannot be
-/// reached. The handshake that is under way must go on for those that come later.
+/// Guards against handshakes that are abandoned at the connect timeout of one request: a pending
+/// handshake must go on for later requests instead of being started anew.
 #[test]
 fn a_slow_handshake_serves_the_requests_that_come_later() {
     let authority = Authority::new();
@@ -43,9 +40,8 @@
     assert!(forwarder.flows() <= 2, "{} handshakes", forwarder.flows());
 }
 
-/// In a wide fleet each of two members opened a connection of its own to the other, though one was
-/// there: what the peer had opened counted for 1.5 s after the peer was last heard, and a pair
-/// exchanges a request less often than that. That is twice the handshakes when a fleet starts.
+/// Guards against a second connection between two members because the one that the peer opened has
+/// been idle for a few seconds.
 #[test]
 fn a_connection_that_the_peer_opened_a_while_ago_is_used() {
     let authority = Authority::new();
@@ -59,9 +55,8 @@
     assert_eq!(one.transport.traffic().connections, 1);
 }
 
-/// A member without processor for a tenth of a second does not answer a test in time. Its connection
-/// was closed at once and a handshake begun, which cost it more of what it lacked, and until that was
-/// over it could not be reached, though it had long been heard again on the connection that was there.
+/// Guards against a peer that counts as unreachable until a replacement connection is up, although
+/// the suspect connection has received from it again.
 #[test]
 fn a_connection_on_which_the_peer_is_heard_again_is_used_before_another_is_there() {
     let authority = Authority::new();
@@ -84,8 +79,8 @@
     assert_eq!(send(), RequestOutcome::Answer(echo(request("a"))));
 }
 
-/// A lessor without processor answered a renewal late, and the next renewals each replaced the
-/// connection: one made an instant ago gave way to another, and each cost the lessor a handshake.
+/// Guards against a handshake per lease renewal: a connection that was just replaced is not
+/// replaced again.
 #[test]
 fn a_datagram_does_not_replace_what_has_just_been_replaced() {
     let authority = Authority::new();
--- a/acaciaringd/tests/peer_held_up.rs
+++ b/acaciaringd/tests/peer_held_up.rs
@@ -1,4 +1,4 @@
-//! Requests that were held up on their way.
+//! Requests that arrive late because the network or the receiver delayed them.
 
 mod peer_support;
 
@@ -12,10 +12,10 @@
     Authority, Forwarder, Node, PacketPolicy, WAIT_TIMEOUT, echo, request, wait_for,
 };
 
-/// Time for which a request is held up, well above the bound from which it is doubtful.
+/// Delay of a request, well above the delay from which the receiver asks its sender first.
 const HOLD_DURATION: Duration = Duration::from_millis(600);
 
-/// Two members with a forwarder between them; the sender itself does not look for silence.
+/// Client and server with a forwarder between them; the client does not probe silent connections.
 struct Fixture {
     client: Node,
     server: Node,
@@ -31,7 +31,7 @@
         let client = Node::echo(patient);
         let forwarder = Forwarder::start(server.transport.local_addr());
         let fixture = Self { client, server, forwarder, _authority: authority };
-        // The fastest message is what others are compared with.
+        // The receiver takes the fastest message as the baseline of its delay estimate.
         for _ in 0..3 {
             assert!(matches!(fixture.request("warm"), RequestOutcome::Answer(_)));
         }
@@ -42,7 +42,7 @@
         self.client.transport.blocking_request(self.forwarder.address, request(body), WAIT_TIMEOUT)
     }
 
-    /// Holds a request up, lets it go as `then` says, and returns what came of it.
+    /// Holds the packets of a request for [`HOLD_DURATION`], then calls `then` to release them.
     fn request_held(&self, then: impl FnOnce()) -> RequestOutcome {
         self.forwarder.set_policies(PacketPolicy::Hold, PacketPolicy::Forward);
         thread::scope(|scope| {
@@ -54,9 +54,8 @@
     }
 }
 
-/// A process without processor time reads a clerk's request long after it came. Whether the clerk
-/// still waits would stand in a packet behind it, which is not read yet. The request must not run
-/// for nobody: it is refused as not run, and another member can take it.
+/// Guards against a late request that runs though its caller may be gone: if the sender does not
+/// confirm that it still waits, the request is refused as not run.
 #[test]
 fn a_request_whose_sender_cannot_be_asked_does_not_run() {
     let fixture = Fixture::new();
@@ -68,8 +67,7 @@
     assert_eq!(fixture.server.runs(), before);
 }
 
-/// A link loses packets, and a request comes late by their repetition. Its caller still waits and
-/// its sender says so: it runs.
+/// Guards against the refusal of a late request whose sender confirms that its caller still waits.
 #[test]
 fn a_request_whose_sender_still_waits_runs() {
     let fixture = Fixture::new();
--- a/acaciaringd/tests/peer_silence.rs
+++ b/acaciaringd/tests/peer_silence.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent while new ones work.
+//! Peer connections on which packets are dropped while new connections work.
 
 mod peer_support;
 
@@ -14,24 +14,24 @@
     Authority, Forwarder, Node, PacketPolicy, WAIT_TIMEOUT, echo, request, wait_for,
 };
 
-/// Time for which nothing passes, well above that after which a sender has asked on several new connections.
+/// Duration of a cut of all connections, in which a sender probes on several new connections.
 const CUT_DURATION: Duration = Duration::from_secs(2);
 
-/// The same, and longer than a receiver keeps an answer for those who ask for it.
+/// Duration of a cut that exceeds the time for which a receiver keeps an answer to be fetched.
 const LONG_CUT_DURATION: Duration = Duration::from_secs(5);
 
-/// Time in which packets are lost, shorter than that after which a connection is suspect, and how often.
+/// Duration of packet loss, shorter than the time after which a connection is suspect.
 const LOSS_DURATION: Duration = Duration::from_millis(60);
 const ROUNDS: usize = 20;
 
-/// Two members with a forwarder between them and a connection that has worked.
+/// Client and server with a forwarder between them and an established connection.
 struct Fixture {
     client: Node,
     server: Node,
     forwarder: Forwarder,
-    /// A request with the body `slow` reports here that it runs.
+    /// Receives a message when a request with the body `slow` starts to run.
     started: Receiver<()>,
-    /// It goes on when the test says so.
+    /// Lets the request with the body `slow` finish.
     resume: Sender<()>,
     authority: Authority,
 }
@@ -55,10 +55,10 @@
         fixture
     }
 
-    /// Waits until a slow request runs and its sender knows that it has arrived.
+    /// Waits until a slow request runs and its sender has received the acknowledgement.
     fn wait_for_start(&self) {
         self.started.recv_timeout(WAIT_TIMEOUT).unwrap();
-        // The acknowledgement passes meanwhile; if it did not, the test would be of silence before it.
+        // Time for the acknowledgement, so that the silence begins after it.
         thread::sleep(Duration::from_millis(100));
     }
 
@@ -71,7 +71,7 @@
     RequestOutcome::Answer(echo(request(body)))
 }
 
-/// Guards against a request that never arrived and is told as one that may have run.
+/// Guards against the outcome "may have run" for a request that never arrived.
 #[test]
 fn silence_before_arrival_is_not_delivered() {
     let fixture = Fixture::new();
@@ -82,7 +82,7 @@
     assert_eq!(fixture.forwarder.flows(), 2, "the new connection comes from a new port");
 }
 
-/// Guards against an answer that is lost because the way back has gone silent.
+/// Guards against an answer that is lost because only the packets to the client are dropped.
 #[test]
 fn silence_of_the_way_back_does_not_lose_the_answer() {
     let fixture = Fixture::new();
@@ -91,7 +91,8 @@
     assert_eq!(fixture.server.runs(), 2);
 }
 
-/// Guards against a connection that is taken for alive because only the way there is silent.
+/// Guards against a connection that counts as alive because only the packets to the server are
+/// dropped.
 #[test]
 fn silence_of_the_way_there_is_not_delivered() {
     let fixture = Fixture::new();
@@ -114,7 +115,7 @@
     assert_eq!(fixture.server.runs(), 1);
 }
 
-/// Guards against a request that is given up because the question whether it has arrived overtakes it.
+/// Guards against a request that is abandoned because the probe for its arrival overtakes it.
 #[test]
 fn a_request_whose_packets_were_lost_arrives() {
     let fixture = Fixture::new();
@@ -142,7 +143,8 @@
     });
 }
 
-/// Guards against an answer that is lost, or a second run, when a connection goes silent after the arrival.
+/// Guards against a lost answer or a second run when a connection goes silent after the request has
+/// arrived.
 #[test]
 fn silence_after_arrival_does_not_lose_the_answer() {
     let fixture = Fixture::new();
@@ -157,7 +159,7 @@
     assert_eq!(fixture.server.runs(), 2);
 }
 
-/// Guards against an answer that is lost because the replacement of a silent connection goes silent too.
+/// Guards against a lost answer when the replacement of a silent connection goes silent too.
 #[test]
 fn silence_of_the_replacement_does_not_lose_the_answer() {
     let fixture = Fixture::new();
@@ -175,7 +177,7 @@
     assert_eq!(fixture.server.runs(), 2);
 }
 
-/// Guards against a request that runs here although its sender was told that it never arrived.
+/// Guards against a run of a late request whose sender was already told that it was not delivered.
 #[test]
 fn request_that_arrives_after_the_probe_does_not_run() {
     let fixture = Fixture::new();
@@ -192,7 +194,8 @@
     assert_eq!(fixture.server.runs(), 21);
 }
 
-/// Guards against a second run because a new process at an address does not know the attempt.
+/// Guards against a second run because a new process at the address does not know the attempts of
+/// its predecessor.
 #[test]
 fn process_that_restarted_does_not_vouch_for_the_one_before() {
     let fixture = Fixture::new();
@@ -208,7 +211,7 @@
     assert_eq!(successor.runs(), 0);
 }
 
-/// Guards against a new connection for each of many requests on one that has gone silent.
+/// Guards against a new connection per request when a connection under load goes silent.
 #[test]
 fn silence_under_load_costs_one_connection() {
     let fixture = Fixture::new();
@@ -224,7 +227,7 @@
     assert_eq!(fixture.forwarder.flows(), 2);
 }
 
-/// Guards against a verdict that is wrong, or does not come, when nothing passes any more.
+/// Guards against a wrong or missing outcome when all packets are dropped.
 #[test]
 fn request_into_a_partition_gets_its_verdict() {
     let fixture = Fixture::new();
@@ -237,7 +240,7 @@
     assert_eq!(fixture.server.runs(), 1);
 }
 
-/// Guards against a request that is given up while the server of a silent member works on it.
+/// Guards against a request that is abandoned while a silent member still works on it.
 #[test]
 fn answer_is_taken_from_a_member_that_was_silent_for_seconds() {
     let fixture = Fixture::new();
@@ -253,7 +256,8 @@
     assert_eq!(fixture.server.runs(), 2);
 }
 
-/// Guards against an answer that is lost because its member keeps it no more for those who ask.
+/// Guards against a lost answer when the server no longer keeps it to be fetched: it arrives on the
+/// original connection.
 #[test]
 fn answer_that_is_kept_no_more_is_taken_from_its_own_connection() {
     let fixture = Fixture::new();
@@ -269,7 +273,7 @@
     assert_eq!(fixture.server.runs(), 2);
 }
 
-/// Guards against "may have run" for a request that a silent member has not read.
+/// Guards against the outcome "may have run" for a request that a silent member has not read.
 #[test]
 fn request_to_a_member_that_was_silent_for_seconds_gets_a_sure_verdict() {
     let fixture = Fixture::new();
@@ -291,7 +295,7 @@
     });
 }
 
-/// Guards against a wait until the deadline for a member that has said that it ends.
+/// Guards against a wait until the deadline for a member that has announced its stop.
 #[test]
 fn request_at_a_member_that_has_said_farewell_is_lost_at_once() {
     let fixture = Fixture::new();
@@ -306,7 +310,8 @@
     assert!(start.elapsed() < WAIT_TIMEOUT / 2, "{:?}", start.elapsed());
 }
 
-/// Guards against a stop that waits to deliver an answer and refuses the question for it.
+/// Guards against a stopping member that waits to deliver an answer but refuses the connection that
+/// fetches it.
 #[test]
 fn answer_that_a_stop_waits_for_is_asked_for_on_another_connection() {
     let fixture = Fixture::new();
@@ -322,7 +327,7 @@
     });
 }
 
-/// Guards against handshakes that keep a member without processor from catching up.
+/// Guards against a flood of handshakes that keeps an overloaded member from recovering.
 #[test]
 fn a_silent_member_is_asked_for_few_connections() {
     let fixture = Fixture::new();
--- a/acaciaringd/tests/peer_slow.rs
+++ b/acaciaringd/tests/peer_slow.rs
@@ -1,4 +1,4 @@
-//! Members that hear each other late, for the way is long or a process is late itself.
+//! Peer connections with high latency or a process that is scheduled late.
 
 mod peer_support;
 
@@ -9,20 +9,21 @@
 
 use crate::peer_support::{Authority, Forwarder, Node, WAIT_TIMEOUT, echo, request, wait_for};
 
-/// Delay in each direction; there and back takes well above the time for an acknowledgement.
+/// One-way delay whose round trip is well above the acknowledgement timeout.
 const LONG_DELAY: Duration = Duration::from_millis(60);
 
-/// The same so short that it matters to nobody, and yet nothing is back before the test has gone on.
+/// One-way delay well below the acknowledgement timeout, but long enough that the test stalls the
+/// client before an answer arrives.
 const SHORT_DELAY: Duration = Duration::from_millis(10);
 
-/// Time for which a process does nothing, and rounds of it.
+/// Time for which the client is stalled in each round.
 const STALL_DURATION: Duration = Duration::from_millis(150);
 const ROUNDS: usize = 10;
 
-/// Pause after which a connection is tested before it is used.
+/// Idle time after which a connection is probed before it is used.
 const IDLE_DURATION: Duration = Duration::from_millis(400);
 
-/// Two members with a forwarder between them.
+/// Client and server with a forwarder between them.
 struct Fixture {
     client: Node,
     server: Node,
@@ -60,9 +61,8 @@
     RequestOutcome::Answer(echo(request(body)))
 }
 
-/// Two members are 120 ms apart, by the length of the way or by the processor that one of them lacks. Each request
-/// was without acknowledgement after 60 ms, so its connection was given up for a new one, which was no
-/// faster: in a saturated fleet 22,424 connections in 30 s. A request must cost no connection.
+/// Guards against a new connection per request when the round trip exceeds the acknowledgement
+/// timeout.
 #[test]
 fn a_member_that_answers_late_is_not_taken_for_a_silent_one() {
     let settings = PeerSettings { connect: WAIT_TIMEOUT, ..PeerSettings::default() };
@@ -76,8 +76,8 @@
     assert_eq!(fixture.server.runs(), ROUNDS + 2);
 }
 
-/// A process gets no processor for a moment while an answer comes to it. When it goes on its timers are over
-/// and the answer lies unread in its socket: it must read before it calls the other end silent.
+/// Guards against a stalled process that closes a connection on expired timers before it reads the
+/// answer that is already in its socket.
 #[test]
 fn a_process_that_was_late_itself_does_not_call_others_silent() {
     let fixture =
--- a/acaciaringd/tests/peer_stop.rs
+++ b/acaciaringd/tests/peer_stop.rs
@@ -1,4 +1,4 @@
-//! Messages that meet the end of a member's process.
+//! Verdicts of messages that are in flight while the receiving transport stops.
 
 mod peer_support;
 
@@ -13,13 +13,14 @@
     Authority, Forwarder, Node, PacketPolicy, WAIT_TIMEOUT, echo, request, wait_for,
 };
 
-/// Bound of a stop that does not wait for what is in hand.
+/// Timeout of a stop that does not wait for running requests.
 const SHORT_STOP_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Time in which the acknowledgement of an answer passes, well below that after which a member is asked first.
+/// Time in which an answer is acknowledged, well below the idle time after which a connection is
+/// probed.
 const ACK_DURATION: Duration = Duration::from_millis(100);
 
-/// Member that reports when a request runs and goes on when the test says so.
+/// Member whose requests report their start and wait until the test resumes them.
 struct PausedServer {
     node: Node,
     started: crossbeam_channel::Receiver<()>,
@@ -43,7 +44,7 @@
     }
 }
 
-/// Guards against a request that is told as one that may have run although it never reached the member.
+/// Guards against the outcome "may have run" for a request that never reached the member.
 #[test]
 fn a_request_on_its_way_to_a_member_that_stops_has_not_run() {
     let authority = Authority::new();
@@ -63,7 +64,8 @@
     assert_eq!(server.runs(), 1);
 }
 
-/// Guards against a call that is told as one that may have had an effect although it never reached the member.
+/// Guards against a call that is reported as possibly executed although it never reached the
+/// member.
 #[test]
 fn a_call_on_its_way_to_a_member_that_stops_had_no_effect() {
     let authority = Authority::new();
@@ -85,7 +87,8 @@
     });
 }
 
-/// Guards against "not run" for a request that was still running when the time of the stop was over.
+/// Guards against the outcome "not run" for a request that was still running when the stop timed
+/// out.
 #[test]
 fn a_request_that_a_stop_cuts_off_may_have_run() {
     let authority = Authority::new();
@@ -102,7 +105,8 @@
     });
 }
 
-/// Guards against a caller that waits until its deadline where the member that stopped had made the connection.
+/// Guards against a caller that waits until its deadline because the stop is not announced on
+/// connections that the stopping member opened.
 #[test]
 fn a_stop_is_told_on_connections_that_the_member_made() {
     let authority = Authority::new();
@@ -119,7 +123,7 @@
         let start = Instant::now();
         assert_eq!(server.node.transport.stop_within(SHORT_STOP_TIMEOUT), 1);
         assert_eq!(waiting.join().unwrap(), RequestOutcome::Lost);
-        assert!(start.elapsed() < WAIT_TIMEOUT / 2, "the end was told");
+        assert!(start.elapsed() < WAIT_TIMEOUT / 2, "the stop is announced");
         server.resume.send(()).unwrap();
     });
 }
--- a/acaciaringd/tests/place.rs
+++ b/acaciaringd/tests/place.rs
@@ -1,4 +1,4 @@
-//! Losses of a data centre and of a whole place, with real processes.
+//! Losses of a data centre, of several lessors and of all VMs, with real processes.
 
 mod common;
 
@@ -12,14 +12,14 @@
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, start_cluster};
 
-/// Time without a lease after which a member gives up by the default settings.
+/// Default time without a lease after which a member gives up its identity and joins anew.
 const ABANDON_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Bound on the time until a place that started again serves.
+/// Upper bound on the time until a cluster serves again after the loss of all VMs.
 const RESTART_TIMEOUT: Duration = Duration::from_mins(1);
 
-// A data centre goes with two of eight VMs. No member had two lessors there, so the others keep
-// their leases, vote on both, and every key of the two is served again by members elsewhere.
+// Guards against keys that stay unserved after the loss of a data centre: no member has two lessors
+// in one, so the others keep their leases, vote on the lost members and take over.
 #[test]
 fn a_lost_data_centre_is_taken_over() {
     let mut cluster = start_cluster(8, 0);
@@ -42,9 +42,8 @@
     .expect("the evictions are recorded");
 }
 
-// Two VMs are lost at the same moment, and both were lessors of a third one, which can neither renew its
-// lease nor exchange them. Its keys are served again soon after the log says that the two are lost: the
-// third one begins anew, long before it would give up hope.
+// Guards against a member that can neither renew its lease nor replace its lessors because two are
+// lost at once: it must join anew when their loss is recorded, not after the abandon time.
 #[test]
 fn a_member_that_lost_two_lessors_at_once_serves_again_soon() {
     let mut cluster = start_cluster(8, 0);
@@ -64,7 +63,7 @@
     for vm in &lost {
         cluster.kill(*vm);
     }
-    // Its lease is over before its keys count as served again.
+    // Lets the lease expire first, so that answers under the old lease do not count.
     thread::sleep(Duration::from_secs(2));
     let took = recovery::wait_until_served(cluster.vms[0].http, &keys, Instant::now());
     println!("two lessors lost: {} keys served again after {took:?}", keys.len());
@@ -75,10 +74,8 @@
     name.trim_start_matches("vm-").parse().expect("a number")
 }
 
-// A place loses power: all VMs are gone at once, and later they start again under their names and
-// addresses. Nobody is left who granted a lease to a former member or could vote on it; the new
-// processes on their addresses succeed them. A signature that ran before the loss is not run again:
-// its memory went with the VMs, so the answer is unknown.
+// Guards against a cluster that cannot recover when all VMs restart and no lessor is left to vote,
+// and against a second run of an at-most-once request from before the loss.
 #[test]
 fn a_place_that_lost_all_its_vms_serves_again() {
     let mut cluster = start_cluster(5, 0);
@@ -99,7 +96,7 @@
     let start = Instant::now();
     let reply = ask_until_answered(cluster.vms[0].http, &read, RESTART_TIMEOUT).expect("an answer");
     assert_eq!(reply.verdict, "answered", "{reply:?}");
-    println!("place: served again {:?} after the start", start.elapsed());
+    println!("all VMs lost: served again {:?} after the start", start.elapsed());
     let again = ask(cluster.vms[0].http, &sign).expect("an answer");
     assert_ne!(again.verdict, "answered", "{again:?}");
     let runs = cluster.runs();
--- a/acaciaringd/tests/platform.rs
+++ b/acaciaringd/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Client of the log service: which appends surely had no effect.
+//! Client of the log service: appends without effect, appends with an unknown outcome, reads.
 
 mod support;
 
@@ -34,9 +34,8 @@
     assert!(matches!(nobody.append(b"record"), Err(AppendError::Refused { .. })));
 }
 
-/// An operator is told that a publication failed, and later finds it in force.
-/// The log service appends the record, and its answer is lost or cut off on the
-/// way back. Such an append must not be reported as refused.
+/// Guards against an append that is reported as refused although the log may have applied it: its
+/// answer was lost or truncated.
 #[test]
 fn append_without_answer_may_have_had_effect() {
     let body = Appended { offset: 42 }.encode_to_vec();
--- a/acaciaringd/tests/shed.rs
+++ b/acaciaringd/tests/shed.rs
@@ -1,4 +1,4 @@
-//! Upstreams that shed load or are cold, with real processes.
+//! Upstreams that shed load or start with cold caches, with real processes.
 
 mod common;
 
@@ -33,9 +33,8 @@
     cluster.vms[vm].upstream.as_ref().map_or(0, |upstream| upstream.handle().counts().shed)
 }
 
-// The server of a contract sheds load and asks for a second of peace, while it goes on announcing
-// itself twice a second. Callers are told when to come back; hardly any request reaches the server
-// before that, and once it takes requests again they are answered.
+// Guards against requests to an owner that sheds load before its `retry-after` is over, though it
+// keeps announcing itself; callers get the retry time, and are served once it accepts again.
 #[test]
 fn an_owner_that_sheds_is_left_alone() {
     let cluster = start_keyed(limited_upstreams(20, 1), 3, "[balance]\nmoves = 0\n");
@@ -66,8 +65,8 @@
     .expect("it is answered");
 }
 
-// One of three servers of the quality lab sheds load. It is left alone for the second that it asks
-// for, and the others answer everybody.
+// Guards against requests to a pool member that sheds load before its `retry-after` is over: the
+// others answer.
 #[test]
 fn a_member_of_a_pool_that_sheds_is_left_alone() {
     let cluster = start_pooled(limited_upstreams(20, 2), 3, "");
@@ -84,21 +83,20 @@
     assert!(report.clean(), "{report:#?}");
 }
 
-/// Runs that began in a part of a second after a time, in microseconds.
+/// Count of runs that began within `span` after `start`, in microseconds.
 fn runs_within(runs: &[Run], start: u64, span: u64) -> usize {
     runs.iter().filter(|run| (start..start + span).contains(&run.start)).count()
 }
 
-// A fourth server joins the quality lab with cold caches: at first each request takes four times as
-// long there. It gets little in the beginning and its share later, and callers notice nothing: no
-// burst of refusals as everybody rushes to the idle newcomer.
+// Guards against a burst of requests to a new, idle pool member whose caches are cold: it gets a
+// small share at first and more later.
 #[test]
 fn a_cold_upstream_gets_little_at_first() {
     let upstream =
         UpstreamOptions { cold: Duration::from_secs(4), ..limited_upstreams(8, 40).upstream };
     let cold = upstream.cold;
     let mut cluster = start_pooled(ClusterOptions { upstream, ..limited_upstreams(8, 40) }, 3, "");
-    // The three are to be warm, else the load is above what all of them can carry.
+    // While the first three are cold, the load exceeds the capacity of the cluster.
     thread::sleep(cold + Duration::from_secs(1));
     let mut load = class_load(&cluster, "query", "/quality-lab/query", 400.0, 71);
     load.duration = 8000;
--- a/acaciaringd/tests/shutdown.rs
+++ b/acaciaringd/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned stops of members, with real processes.
+//! Planned stops of members under load, with real processes.
 
 mod common;
 
@@ -14,28 +14,28 @@
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{options, start_cluster_with};
 
-/// End of the path of requests that take long.
+/// Path suffix of requests that run long.
 const SLOW_SUFFIX: &str = "/long";
 
-/// Bound on the end of a process after SIGTERM, more than its own bound.
+/// Upper bound on the exit of a process after SIGTERM, above its own drain timeout.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-// An operator replaces a VM under load. The daemon finishes what it runs, hands its keys to the
-// standbys and ends with 0. No caller loses an answer, at no entry, and none is told `unknown`.
+// Guards against a planned stop under load that loses an answer, yields `unknown`, or lets the new
+// owner run requests beside the former one.
 #[test]
 fn a_planned_stop_cuts_nothing_off() {
     check_planned_stop(51, false);
 }
 
-// The same while the log is down: the stop cannot be recorded, so the daemon releases its keys to
-// the standbys directly.
+// Guards against the same faults while the log is down: the stop cannot be recorded, so the member
+// releases its units to the standbys directly.
 #[test]
 fn a_planned_stop_cuts_nothing_off_while_the_log_is_down() {
     check_planned_stop(52, true);
 }
 
 fn check_planned_stop(seed: u64, outage: bool) {
-    // Long enough for requests to be in flight whenever the stop comes.
+    // Keeps requests in flight at any time of the stop.
     let service = Duration::from_millis(30);
     let upstream = UpstreamOptions { service, ..UpstreamOptions::default() };
     let mut cluster = start_cluster_with(ClusterOptions { upstream, ..options() }, 5, 0);
@@ -61,7 +61,7 @@
     let start;
     let callers;
     if outage {
-        // The release begins two seconds after the stop, and is to meet them in flight.
+        // The release of the units begins two seconds after the stop, while the slow requests run.
         start = Instant::now();
         cluster.vms[victim].process.term();
         thread::sleep(Duration::from_millis(1400));
@@ -78,7 +78,9 @@
     let status = cluster.vms[victim].process.wait(EXIT_TIMEOUT).expect("the process ends");
     let ended = start.elapsed();
     let took = recovery::wait_until_served(cluster.vms[0].http, &keys, start);
-    println!("stop, log down {outage}: ended after {ended:?}, keys at the heirs after {took:?}");
+    println!(
+        "stop, log down {outage}: ended after {ended:?}, keys at the new owners after {took:?}"
+    );
     let (figures, own) = (load.join().expect("it ends"), at_victim.join().expect("it ends"));
     let runs = cluster.runs();
     recovery::assert_consistent(&runs, &figures);
@@ -93,7 +95,7 @@
     assert_eq!(cut_off(&runs, &own), Vec::<String>::new(), "at the entry that stopped");
 }
 
-/// Asks for each key with a request that takes long at the member that stops.
+/// Sends a slow request for each key of the member that stops.
 fn send_slow(entry: SocketAddr, keys: &[String]) -> Vec<JoinHandle<String>> {
     let call = |key: &String| {
         let path = format!("{}{SLOW_SUFFIX}", recovery::key_path(key));
@@ -105,12 +107,12 @@
     keys.iter().map(call).collect()
 }
 
-/// Count of long requests that have begun to run.
+/// Count of slow requests that have started.
 fn slow_count(runs: &[Run]) -> usize {
     runs.iter().filter(|run| run.path.ends_with(SLOW_SUFFIX)).count()
 }
 
-/// Runs on one slot that began at another server while a long one was running.
+/// Runs that began at another upstream while a slow run on the same slot was in progress.
 fn overlaps(runs: &[Run]) -> Vec<(Run, Run)> {
     let long = runs.iter().filter(|run| run.path.ends_with(SLOW_SUFFIX));
     let pairs = long.flat_map(|long| runs.iter().map(move |run| (long, run)));
@@ -122,7 +124,7 @@
     pairs.filter(beside).map(|(long, run)| (long.clone(), run.clone())).collect()
 }
 
-/// Tries whose caller was told `unknown`, or that ran and whose caller was told nothing.
+/// Attempts that ran without an answer to the caller, or whose verdict was `unknown`.
 fn cut_off(runs: &[Run], figures: &LoadFigures) -> Vec<String> {
     let mut found = Vec::new();
     for sent in &figures.sent {
--- a/acaciaringd/tests/silence.rs
+++ b/acaciaringd/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Servers and connections that go silent, and servers that leave, with real processes.
+//! Upstreams that hang, leave or crash, and silent peer connections, with real processes.
 
 mod common;
 
@@ -11,13 +11,11 @@
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, options, start_cluster, start_cluster_with, start_proxied, vm_options};
 
-/// Time after which a server that has left gets nothing more; a few seconds.
+/// Time after which an upstream that announced its leave gets no new requests.
 const LEAVE_TIME: Duration = Duration::from_secs(6);
 
-// The server beside a daemon freezes: it answers nothing, announces nothing, and its connections
-// stay open. Callers are answered or refused within their deadline. The daemon takes it for lost
-// and gives its keys away. Then the server goes on with all that waited in it, and runs none of it:
-// it checks the fence as a run begins, and as it ends for the run in which it froze.
+// Guards against an upstream that hangs, loses its keys, and runs its queued requests after it
+// resumes: the fence is checked when a run begins and when it ends.
 #[test]
 fn a_frozen_server_that_returns_runs_nothing_late() {
     let upstream = UpstreamOptions { recheck: true, ..UpstreamOptions::default() };
@@ -40,9 +38,8 @@
     assert_all_answered(&figures);
 }
 
-// A network device forgets its flows: the connections between members are open at both ends and
-// nothing passes on them any more, while new connections from new ports work. Callers see answers
-// within their deadline, and none of their requests runs twice.
+// Guards against lost answers and second runs when the network drops all established flows between
+// members while new ones work.
 #[test]
 fn silent_connections_cost_no_answer_and_run_nothing_twice() {
     let vms = (0..5).map(|number| vm_options(number, CONTRACTS)).collect();
@@ -70,8 +67,8 @@
     assert_all_answered(&figures);
 }
 
-// A server announces that it is leaving. Its daemon gives its keys to others, and after a few
-// seconds it gets nothing new, while its callers are served elsewhere.
+// Guards against new requests to an upstream that announced its leave, and against lost answers
+// meanwhile.
 #[test]
 fn a_leaving_server_gets_no_new_work() {
     let cluster = start_cluster(5, 0);
@@ -101,8 +98,8 @@
     assert_eq!(unknown, None, "a planned end loses no answer");
 }
 
-// The server process beside a daemon is lost, the daemon is not. Connections to it are refused, it
-// announces nothing more, and its keys pass to others.
+// Guards against keys that stay with a member whose upstream process is gone while the daemon
+// lives.
 #[test]
 fn keys_of_a_lost_server_pass_to_others() {
     let cluster = start_cluster(5, 0);
@@ -121,7 +118,7 @@
     assert_all_answered(&figures);
 }
 
-/// Asserts that every try had an answer of the system: the caller's patience is twice the deadline.
+/// Asserts that every attempt got a response within the client timeout, twice the deadline.
 fn assert_all_answered(figures: &LoadFigures) {
     let silent: Vec<&str> = figures
         .sent
--- a/acaciaringd/tests/slow_upstream.rs
+++ b/acaciaringd/tests/slow_upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that are slow and claim to be well, with real processes.
+//! Slow upstreams that report themselves healthy, with real processes.
 
 mod common;
 
@@ -12,7 +12,7 @@
     class_load, control_upstream, limited_upstreams, run_loads, start_keyed, start_pooled,
 };
 
-/// Bound on the time until balance has moved units; generous, no verdict on speed.
+/// Upper bound on the time until the balancer has moved units; not a target.
 const REBALANCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn slow_down(cluster: &Cluster, vm: usize, service: f64) {
@@ -29,9 +29,8 @@
     (figures, cluster.runs().len() - before.0, cluster.vms[1].runs().len() - before.1)
 }
 
-// One of four servers of the quality lab becomes ten times slower, and its health endpoint says
-// that it is idle and well. What counts are the answers: the others take its load, and nearly all
-// callers see the latency of a healthy server again.
+// Guards against load balancing that trusts the health endpoint: the load must leave a pool member
+// that is ten times slower but reports itself idle.
 #[test]
 fn a_pool_turns_away_from_a_slow_member() {
     let cluster = start_pooled(limited_upstreams(8, 20), 4, "");
@@ -62,8 +61,8 @@
     row.and_then(|row| row["owned"].as_u64()).unwrap_or(u64::MAX)
 }
 
-// The server of some contracts becomes ten times slower than the others. Its owner moves units to
-// cooler members, so that fewer clerks wait for it; no clerk's request is lost on the way.
+// Guards against units that stay with an owner whose upstream has become slow, and against requests
+// that are lost while the units move.
 #[test]
 fn units_move_away_from_a_slow_owner() {
     let cluster =
--- a/acaciaringd/tests/trace.rs
+++ b/acaciaringd/tests/trace.rs
@@ -1,4 +1,4 @@
-//! Trace context: what is read, what is written, and what is refused.
+//! Parsing and formatting of the W3C trace context.
 
 use acaciaringd::trace::TraceContext;
 use proptest::prelude::*;
--- a/acaciaringd/tests/upstream.rs
+++ b/acaciaringd/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Client of the upstream: what it sends, what it hands on, and what it says did not run.
+//! Upstream client: requests as sent, answers as returned, and the verdicts of failures.
 
 mod support;
 
@@ -110,9 +110,7 @@
     assert_eq!(send(support::serve_answer(hints, false)).expect("answer").body, b"x");
 }
 
-/// A clerk sees half a delivery commitment as if it were all of it.
-/// The upstream states 100 bytes, writes 4 and its connection closes, or it
-/// states nothing at all. A body that is not proved whole must not be handed on.
+/// Guards against a truncated answer that is returned as complete: a body must prove its length.
 #[test]
 fn answer_that_was_cut_off_is_lost() {
     let cut: [&[u8]; 6] = [
@@ -169,9 +167,8 @@
     assert_eq!(upstream.send(&late), Err(Refusal::not_run(Reason::Expired)));
 }
 
-/// A permit is issued twice: a client repeats a request by itself.
-/// The upstream redirects, or its kept connection closes after it has read the
-/// second request. Either way exactly one request may be on the wire per call.
+/// Guards against a client that repeats a request by itself, on a redirect or on a pooled
+/// connection that closes: each call sends exactly one request.
 #[test]
 fn client_repeats_nothing() {
     let count = Arc::new(AtomicUsize::new(0));
@@ -192,9 +189,7 @@
     assert_eq!(count.load(Ordering::SeqCst), 2);
 }
 
-/// A mill clerk gets another clerk's contract.
-/// Requests time out while the upstream still works on them; its answers come
-/// late, on connections that other requests could have taken over.
+/// Guards against a late answer that is returned to another request on the same connection.
 #[test]
 fn late_answer_reaches_nobody_else() {
     let address = support::spawn_server(|_, mut stream| {
--- a/acaciaringd/tests/web_stop.rs
+++ b/acaciaringd/tests/web_stop.rs
@@ -1,4 +1,4 @@
-//! Stops of the listener for callers.
+//! Drain of the HTTP listener for callers.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,13 +13,13 @@
 use hyper::http::request::Parts;
 use tokio::runtime::{Builder, Runtime};
 
-/// Bound of a stop on any machine that works.
+/// Upper bound of a drain; only a failing test reaches it.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Size of an answer that no socket holds whole.
+/// Answer length above the capacity of any socket buffer.
 const ANSWER_BYTES: usize = 16 << 20;
 
-/// Site whose answers are large.
+/// Site with an answer of [`ANSWER_BYTES`] for each request.
 struct Large;
 
 impl Site for Large {
@@ -36,8 +36,8 @@
     (runtime, server)
 }
 
-/// A process is told to stop while a clerk on a slow line fetches a large list. The answer was made, so
-/// nothing counted as in hand any more; the process ended and half of the list never arrived.
+/// Guards against a drain that ends, and with it the process, before an answer to a slow client is
+/// written completely.
 #[test]
 fn a_stop_waits_until_answers_are_written() {
     let (_runtime, server) = start();
@@ -55,7 +55,7 @@
     });
 }
 
-/// Callers keep connections open without a request on them; a stop does not wait for these.
+/// Guards against a drain that waits for connections without a request.
 #[test]
 fn a_stop_waits_for_no_idle_connection() {
     let (_runtime, server) = start();
