--- a/acaciaringd/examples/entry.rs
+++ b/acaciaringd/examples/entry.rs
@@ -63,14 +63,14 @@
     let trials = arguments.next().unwrap_or(3);
     let upstream = upstream();
     let settings = || EntrySettings { workers: 32, ..EntrySettings::default() };
-    let alone = Entry::start(settings(), Arc::new(BenchService(None))).expect("entry");
+    let entry_only = Entry::start(settings(), Arc::new(BenchService(None))).expect("entry");
     let client = Upstream::new(UpstreamSettings::default());
-    let both =
+    let with_upstream =
         Entry::start(settings(), Arc::new(BenchService(Some((client, upstream))))).expect("entry");
     let rows = [
         ("direct", upstream),
-        ("entry", alone.local_addr()),
-        ("entry+upstream", both.local_addr()),
+        ("entry", entry_only.local_addr()),
+        ("entry+upstream", with_upstream.local_addr()),
     ];
     println!("{callers} callers, {span:?} a row");
     for _ in 0..trials {
--- a/acaciaringd/tests/ask_again.rs
+++ b/acaciaringd/tests/ask_again.rs
@@ -49,13 +49,13 @@
     })
     .expect("each refusal has a log line");
     for line in lines() {
-        let (tries, took) = (number(&line, "tries="), number(&line, "took_ms="));
+        let (tries, took) = (field_value(&line, "tries="), field_value(&line, "took_ms="));
         println!("{tries} tries in {took} ms");
         assert!(tries <= 4 + took / 100, "{line}");
     }
 }
 
-fn number(line: &str, name: &str) -> u64 {
+fn field_value(line: &str, name: &str) -> u64 {
     let (_, rest) = line.split_once(name).expect("the line has the field");
     let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().expect("a number")
--- a/acaciaringd/tests/observe.rs
+++ b/acaciaringd/tests/observe.rs
@@ -135,7 +135,7 @@
 fn the_level_changes_without_a_restart() {
     let _serial = serial_guard();
     let (mut cluster, logs) = start_with_logs(VM_COUNT, "level = warn\n");
-    let debug =
+    let has_debug_lines =
         |logs: &[PathBuf]| fs::read_to_string(&logs[0]).expect("the log is text").contains("DEBUG");
     let request = |cluster: &Cluster| {
         // The entry logs the end of each request at `debug`.
@@ -143,14 +143,14 @@
         ask(cluster.vms[0].http, &read).expect("an answer");
     };
     request(&cluster);
-    assert!(!debug(&logs));
+    assert!(!has_debug_lines(&logs));
     let member = &mut cluster.vms[0];
     let text = fs::read_to_string(&member.file).expect("the settings are there");
     fs::write(&member.file, text.replace("level = warn", "level = debug")).expect("written");
     member.process.hang_up();
     wait_until("lines of the new level", WAIT_TIMEOUT, || {
         request(&cluster);
-        debug(&logs)
+        has_debug_lines(&logs)
     })
     .expect("the level has changed");
     assert_eq!(cluster.admin(0, "/v1/status").expect("a status")["leased"], true);
--- a/acaciaringd/tests/partition.rs
+++ b/acaciaringd/tests/partition.rs
@@ -137,12 +137,12 @@
         let region = |id: &Value| {
             rows.iter().find(|row| row["member"] == *id).map(|row| row["region"].clone())
         };
-        let home = |row: &Value| {
+        let has_local_majority = |row: &Value| {
             let lessors = row["lessors"].as_array().cloned().unwrap_or_default();
-            let near = lessors.iter().filter(|id| region(id) == Some(row["region"].clone()));
-            near.count() > lessors.len() / 2
+            let local = lessors.iter().filter(|id| region(id) == Some(row["region"].clone()));
+            local.count() > lessors.len() / 2
         };
-        rows.len() == cluster.vms.len() && rows.iter().all(home)
+        rows.len() == cluster.vms.len() && rows.iter().all(has_local_majority)
     })
 }
 
--- a/acaciaringd/tests/peer.rs
+++ b/acaciaringd/tests/peer.rs
@@ -111,9 +111,9 @@
     let stranger = Node::echo(theirs.settings());
     // This peer trusts our authority, so only the member's check can refuse it.
     let settings = PeerSettings { authority: ours.settings().authority, ..theirs.settings() };
-    let sly = Node::echo(settings);
+    let one_sided = Node::echo(settings);
     let to = member.transport.local_addr();
-    for stranger in [&stranger, &sly] {
+    for stranger in [&stranger, &one_sided] {
         let outcome = stranger.transport.blocking_request(to, request("x"), WAIT_TIMEOUT);
         assert_eq!(outcome, RequestOutcome::NotDelivered);
         let call = call::Body::Status(StatusQuery {});
--- a/acaciaringd/tests/peer_held_up.rs
+++ b/acaciaringd/tests/peer_held_up.rs
@@ -27,8 +27,8 @@
     fn new() -> Self {
         let authority = Authority::new();
         let server = Node::echo(authority.settings());
-        let patient = PeerSettings { ack_timeout: WAIT_TIMEOUT, ..authority.settings() };
-        let client = Node::echo(patient);
+        let settings = PeerSettings { ack_timeout: WAIT_TIMEOUT, ..authority.settings() };
+        let client = Node::echo(settings);
         let forwarder = Forwarder::start(server.transport.local_addr());
         let fixture = Self { client, server, forwarder, _authority: authority };
         // The receiver takes the fastest message as the baseline of its delay estimate.
--- a/acaciaringd/tests/place.rs
+++ b/acaciaringd/tests/place.rs
@@ -51,7 +51,7 @@
         let status = cluster.admin(0, "/v1/members").unwrap_or_default();
         let rows = status["members"].as_array().cloned().unwrap_or_default();
         let place =
-            |id: &Value| rows.iter().find(|row| row["member"] == *id)?["vm"].as_str().map(vm_of);
+            |id: &Value| rows.iter().find(|row| row["member"] == *id)?["vm"].as_str().map(vm_index);
         let row = rows.iter().find(|row| row["vm"] == format!("vm-{vm}"));
         let ids = row.and_then(|row| row["lessors"].as_array().cloned()).unwrap_or_default();
         ids.iter().filter_map(place).collect()
@@ -70,7 +70,7 @@
     assert!(took < ABANDON_TIMEOUT / 2, "{took:?}");
 }
 
-fn vm_of(name: &str) -> usize {
+fn vm_index(name: &str) -> usize {
     name.trim_start_matches("vm-").parse().expect("a number")
 }
 
--- a/acaciaringd/tests/trace.rs
+++ b/acaciaringd/tests/trace.rs
@@ -52,9 +52,9 @@
     #[test]
     fn reads_any_text_without_panic(value in "\\PC{0,80}", at in 0..55_usize, char: char) {
         let _ = TraceContext::parse(&value);
-        let spoilt = VALID[..at].to_owned() + &char.to_string() + &VALID[at + 1..];
-        let written = TraceContext::parse(&spoilt).map(|context| context.to_string());
+        let corrupted = VALID[..at].to_owned() + &char.to_string() + &VALID[at + 1..];
+        let written = TraceContext::parse(&corrupted).map(|context| context.to_string());
         let version = |text: &str| text.get(2..).map(str::to_owned);
-        prop_assert!(written.is_none_or(|text| version(&text) == version(&spoilt)));
+        prop_assert!(written.is_none_or(|text| version(&text) == version(&corrupted)));
     }
 }
