--- a/acaciaringd/tests/peer_connect.rs
+++ b/acaciaringd/tests/peer_connect.rs
@@ -71,7 +71,7 @@
     let (back, _) = server.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap();
     thread::sleep(Duration::from_millis(400));
     forwarder.set_hold(connect * 10);
-    forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+    forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Discard);
     assert_eq!(send(), RequestOutcome::NotDelivered);
     forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Forward);
     server.transport.send(back, &Datagram::default(), false);
--- a/acaciaringd/tests/peer_silence.rs
+++ b/acaciaringd/tests/peer_silence.rs
@@ -75,7 +75,7 @@
 #[test]
 fn silence_before_arrival_is_not_delivered() {
     let fixture = Fixture::new();
-    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+    fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Discard);
     assert_eq!(fixture.request("a"), RequestOutcome::NotDelivered);
     assert_eq!(fixture.request("b"), answer("b"));
     assert_eq!(fixture.server.runs(), 2);
@@ -86,7 +86,7 @@
 #[test]
 fn silence_of_the_way_back_does_not_lose_the_answer() {
     let fixture = Fixture::new();
-    fixture.forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Drop);
+    fixture.forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Discard);
     assert_eq!(fixture.request("a"), answer("a"));
     assert_eq!(fixture.server.runs(), 2);
 }
@@ -98,7 +98,7 @@
     let fixture = Fixture::new();
     fixture.client.transport.send(fixture.forwarder.address, &Datagram::default(), false);
     let (from, _) = fixture.server.datagrams.recv_timeout(WAIT_TIMEOUT).unwrap();
-    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Forward);
+    fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Forward);
     let done = AtomicBool::new(false);
     thread::scope(|scope| {
         scope.spawn(|| {
@@ -131,7 +131,7 @@
         });
         let outcomes: Vec<RequestOutcome> = (0..ROUNDS)
             .map(|_| {
-                fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Forward);
+                fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Forward);
                 let waiting = scope.spawn(|| fixture.request("a"));
                 thread::sleep(LOSS_DURATION);
                 fixture.forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Forward);
@@ -151,7 +151,7 @@
     thread::scope(|scope| {
         let waiting = scope.spawn(|| fixture.request("slow"));
         fixture.wait_for_start();
-        fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+        fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Discard);
         wait_for(|| fixture.forwarder.flows() == 2);
         fixture.resume.send(()).unwrap();
         assert_eq!(waiting.join().unwrap(), answer("slow"));
@@ -166,10 +166,10 @@
     thread::scope(|scope| {
         let waiting = scope.spawn(|| fixture.request("slow"));
         fixture.started.recv_timeout(WAIT_TIMEOUT).unwrap();
-        fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+        fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Discard);
         wait_for(|| fixture.forwarder.flows() == 2);
         wait_for(|| fixture.client.transport.traffic().connections == 2);
-        fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+        fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Discard);
         wait_for(|| fixture.forwarder.flows() == 3);
         fixture.resume.send(()).unwrap();
         assert_eq!(waiting.join().unwrap(), answer("slow"));
@@ -201,7 +201,7 @@
     let fixture = Fixture::new();
     let successor = Node::echo(fixture.authority.settings());
     thread::scope(|scope| {
-        fixture.forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Drop);
+        fixture.forwarder.set_policies(PacketPolicy::Forward, PacketPolicy::Discard);
         fixture.forwarder.retarget(successor.transport.local_addr());
         let waiting = scope.spawn(|| fixture.request("slow"));
         fixture.started.recv_timeout(WAIT_TIMEOUT).unwrap();
@@ -215,7 +215,7 @@
 #[test]
 fn silence_under_load_costs_one_connection() {
     let fixture = Fixture::new();
-    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+    fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Discard);
     thread::scope(|scope| {
         let callers: Vec<_> = (0..32).map(|_| scope.spawn(|| fixture.request("a"))).collect();
         for caller in callers {
@@ -231,7 +231,7 @@
 #[test]
 fn request_into_a_partition_gets_its_verdict() {
     let fixture = Fixture::new();
-    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+    fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Discard);
     // Nobody listens there.
     let nobody = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     fixture.forwarder.retarget(nobody.local_addr().unwrap());
@@ -319,7 +319,7 @@
         let waiting = scope.spawn(|| fixture.request("slow"));
         fixture.wait_for_start();
         scope.spawn(|| fixture.server.transport.stop_within(WAIT_TIMEOUT / 2));
-        fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+        fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Discard);
         wait_for(|| fixture.forwarder.flows() >= 2);
         thread::sleep(Duration::from_millis(300));
         fixture.resume.send(()).unwrap();
@@ -331,7 +331,7 @@
 #[test]
 fn a_silent_member_is_asked_for_few_connections() {
     let fixture = Fixture::new();
-    fixture.forwarder.set_policies(PacketPolicy::Drop, PacketPolicy::Drop);
+    fixture.forwarder.set_policies(PacketPolicy::Discard, PacketPolicy::Discard);
     let nobody = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     fixture.forwarder.retarget(nobody.local_addr().unwrap());
     let (to, left) = (fixture.forwarder.address, 3 * CUT_DURATION);
--- a/acaciaringd/tests/peer_support/mod.rs
+++ b/acaciaringd/tests/peer_support/mod.rs
@@ -145,7 +145,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PacketPolicy {
     Forward,
-    Drop,
+    Discard,
     /// Queued until the test releases them.
     Hold,
 }
@@ -299,7 +299,7 @@
                 });
             }
             PacketPolicy::Hold => flow.held.push(packet[..size].to_vec()),
-            PacketPolicy::Drop => {}
+            PacketPolicy::Discard => {}
         }
     }
 }
