--- a/acaciaringd/tests/common/policy.rs
+++ b/acaciaringd/tests/common/classes.rs
@@ -1,4 +1,4 @@
-//! Systems with small upstreams and four ranks of requests, and callers that close early.
+//! Clusters with limited upstreams and request classes of all four ranks, and raw HTTP callers.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,27 +12,28 @@
     UpstreamOptions, VmOptions, ask, ask_until_answered, run_load,
 };
 
-use super::{CONTRACTS, QUALITY, SETTLE, options, vm};
+use super::{CONTRACTS, QUALITY, SETTLE_TIMEOUT, options, vm_options};
 
-/// Bound on what a test waits for; generous, no verdict on speed.
-pub const SOON: Duration = Duration::from_secs(20);
+/// Upper bound on waits of a test; not a target.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Long leases: these tests fill the machine, and none is about the loss of a member.
-const LEASE: &str = "[lease]\nterm = 8s\n";
+/// Long lease terms, so that no lease expires while a test saturates the machine.
+const LEASE_SETTINGS: &str = "[lease]\nterm = 8s\n";
 
-/// Options of a system whose upstreams run `slots` requests at once, each for `service` ms.
-pub fn small(slots: usize, service: u64) -> ClusterOptions {
+/// Options of a cluster whose upstreams run `slots` requests at once, each for `service` ms.
+pub fn limited_upstreams(slots: usize, service: u64) -> ClusterOptions {
     let service = Duration::from_millis(service);
     let upstream = UpstreamOptions { slots, service, ..UpstreamOptions::default() };
     ClusterOptions { upstream, ..options() }
 }
 
-/// Starts a service that is not divided by key, with classes of all ranks, and waits until all serve.
-pub fn pooled(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
+/// Starts a pooled workspace with classes of all ranks and waits until each upstream has served.
+pub fn start_pooled(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
     let upstream = UpstreamOptions { fenced: false, ..options.upstream.clone() };
     let options = ClusterOptions { upstream, ..options };
-    let cluster = mixed(options, count, QUALITY, "quality-lab", "kind = pooled", settings);
-    wait_until("each upstream serves", SETTLE, || {
+    let cluster =
+        start_with_classes(options, count, QUALITY, "quality-lab", "kind = pooled", settings);
+    wait_until("each upstream serves", SETTLE_TIMEOUT, || {
         for vm in &cluster.vms {
             let _ = ask(vm.http, &Ask { path: "/quality-lab/probe", ..Ask::default() });
         }
@@ -42,16 +43,16 @@
     cluster
 }
 
-/// The same for a service that is divided by key, with lines added to the settings.
-pub fn keyed(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
+/// Starts a workspace partitioned by key with classes of all ranks; waits until slots have owners.
+pub fn start_keyed(options: ClusterOptions, count: usize, settings: &str) -> Cluster {
     let kind = "kind = keyed\nslots = 64\nkey = segment:1";
-    let cluster = mixed(options, count, CONTRACTS, "contracts", kind, settings);
+    let cluster = start_with_classes(options, count, CONTRACTS, "contracts", kind, settings);
     let all: Vec<usize> = (0..count).collect();
-    cluster.settle(CONTRACTS, &all, SETTLE).expect("the slots have owners");
+    cluster.settle(CONTRACTS, &all, SETTLE_TIMEOUT).expect("the slots have owners");
     cluster
 }
 
-fn mixed(
+fn start_with_classes(
     options: ClusterOptions,
     count: usize,
     workspace: &str,
@@ -59,10 +60,10 @@
     kind: &str,
     settings: &str,
 ) -> Cluster {
-    let mut cluster = Cluster::start(options).expect("the log stand-in starts");
-    let settings = format!("{LEASE}{settings}");
+    let mut cluster = Cluster::start(options).expect("the test log starts");
+    let settings = format!("{LEASE_SETTINGS}{settings}");
     for number in 0..count {
-        let options = VmOptions { settings: settings.clone(), ..vm(number, workspace) };
+        let options = VmOptions { settings: settings.clone(), ..vm_options(number, workspace) };
         cluster.add(options).expect("a VM starts");
     }
     let sign = if kind.contains("keyed") { "once" } else { "idempotent" };
@@ -80,19 +81,19 @@
     cluster
 }
 
-/// Waits until each owner may run requests that run once, that is until its standbys know what it knows.
-pub fn warm(cluster: &Cluster, keys: &[String]) {
+/// Waits until the owner of each key runs at-most-once requests, which needs synchronised standbys.
+pub fn sync_standbys(cluster: &Cluster, keys: &[String]) {
     for (number, key) in keys.iter().enumerate() {
         let path = format!("/contracts/{key}?warm");
         let entry = cluster.vms[number % cluster.vms.len()].http;
         let request = Ask { method: "POST", path: &path, ..Ask::default() };
-        let reply = ask_until_answered(entry, &request, SOON).expect("an answer");
+        let reply = ask_until_answered(entry, &request, WAIT_TIMEOUT).expect("an answer");
         assert_eq!(reply.verdict, "answered", "{reply:?}");
     }
 }
 
-/// Load of one class at all entries.
-pub fn stream(cluster: &Cluster, name: &str, path: &str, rate: f64, seed: u64) -> LoadOptions {
+/// Load of one class at all entries; `rate` in requests per second.
+pub fn class_load(cluster: &Cluster, name: &str, path: &str, rate: f64, seed: u64) -> LoadOptions {
     let class = LoadClass { name: name.into(), path: path.into(), ..LoadClass::default() };
     LoadOptions {
         entries: cluster.vms.iter().map(|vm| vm.http).collect(),
@@ -107,8 +108,8 @@
     }
 }
 
-/// Runs loads beside each other.
-pub fn run_all(loads: &[LoadOptions]) -> Vec<LoadFigures> {
+/// Runs loads concurrently.
+pub fn run_loads(loads: &[LoadOptions]) -> Vec<LoadFigures> {
     thread::scope(|scope| {
         let run = |load| move || run_load(load).expect("the load runs");
         let threads: Vec<_> = loads.iter().map(|load| scope.spawn(run(load))).collect();
@@ -116,25 +117,25 @@
     })
 }
 
-/// Gives commands to the upstream of a VM.
-pub fn command(cluster: &Cluster, vm: usize, control: &UpstreamControl) {
+/// Changes the behaviour of the upstream of a VM.
+pub fn control_upstream(cluster: &Cluster, vm: usize, control: &UpstreamControl) {
     cluster.vms[vm].upstream.as_ref().expect("the VM has an upstream").handle().set(control);
 }
 
 /// Index of the VM that owns a key.
-pub fn owner(cluster: &Cluster, key: &str) -> usize {
+pub fn owner_index(cluster: &Cluster, key: &str) -> usize {
     let name = cluster.owner(0, CONTRACTS, key).expect("the key has an owner");
     let found = cluster.vms.iter().position(|vm| vm.options.vm == name);
     found.expect("the owner is a VM of the system")
 }
 
-/// Count of runs for a path at all upstreams.
-pub fn ran(cluster: &Cluster, path: &str) -> usize {
+/// Count of runs of a path over all upstreams.
+pub fn run_count(cluster: &Cluster, path: &str) -> usize {
     cluster.runs().iter().filter(|run| run.path == path).count()
 }
 
-/// Sends a request and leaves the connection open.
-pub fn send(entry: SocketAddr, path: &str, deadline: u64) -> TcpStream {
+/// Sends a request with a deadline in milliseconds and returns the open connection.
+pub fn send_request(entry: SocketAddr, path: &str, deadline: u64) -> TcpStream {
     let mut stream = TcpStream::connect(entry).expect("the entry accepts");
     let text = format!(
         "GET {path} HTTP/1.1\r\nhost: entry\r\nx-acaciaring-deadline: {deadline}\r\nconnection: close\r\n\r\n"
@@ -143,18 +144,18 @@
     stream
 }
 
-/// Head of an answer, and the time that it took.
-pub fn head(entry: SocketAddr, path: &str, deadline: u64) -> (String, Duration) {
+/// Sends a request; returns the head of the response in lower case, and the time it took.
+pub fn response_head(entry: SocketAddr, path: &str, deadline: u64) -> (String, Duration) {
     let start = Instant::now();
-    let mut stream = send(entry, path, deadline);
+    let mut stream = send_request(entry, path, deadline);
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("a whole answer");
     let head = text.split("\r\n\r\n").next().unwrap_or_default().to_lowercase();
     (head, start.elapsed())
 }
 
-/// Value of a header in a head.
-pub fn value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+/// Value of a header in a response head.
+pub fn header_value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let line = |line: &'a str| line.strip_prefix(name)?.strip_prefix(':').map(str::trim);
     head.lines().find_map(line)
 }
--- a/acaciaringd/tests/observe.rs
+++ b/acaciaringd/tests/observe.rs
@@ -1,4 +1,4 @@
-//! What operators see of real processes: metrics, traces, levels of the logs and answers to publishing.
+//! Metrics, traces, log levels and publish answers of real processes.
 
 mod common;
 
@@ -13,25 +13,25 @@
 use acaciaring_testing::{Ask, Cluster, LogControl, VmOptions, ask, ask_until_answered};
 use serde_json::{Value, json};
 
-use common::{CONTRACTS, contracts_set, options, vm};
+use common::{CONTRACTS, options, start_contracts_with_settings, vm_options};
 
-/// VMs of a system.
-const COUNT: usize = 3;
+/// VMs of a cluster.
+const VM_COUNT: usize = 3;
 
-/// Bound on waits; a pass takes far less.
-const LONG: Duration = Duration::from_secs(30);
+/// Upper bound of each wait; only a failing test reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One system at a time: each has hundreds of threads.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Serialises the tests, as each cluster has hundreds of threads.
+fn serial_guard() -> MutexGuard<'static, ()> {
+    static SERIAL: Mutex<()> = Mutex::new(());
+    SERIAL.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Trace of a caller.
+/// Trace id that the caller sends.
 const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
 
-/// Names of metrics that a system with callers sends, each with its type.
-const EXPECTED: [&str; 9] = [
+/// Metrics that a cluster under load sends, as `name|type`.
+const EXPECTED_METRICS: [&str; 9] = [
     "requests.answered|c",
     "requests.time|ms",
     "peer.time|ms",
@@ -45,21 +45,24 @@
 
 #[test]
 fn a_running_system_sends_metrics() {
-    let _alone = alone();
+    let _serial = serial_guard();
     let server = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     server.set_read_timeout(Some(Duration::from_millis(100))).expect("a bound is valid");
     let address = server.local_addr().expect("the socket is bound");
-    let cluster = contracts_set(COUNT, &format!("[metrics]\naddress = {address}\nprefix = test\n"));
-    let end = Instant::now() + LONG;
+    let cluster = start_contracts_with_settings(
+        VM_COUNT,
+        &format!("[metrics]\naddress = {address}\nprefix = test\n"),
+    );
+    let end = Instant::now() + WAIT_TIMEOUT;
     let mut seen = BTreeSet::new();
     let mut held = false;
     let mut key = 0;
-    let wanted = |seen: &BTreeSet<String>| EXPECTED.iter().all(|name| seen.contains(*name));
+    let wanted = |seen: &BTreeSet<String>| EXPECTED_METRICS.iter().all(|name| seen.contains(*name));
     while Instant::now() < end && !(wanted(&seen) && held) {
         key += 1;
         let path = format!("/contracts/k{key}");
         let request = Ask { path: &path, ..Ask::default() };
-        ask(cluster.vms[key % COUNT].http, &request).expect("an answer");
+        ask(cluster.vms[key % VM_COUNT].http, &request).expect("an answer");
         let mut packet = [0; 2048];
         while let Ok(size) = server.recv(&mut packet) {
             let text = String::from_utf8_lossy(&packet[..size]).into_owned();
@@ -67,7 +70,7 @@
             seen.extend(text.lines().filter_map(name));
         }
     }
-    let missing: Vec<_> = EXPECTED.iter().filter(|name| !seen.contains(**name)).collect();
+    let missing: Vec<_> = EXPECTED_METRICS.iter().filter(|name| !seen.contains(**name)).collect();
     assert!(missing.is_empty() && held, "missing {missing:?}, held {held}, seen {seen:?}");
 }
 
@@ -78,16 +81,15 @@
     Some(format!("{name}|{kind}"))
 }
 
-// A caller complains of one slow request. The operator has its trace id from the caller and looks
-// for it in the logs of all VMs: the entry, the owner and the call of the upstream are each there
-// with that trace id and a span id of their own, and the upstream has got the last one.
+// Guards against hops that lose the trace of a request: entry, owner and upstream call each log a
+// span of their own under the trace id of the caller.
 #[test]
 fn the_hops_of_a_request_have_one_trace() {
-    let _alone = alone();
-    let (cluster, logs) = logged(COUNT, "format = json\nlevel = info\n");
+    let _serial = serial_guard();
+    let (cluster, logs) = start_with_logs(VM_COUNT, "format = json\nlevel = info\n");
     let path = "/contracts/traced";
     let find = Ask { path, ..Ask::default() };
-    let found = ask_until_answered(cluster.vms[0].http, &find, LONG).expect("an answer");
+    let found = ask_until_answered(cluster.vms[0].http, &find, WAIT_TIMEOUT).expect("an answer");
     assert_eq!(found.verdict, "answered", "{found:?}");
     let owner = cluster.vms.iter().position(|vm| ran(vm, path)).expect("one has run it");
     let entry = (owner + 1) % cluster.vms.len();
@@ -95,7 +97,7 @@
     let header = format!("00-{TRACE}-00f067aa0ba902b7-01");
     ureq::get(url).header("traceparent", header).call().expect("an answer");
     let spans = || spans(&logs, TRACE);
-    wait_until("the spans end", LONG, || spans().len() >= 3).expect("three spans");
+    wait_until("the spans end", WAIT_TIMEOUT, || spans().len() >= 3).expect("three spans");
     let spans = spans();
     let places: Vec<_> = spans.iter().map(|(vm, name, _)| (*vm, name.as_str())).collect();
     assert_eq!(places.len(), 3, "{spans:?}");
@@ -128,59 +130,58 @@
     found
 }
 
-// An operator looks into a running system: the level is changed in the file and the process told
-// by SIGHUP. The lines of the new level come without a restart, and the member keeps its lease.
+// Guards against a log level that does not change on SIGHUP, or a reload that loses the lease.
 #[test]
 fn the_level_changes_without_a_restart() {
-    let _alone = alone();
-    let (mut cluster, logs) = logged(COUNT, "level = warn\n");
-    let debug =
+    let _serial = serial_guard();
+    let (mut cluster, logs) = start_with_logs(VM_COUNT, "level = warn\n");
+    let has_debug_lines =
         |logs: &[PathBuf]| fs::read_to_string(&logs[0]).expect("the log is text").contains("DEBUG");
     let request = |cluster: &Cluster| {
-        // The entry writes a line of its end at this level.
+        // The entry logs the end of each request at `debug`.
         let read = Ask { path: "/contracts/k1", ..Ask::default() };
         ask(cluster.vms[0].http, &read).expect("an answer");
     };
     request(&cluster);
-    assert!(!debug(&logs));
+    assert!(!has_debug_lines(&logs));
     let member = &mut cluster.vms[0];
     let text = fs::read_to_string(&member.file).expect("the settings are there");
     fs::write(&member.file, text.replace("level = warn", "level = debug")).expect("written");
     member.process.hang_up();
-    wait_until("lines of the new level", LONG, || {
+    wait_until("lines of the new level", WAIT_TIMEOUT, || {
         request(&cluster);
-        debug(&logs)
+        has_debug_lines(&logs)
     })
     .expect("the level has changed");
     assert_eq!(cluster.admin(0, "/v1/status").expect("a status")["leased"], true);
 }
 
-/// Starts VMs whose logs go to files, and waits until they serve.
-fn logged(count: usize, logging: &str) -> (Cluster, Vec<PathBuf>) {
+/// Starts VMs that log to files and waits until they serve.
+fn start_with_logs(count: usize, logging: &str) -> (Cluster, Vec<PathBuf>) {
     let level = logging.lines().find_map(|line| line.strip_prefix("level = ")).expect("a level");
     let rest: String = logging.lines().filter(|line| !line.starts_with("level")).collect();
     let mut options = options();
     level.clone_into(&mut options.level);
-    let mut cluster = Cluster::start(options).expect("the log stand-in starts");
+    let mut cluster = Cluster::start(options).expect("the test log starts");
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = |number| directory.join(format!("observe-{level}-{number}.log"));
     let logs: Vec<_> = (0..count).map(path).collect();
     for (number, log) in logs.iter().enumerate() {
         let settings = format!("{rest}\n");
         let stderr = Some(log.clone());
-        let options = VmOptions { settings, stderr, ..vm(number, CONTRACTS) };
+        let options = VmOptions { settings, stderr, ..vm_options(number, CONTRACTS) };
         cluster.add(options).expect("a VM starts");
     }
-    common::serve(&cluster, count);
+    common::publish_contracts(&cluster, count);
     (cluster, logs)
 }
 
-// The answer to a publish is lost between member and tool, and the tool asks again with the same
-// record id. It gets the answer that was lost, not that its change conflicts with itself.
+// Guards against a conflict of a publication with itself when it is repeated with the same record
+// id because its answer was lost.
 #[test]
 fn a_repeated_publish_gets_the_same_answer() {
-    let _alone = alone();
-    let cluster = contracts_set(COUNT, "");
+    let _serial = serial_guard();
+    let cluster = start_contracts_with_settings(VM_COUNT, "");
     let change = publication("00000000000000000000000000000001", 0);
     let first = post(&cluster, &change);
     assert_eq!((first.0, first.1["outcome"].as_str()), (200, Some("applied")), "{first:?}");
@@ -191,21 +192,20 @@
     assert_eq!(post(&cluster, &stale), conflict);
 }
 
-// The log refuses every append while an operator publishes. The answer 503 is a promise: once the
-// log is back, the change does not come into force behind the operator's back.
+// Guards against a publication that comes into force after it was answered with 503.
 #[test]
 fn what_was_not_appended_never_comes() {
-    let _alone = alone();
-    let cluster = contracts_set(COUNT, "");
+    let _serial = serial_guard();
+    let cluster = start_contracts_with_settings(VM_COUNT, "");
     let log = cluster.log.handle();
     log.set(&LogControl { outage: Some(true), ..LogControl::default() });
     let refused = post(&cluster, &publication("00000000000000000000000000000003", 0));
     assert_eq!(refused.0, 503, "{refused:?}");
     log.set(&LogControl { outage: Some(false), ..LogControl::default() });
-    // Goes the same way, behind whatever is left of the first.
+    // Follows the first publication through the same queue.
     let marker = publication("00000000000000000000000000000004", 0);
     let mut applied = (0, Value::Null);
-    wait_until("the log is back", LONG, || {
+    wait_until("the log is back", WAIT_TIMEOUT, || {
         applied = post(&cluster, &marker);
         applied.0 != 503
     })
--- a/acaciaringd/tests/peer_support/mod.rs
+++ b/acaciaringd/tests/peer_support/mod.rs
@@ -1,4 +1,4 @@
-//! Certificates, a handler and a UDP forwarder for tests of the transport.
+//! Certificates, a request handler and a UDP forwarder for tests of the peer transport.
 
 #![allow(dead_code)] // Each test file uses a part.
 
@@ -15,16 +15,16 @@
 use parking_lot::Mutex;
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 
-// The parent names the module, for this file serves unit and integration tests.
+// The including file provides `peer`: the module of the crate, or its import in integration tests.
 use super::peer::{BoxFuture, CancelFlag, Handler, PeerSettings, Transport};
 
-/// Longest wait for a condition that holds on any machine that works.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of each wait; only a failing test reaches it.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bytes of the largest packet that is forwarded.
-const PACKET: usize = 2048;
+/// Largest packet that is forwarded.
+const MAX_PACKET_BYTES: usize = 2048;
 
-/// Authority whose certificates lie in a directory of their own.
+/// Certificate authority with a temporary directory for its files.
 pub struct Authority {
     dir: PathBuf,
     issuer: Issuer<'static, KeyPair>,
@@ -43,7 +43,7 @@
         Self { dir, issuer: Issuer::new(params, key) }
     }
 
-    /// Writes a certificate and returns the settings of a member that has it.
+    /// Issues a certificate and returns the settings of a member that uses it.
     pub fn settings(&self) -> PeerSettings {
         let key = KeyPair::generate().unwrap();
         let params = CertificateParams::new(vec!["acaciaring".into()]).unwrap();
@@ -65,17 +65,17 @@
     }
 }
 
-type Run = Arc<dyn Fn(Request, &CancelFlag) -> Answer + Send + Sync>;
+type RequestFn = Arc<dyn Fn(Request, &CancelFlag) -> Answer + Send + Sync>;
 
-/// Handler that counts, and runs requests as the test says.
-pub struct Fake {
-    run: Run,
-    /// Requests that have run.
+/// Handler that counts requests and runs a function of the test for each.
+pub struct TestHandler {
+    run: RequestFn,
+    /// Count of requests that were started.
     pub runs: AtomicUsize,
     datagrams: Sender<(SocketAddr, Datagram)>,
 }
 
-impl Handler for Fake {
+impl Handler for TestHandler {
     fn datagram(&self, from: SocketAddr, datagram: Datagram) {
         self.datagrams.send((from, datagram)).unwrap();
     }
@@ -87,16 +87,16 @@
     fn request<'a>(&'a self, request: Request, cancelled: &'a CancelFlag) -> BoxFuture<'a, Answer> {
         self.runs.fetch_add(1, Ordering::SeqCst);
         let (run, cancelled) = (Arc::clone(&self.run), cancelled.clone());
-        // Tests block in their handlers.
+        // The functions of tests block.
         let job = tokio::task::spawn_blocking(move || run(request, &cancelled));
         Box::pin(async { job.await.unwrap() })
     }
 }
 
-/// Transport with its handler.
+/// Transport with its handler and the datagrams it received.
 pub struct Node {
     pub transport: Transport,
-    pub handler: Arc<Fake>,
+    pub handler: Arc<TestHandler>,
     pub datagrams: Receiver<(SocketAddr, Datagram)>,
 }
 
@@ -106,8 +106,8 @@
         run: impl Fn(Request, &CancelFlag) -> Answer + Send + Sync + 'static,
     ) -> Self {
         let (sender, datagrams) = unbounded();
-        let run: Run = Arc::new(run);
-        let handler = Arc::new(Fake { run, runs: AtomicUsize::new(0), datagrams: sender });
+        let run: RequestFn = Arc::new(run);
+        let handler = Arc::new(TestHandler { run, runs: AtomicUsize::new(0), datagrams: sender });
         let transport = Transport::start(settings, handler.clone()).unwrap();
         Self { transport, handler, datagrams }
     }
@@ -127,112 +127,112 @@
     Answer { verdict: Verdict::Answered.into(), body: request.body, length, ..Answer::default() }
 }
 
-/// Returns a request with a new attempt and this body.
+/// Returns a request with a random attempt number and this body.
 pub fn request(body: impl Into<Vec<u8>>) -> Request {
     Request { attempt: rand::random(), body: body.into(), ..Request::default() }
 }
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds; panics after [`WAIT_TIMEOUT`].
 pub fn wait_for(condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "condition does not hold in time");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "condition does not hold in time");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// What happens to the packets of a flow in one direction.
+/// Treatment of the packets of a flow in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Passage {
-    Open,
-    Silent,
-    /// Kept until the test lets them go.
-    Held,
+pub enum PacketPolicy {
+    Forward,
+    Discard,
+    /// Queued until the test releases them.
+    Hold,
 }
 
 struct Flow {
     socket: UdpSocket,
-    there: Passage,
-    back: Passage,
+    outbound: PacketPolicy,
+    inbound: PacketPolicy,
     held: Vec<Vec<u8>>,
 }
 
 impl Flow {
-    /// Lets held packets go and sets what becomes of the next ones.
-    fn release(&mut self, there: Passage) {
-        self.there = there;
+    /// Sends the held packets and sets the policy of later ones.
+    fn release(&mut self, outbound: PacketPolicy) {
+        self.outbound = outbound;
         for packet in std::mem::take(&mut self.held) {
             self.socket.send(&packet).unwrap();
         }
     }
 }
 
-struct State {
+struct ForwarderState {
     target: SocketAddr,
-    /// Time for which the packets of a new flow are held.
-    pause: Duration,
+    /// Time for which the outbound packets of a new flow are held.
+    hold: Duration,
     flows: HashMap<SocketAddr, Flow>,
-    /// Nothing passes in either direction, on new flows neither.
+    /// Drops all packets in both directions, also of new flows.
     cut: bool,
-    /// Time that each packet takes in each direction.
+    /// One-way delay of each packet.
     delay: Duration,
 }
 
-/// Forwards UDP packets; tells flows apart by their source address.
+/// UDP forwarder; a flow is identified by its source address.
 pub struct Forwarder {
     pub address: SocketAddr,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<ForwarderState>>,
     stopped: Arc<AtomicBool>,
 }
 
 impl Forwarder {
     pub fn start(target: SocketAddr) -> Self {
-        Self::slow(target, Duration::ZERO)
+        Self::with_hold(target, Duration::ZERO)
     }
 
-    /// Starts one that holds the packets of each new flow for a while.
-    pub fn slow(target: SocketAddr, pause: Duration) -> Self {
+    /// Starts a forwarder that holds the outbound packets of each new flow for `hold`.
+    pub fn with_hold(target: SocketAddr, hold: Duration) -> Self {
         let socket = bind();
         let address = socket.local_addr().unwrap();
         let flows = HashMap::new();
-        let state = State { target, pause, flows, cut: false, delay: Duration::ZERO };
+        let state = ForwarderState { target, hold, flows, cut: false, delay: Duration::ZERO };
         let state = Arc::new(Mutex::new(state));
         let stopped = Arc::new(AtomicBool::new(false));
         let (flows, stop) = (state.clone(), stopped.clone());
-        thread::spawn(move || forward_there(&socket, &flows, &stop));
+        thread::spawn(move || forward_outbound(&socket, &flows, &stop));
         Self { address, state, stopped }
     }
 
-    /// Sets the passage of all flows that are known now; new flows are open.
-    pub fn set(&self, there: Passage, back: Passage) {
+    /// Sets the policies of all existing flows; new flows are forwarded.
+    pub fn set_policies(&self, outbound: PacketPolicy, inbound: PacketPolicy) {
         for flow in self.state.lock().flows.values_mut() {
-            (flow.there, flow.back) = (there, back);
+            (flow.outbound, flow.inbound) = (outbound, inbound);
         }
     }
 
-    /// Lets nothing pass on any flow, or all that the flows let pass.
+    /// Drops all packets, or applies the policies of the flows again.
     pub fn set_cut(&self, cut: bool) {
         self.state.lock().cut = cut;
     }
 
-    /// Lets each packet take this long in each direction.
+    /// Sets the one-way delay of each packet.
     pub fn set_delay(&self, delay: Duration) {
         self.state.lock().delay = delay;
     }
 
-    /// Sets for how long the packets of further flows are held.
-    pub fn stall(&self, pause: Duration) {
-        self.state.lock().pause = pause;
+    /// Sets for how long the outbound packets of later flows are held.
+    pub fn set_hold(&self, hold: Duration) {
+        self.state.lock().hold = hold;
     }
 
-    /// Lets held packets go.
+    /// Sends the held packets of all flows.
     pub fn release(&self) {
         for flow in self.state.lock().flows.values_mut() {
-            flow.release(flow.there);
+            flow.release(flow.outbound);
         }
     }
 
-    /// Sends new flows to another target.
+    /// Sets the target of later flows.
     pub fn retarget(&self, target: SocketAddr) {
         self.state.lock().target = target;
     }
@@ -241,7 +241,7 @@
         self.state.lock().flows.len()
     }
 
-    /// Returns how many packets are held.
+    /// Returns the count of held packets.
     pub fn held(&self) -> usize {
         self.state.lock().flows.values().map(|flow| flow.held.len()).sum()
     }
@@ -259,8 +259,12 @@
     socket
 }
 
-fn forward_there(socket: &UdpSocket, state: &Arc<Mutex<State>>, stop: &Arc<AtomicBool>) {
-    let mut packet = [0; PACKET];
+fn forward_outbound(
+    socket: &UdpSocket,
+    state: &Arc<Mutex<ForwarderState>>,
+    stop: &Arc<AtomicBool>,
+) {
+    let mut packet = [0; MAX_PACKET_BYTES];
     while !stop.load(Ordering::SeqCst) {
         let Ok((size, from)) = socket.recv_from(&mut packet) else {
             continue;
@@ -269,61 +273,61 @@
         if locked.cut {
             continue;
         }
-        let (target, pause) = (locked.target, locked.pause);
+        let (target, hold) = (locked.target, locked.hold);
         let flow = locked.flows.entry(from).or_insert_with(|| {
             let flow = bind();
             flow.connect(target).unwrap();
             let copies = (socket.try_clone().unwrap(), flow.try_clone().unwrap());
             let (state, stop) = (state.clone(), stop.clone());
             let later = state.clone();
-            thread::spawn(move || forward_back(&copies.0, &copies.1, from, &state, &stop));
-            let there = if pause.is_zero() { Passage::Open } else { Passage::Held };
-            if there == Passage::Held {
+            thread::spawn(move || forward_inbound(&copies.0, &copies.1, from, &state, &stop));
+            let outbound = if hold.is_zero() { PacketPolicy::Forward } else { PacketPolicy::Hold };
+            if outbound == PacketPolicy::Hold {
                 thread::spawn(move || {
-                    thread::sleep(pause);
+                    thread::sleep(hold);
                     let mut state = later.lock();
-                    state.flows.get_mut(&from).unwrap().release(Passage::Open);
+                    state.flows.get_mut(&from).unwrap().release(PacketPolicy::Forward);
                 });
             }
-            Flow { socket: flow, there, back: Passage::Open, held: Vec::new() }
+            Flow { socket: flow, outbound, inbound: PacketPolicy::Forward, held: Vec::new() }
         });
-        match flow.there {
-            Passage::Open => {
+        match flow.outbound {
+            PacketPolicy::Forward => {
                 let target = flow.socket.try_clone().unwrap();
-                pass(locked.delay, packet[..size].to_vec(), move |packet| {
+                send_delayed(locked.delay, packet[..size].to_vec(), move |packet| {
                     drop(target.send(packet));
                 });
             }
-            Passage::Held => flow.held.push(packet[..size].to_vec()),
-            Passage::Silent => {}
+            PacketPolicy::Hold => flow.held.push(packet[..size].to_vec()),
+            PacketPolicy::Discard => {}
         }
     }
 }
 
-fn forward_back(
+fn forward_inbound(
     socket: &UdpSocket,
     flow: &UdpSocket,
     to: SocketAddr,
-    state: &Mutex<State>,
+    state: &Mutex<ForwarderState>,
     stop: &AtomicBool,
 ) {
-    let mut packet = [0; PACKET];
+    let mut packet = [0; MAX_PACKET_BYTES];
     while !stop.load(Ordering::SeqCst) {
         let Ok(size) = flow.recv(&mut packet) else {
             continue;
         };
         let locked = state.lock();
-        if !locked.cut && locked.flows[&to].back == Passage::Open {
+        if !locked.cut && locked.flows[&to].inbound == PacketPolicy::Forward {
             let socket = socket.try_clone().unwrap();
-            pass(locked.delay, packet[..size].to_vec(), move |packet| {
+            send_delayed(locked.delay, packet[..size].to_vec(), move |packet| {
                 drop(socket.send_to(packet, to));
             });
         }
     }
 }
 
-/// Passes a packet on, after a delay on a thread of its own.
-fn pass(delay: Duration, packet: Vec<u8>, send: impl FnOnce(&[u8]) + Send + 'static) {
+/// Sends a packet, after the delay on a thread of its own unless the delay is zero.
+fn send_delayed(delay: Duration, packet: Vec<u8>, send: impl FnOnce(&[u8]) + Send + 'static) {
     if delay.is_zero() {
         return send(&packet);
     }
--- a/acaciaringd/tests/platform.rs
+++ b/acaciaringd/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Client of the log service: which appends surely had no effect.
+//! Client of the log service: appends without effect, appends with an unknown outcome, reads.
 
 mod support;
 
@@ -10,7 +10,7 @@
 
 fn client(answer: Vec<u8>, close: bool) -> LogClient {
     let answer = Box::leak(answer.into_boxed_slice());
-    LogClient::new(support::answering(answer, close), LogTimeouts::default())
+    LogClient::new(support::serve_answer(answer, close), LogTimeouts::default())
 }
 
 fn answer(status: u16, body: &[u8]) -> Vec<u8> {
@@ -30,13 +30,12 @@
         let error = client(answer(status, b""), false).append(b"record").expect_err("refused");
         assert!(matches!(error, AppendError::Refused { .. }), "{error}");
     }
-    let nobody = LogClient::new(support::nobody(), LogTimeouts::default());
+    let nobody = LogClient::new(support::unused_address(), LogTimeouts::default());
     assert!(matches!(nobody.append(b"record"), Err(AppendError::Refused { .. })));
 }
 
-/// An operator is told that a publication failed, and later finds it in force.
-/// The log service appends the record, and its answer is lost or cut off on the
-/// way back. Such an append must not be reported as refused.
+/// Guards against an append that is reported as refused although the log may have applied it: its
+/// answer was lost or truncated.
 #[test]
 fn append_without_answer_may_have_had_effect() {
     let body = Appended { offset: 42 }.encode_to_vec();
--- a/acaciaringd/tests/web_stop.rs
+++ b/acaciaringd/tests/web_stop.rs
@@ -1,4 +1,4 @@
-//! Stops of the listener for callers.
+//! Drain of the HTTP listener for callers.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,18 +13,18 @@
 use hyper::http::request::Parts;
 use tokio::runtime::{Builder, Runtime};
 
-/// Bound of a stop on any machine that works.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper bound of a drain; only a failing test reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Size of an answer that no socket holds whole.
-const SIZE: usize = 16 << 20;
+/// Answer length above the capacity of any socket buffer.
+const ANSWER_BYTES: usize = 16 << 20;
 
-/// Site whose answers are large.
+/// Site with an answer of [`ANSWER_BYTES`] for each request.
 struct Large;
 
 impl Site for Large {
     fn answer(&self, _head: Parts, _body: Bytes) -> BoxFuture<'_, Response> {
-        Box::pin(async { text(StatusCode::OK, vec![b'x'; SIZE]) })
+        Box::pin(async { text(StatusCode::OK, vec![b'x'; ANSWER_BYTES]) })
     }
 }
 
@@ -36,8 +36,8 @@
     (runtime, server)
 }
 
-/// A process is told to stop while a clerk on a slow line fetches a large list. The answer was made, so
-/// nothing counted as in hand any more; the process ended and half of the list never arrived.
+/// Guards against a drain that ends, and with it the process, before an answer to a slow client is
+/// written completely.
 #[test]
 fn a_stop_waits_until_answers_are_written() {
     let (_runtime, server) = start();
@@ -45,30 +45,30 @@
     caller.write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n").expect("write");
     caller.peek(&mut [0]).expect("the answer has begun");
     thread::scope(|scope| {
-        let drain = scope.spawn(|| server.drain(PATIENCE));
+        let drain = scope.spawn(|| server.drain(WAIT_TIMEOUT));
         thread::sleep(Duration::from_millis(300));
-        assert!(!drain.is_finished(), "the process would end with {SIZE} bytes under way");
+        assert!(!drain.is_finished(), "the process would end with {ANSWER_BYTES} bytes under way");
         let mut answer = Vec::new();
         caller.read_to_end(&mut answer).expect("the whole answer, then the end");
-        assert!(answer.len() > SIZE);
+        assert!(answer.len() > ANSWER_BYTES);
         assert_eq!(drain.join().expect("it ends"), 0);
     });
 }
 
-/// Callers keep connections open without a request on them; a stop does not wait for these.
+/// Guards against a drain that waits for connections without a request.
 #[test]
 fn a_stop_waits_for_no_idle_connection() {
     let (_runtime, server) = start();
     let unused = TcpStream::connect(server.local_addr()).expect("connect");
     let mut idle = TcpStream::connect(server.local_addr()).expect("connect");
     idle.write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n").expect("write");
-    let mut left = SIZE;
+    let mut left = ANSWER_BYTES;
     let mut buffer = vec![0; 1 << 16];
     while left > 0 {
         left = left.saturating_sub(idle.read(&mut buffer).expect("the answer"));
     }
     let start = Instant::now();
-    assert_eq!(server.drain(PATIENCE), 0);
-    assert!(start.elapsed() < PATIENCE / 2, "{:?}", start.elapsed());
+    assert_eq!(server.drain(WAIT_TIMEOUT), 0);
+    assert!(start.elapsed() < WAIT_TIMEOUT / 2, "{:?}", start.elapsed());
     drop((unused, idle));
 }
