--- a/acaciaringd/src/appender.rs
+++ b/acaciaringd/src/appender.rs
@@ -13,9 +13,9 @@
 use tracing::{debug, warn};
 
 use crate::backoff::Backoff;
+use crate::critical_thread;
 use crate::platform::{AppendError, LogService};
 use crate::read_scheduler::ReadScheduler;
-use crate::vital;
 
 /// Id of a record, the same for all attempts to append it.
 pub(crate) type RecordId = [u8; 16];
@@ -87,7 +87,7 @@
             records,
             open: Arc::clone(&open),
         };
-        vital::spawn("appender", move || worker.run());
+        critical_thread::spawn("appender", move || worker.run());
         Self { queue, open }
     }
 
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -57,6 +57,7 @@
 use crate::announce::Announcement;
 use crate::appender::Appender;
 use crate::clock;
+use crate::critical_thread;
 use crate::declared::{Declarations, Declared};
 use crate::gate::Gate;
 use crate::metrics::Metrics;
@@ -64,10 +65,9 @@
 use crate::peer::Transport;
 use crate::platform::LogService;
 use crate::read_scheduler::ReadScheduler;
-use crate::recent::Recent;
+use crate::recent_records::Recent;
 use crate::upstream::Outlet;
 use crate::view::{Shared, UpstreamEndpoint, View};
-use crate::vital;
 
 /// Longest time between two rounds of the control loop.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(50);
@@ -181,7 +181,7 @@
         context: ControlContext,
         events: Receiver<Event>,
     ) -> thread::JoinHandle<()> {
-        vital::spawn("control", move || Self::new(context).run(&events))
+        critical_thread::spawn("control", move || Self::new(context).run(&events))
     }
 
     fn new(context: ControlContext) -> Self {
--- a/acaciaringd/src/daemon/own.rs
+++ b/acaciaringd/src/daemon/builtin.rs
@@ -8,7 +8,7 @@
 use acaciaring_schema::settings::Settings;
 use tokio::runtime::Handle;
 
-use super::edges::{Doors, EdgeError, Edges, Front, Inside};
+use super::adapters::{Doors, EdgeError, Edges, Front, Inside};
 use super::options;
 use crate::announce::{AdminListener, AdminSettings};
 use crate::declared::Decoder;
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -1,9 +1,9 @@
 //! Start and graceful stop of the daemon.
 
-mod edges;
-mod late;
+mod adapters;
+mod builtin;
+mod deferred;
 mod options;
-mod own;
 mod relay;
 
 use std::net::SocketAddr;
@@ -18,9 +18,9 @@
 use snafu::{ResultExt, Snafu};
 use tracing::info;
 
-pub use self::edges::{Doors, EdgeError, Edges, Front, Inside};
-use self::late::LateHandler;
-use self::own::OwnEdges;
+pub use self::adapters::{Doors, EdgeError, Edges, Front, Inside};
+use self::builtin::OwnEdges;
+use self::deferred::LateHandler;
 use crate::admin::MemberAdmin;
 use crate::appender::Appender;
 use crate::clock;
@@ -30,14 +30,14 @@
 use crate::gauges;
 use crate::handler::PeerHandler;
 use crate::heartbeat::Heartbeats;
+use crate::lag_monitor::Pulse;
+use crate::log_limiter::Ration;
 use crate::metrics::{Metrics, MetricsError, MetricsSite};
 use crate::outbox::Outbox;
 use crate::peer::{PeerError, Transport};
-use crate::pulse::Pulse;
-use crate::ration::Ration;
 use crate::read_scheduler::ReadScheduler;
 use crate::reader;
-use crate::recent::Recent;
+use crate::recent_records::Recent;
 use crate::router::{Outages, Router, Suspects, TimeoutHistory, TrafficSplits, WaitLimit};
 use crate::view::Shared;
 use crate::web::{self, WebError};
--- a/acaciaringd/src/handler.rs
+++ b/acaciaringd/src/handler.rs
@@ -16,7 +16,7 @@
 use crate::gate::Gate;
 use crate::peer::{BoxFuture, CancelFlag, Handler};
 use crate::platform::{AppendError, LogService};
-use crate::recent::Recent;
+use crate::recent_records::Recent;
 use crate::status;
 use crate::view::Shared;
 
--- a/acaciaringd/src/metrics/mod.rs
+++ b/acaciaringd/src/metrics/mod.rs
@@ -1,7 +1,7 @@
 //! Metrics: sent to a statsd server over UDP, kept to be read as text, or both.
 
-mod kept;
 mod page;
+mod registry;
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
@@ -14,8 +14,8 @@
 };
 use snafu::{ResultExt, Snafu};
 
-use self::kept::Kept;
 pub(crate) use self::page::MetricsSite;
+use self::registry::Kept;
 use crate::config::Metrics as MetricsSettings;
 
 /// Declares a closed set of metrics with name and unit, so that no list of them can lack one.
--- a/acaciaringd/src/reader.rs
+++ b/acaciaringd/src/reader.rs
@@ -11,9 +11,9 @@
 use crate::backoff::Backoff;
 use crate::clock;
 use crate::control::Event;
+use crate::critical_thread;
 use crate::platform::LogService;
 use crate::read_scheduler::ReadScheduler;
-use crate::vital;
 
 /// Maximum number of records in one read of the log service.
 const READ_LIMIT: usize = 512;
@@ -51,7 +51,7 @@
         has_read: false,
         backoff,
     };
-    vital::spawn("log-reader", move || reader.run());
+    critical_thread::spawn("log-reader", move || reader.run());
 }
 
 struct Reader {
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -44,10 +44,10 @@
 use crate::declared::Declarations;
 use crate::entry::{EntryAnswer, EntryRequest};
 use crate::gate::Gate;
+use crate::lag_monitor::Pulse;
+use crate::log_limiter::Ration;
 use crate::metrics::{Counter, Metrics, Timer};
 use crate::peer::{CancelFlag, RequestOutcome, Transport};
-use crate::pulse::Pulse;
-use crate::ration::Ration;
 use crate::view::{Shared, View};
 use crate::wire;
 
