--- a/acaciaringd/src/control/catch_up.rs
+++ b/acaciaringd/src/control/catch_up.rs
@@ -54,7 +54,7 @@
             let _ = events.send(Event::Relayed(batch));
         };
         let records = call::Body::Records(Records { from: next.max(1), max: MAX_RECORDS });
-        self.context.outbox.call(from, records, wire::CALL, Box::new(done));
+        self.context.outbox.call(from, records, wire::CALL_TIMEOUT, Box::new(done));
     }
 
     /// Requests the declared configuration from a member that has a newer version.
@@ -75,6 +75,6 @@
             }
         };
         let query = call::Body::Declaration(DeclarationQuery {});
-        self.context.outbox.call(from, query, wire::CALL, Box::new(done));
+        self.context.outbox.call(from, query, wire::CALL_TIMEOUT, Box::new(done));
     }
 }
--- a/acaciaringd/src/control/handover.rs
+++ b/acaciaringd/src/control/handover.rs
@@ -155,7 +155,12 @@
                 let _ = events.send(Event::ReleaseDone { workspace, units });
             }
         };
-        self.context.outbox.call(address, call::Body::Release(release), wire::CALL, Box::new(done));
+        self.context.outbox.call(
+            address,
+            call::Body::Release(release),
+            wire::CALL_TIMEOUT,
+            Box::new(done),
+        );
     }
 
     /// Returns the handover data that the upstream returned for each unit, empty if none.
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -223,7 +223,7 @@
             let address = self.state.member(member).and_then(peer_address);
             if let Some(to) = address.filter(|_| member != identity.me) {
                 let call = call::Body::Vote(message);
-                self.context.outbox.call(to, call, wire::CALL, Box::new(|_| {}));
+                self.context.outbox.call(to, call, wire::CALL_TIMEOUT, Box::new(|_| {}));
             }
         }
     }
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -65,7 +65,7 @@
 use crate::peer::Transport;
 use crate::platform::LogService;
 use crate::read_scheduler::ReadScheduler;
-use crate::recent_records::Recent;
+use crate::recent_records::RecentRecords;
 use crate::upstream::Outlet;
 use crate::view::{Shared, UpstreamEndpoint, View};
 
@@ -110,7 +110,7 @@
     pub(crate) transport: Transport,
     pub(crate) outbox: Outbox,
     pub(crate) appender: Appender,
-    pub(crate) recent: Arc<Recent>,
+    pub(crate) recent: Arc<RecentRecords>,
     pub(crate) read_scheduler: Arc<ReadScheduler>,
     pub(crate) events: Sender<Event>,
     pub(crate) metrics: Metrics,
--- a/acaciaringd/src/control/replication.rs
+++ b/acaciaringd/src/control/replication.rs
@@ -96,7 +96,12 @@
                 let _ = events.send(Event::SyncDone { workspace, units, standby: standby.0 });
             }
         };
-        self.context.outbox.call(address, call::Body::Sync(sync), wire::CALL, Box::new(done));
+        self.context.outbox.call(
+            address,
+            call::Body::Sync(sync),
+            wire::CALL_TIMEOUT,
+            Box::new(done),
+        );
     }
 
     /// Records that a standby has acknowledged the sync of units.
--- a/acaciaringd/src/daemon/adapters.rs
+++ b/acaciaringd/src/daemon/adapters.rs
@@ -16,10 +16,10 @@
 use crate::upstream::Outlet;
 
 /// Any failure of an edge.
-pub type EdgeError = Box<dyn Error + Send + Sync>;
+pub type AdapterError = Box<dyn Error + Send + Sync>;
 
 /// Connections of a process with the outside.
-pub trait Edges {
+pub trait Adapters {
     /// Returns the client of the log service.
     fn log(&self, runtime: &Handle) -> Arc<dyn LogService>;
 
@@ -34,15 +34,15 @@
     /// # Errors
     ///
     /// Fails when an address cannot be listened on.
-    fn open(&self, inside: Inside) -> Result<Box<dyn Doors>, EdgeError>;
+    fn open(&self, context: ListenerContext) -> Result<Box<dyn Listeners>, AdapterError>;
 }
 
 /// What the listeners serve.
-pub struct Inside {
+pub struct ListenerContext {
     /// Threads for traffic.
     pub runtime: Handle,
     /// Way of callers' requests.
-    pub front: Front,
+    pub front: Frontend,
     /// Way of the upstream's reports.
     pub heartbeats: Heartbeats,
     /// Declared configurations.
@@ -51,7 +51,7 @@
 }
 
 /// Open listeners.
-pub trait Doors: Send {
+pub trait Listeners: Send {
     /// Returns the address for callers.
     fn callers(&self) -> SocketAddr;
 
@@ -66,19 +66,19 @@
 
 /// Way of callers' requests through this process.
 #[derive(Clone)]
-pub struct Front {
+pub struct Frontend {
     pub(crate) router: Arc<Router>,
     pub(crate) declarations: Arc<Declarations>,
 }
 
-impl Front {
+impl Frontend {
     /// Answers a request; when the future is dropped, its work is cancelled.
     pub async fn handle(&self, request: EntryRequest) -> EntryAnswer {
         self.router.handle(request).await
     }
 
     /// Counts the verdict of an answer, also of one that the listener gave itself.
-    pub fn told(&self, verdict: Verdict) {
+    pub fn record_verdict(&self, verdict: Verdict) {
         self.router.count_verdict(verdict);
     }
 
--- a/acaciaringd/src/daemon/builtin.rs
+++ b/acaciaringd/src/daemon/builtin.rs
@@ -8,7 +8,7 @@
 use acaciaring_schema::settings::Settings;
 use tokio::runtime::Handle;
 
-use super::adapters::{Doors, EdgeError, Edges, Front, Inside};
+use super::adapters::{AdapterError, Adapters, Frontend, ListenerContext, Listeners};
 use super::options;
 use crate::announce::{AdminListener, AdminSettings};
 use crate::declared::Decoder;
@@ -18,12 +18,12 @@
 use crate::upstream::{Direct, Outlet, Upstream, UpstreamSettings};
 
 /// Edges by the settings alone.
-pub(super) struct OwnEdges<'a> {
+pub(super) struct BuiltinAdapters<'a> {
     pub(super) settings: &'a Settings,
     pub(super) metrics: Metrics,
 }
 
-impl Edges for OwnEdges<'_> {
+impl Adapters for BuiltinAdapters<'_> {
     fn log(&self, _runtime: &Handle) -> Arc<dyn LogService> {
         Arc::new(options::log_client(self.settings).metered(self.metrics.clone()))
     }
@@ -41,22 +41,22 @@
         None
     }
 
-    fn open(&self, inside: Inside) -> Result<Box<dyn Doors>, EdgeError> {
-        let service = Waiting { front: inside.front, runtime: inside.runtime };
+    fn open(&self, context: ListenerContext) -> Result<Box<dyn Listeners>, AdapterError> {
+        let service = Waiting { front: context.front, runtime: context.runtime };
         let entry = Entry::start(options::entry_settings(self.settings), Arc::new(service))?;
         let address = self.settings.listen.admin;
         let admin = AdminSettings { address, ..AdminSettings::default() };
-        let admin = AdminListener::start(&admin, inside.admin)?;
-        Ok(Box::new(OwnDoors { entry, admin }))
+        let admin = AdminListener::start(&admin, context.admin)?;
+        Ok(Box::new(BuiltinListeners { entry, admin }))
     }
 }
 
-struct OwnDoors {
+struct BuiltinListeners {
     entry: Entry,
     admin: AdminListener,
 }
 
-impl Doors for OwnDoors {
+impl Listeners for BuiltinListeners {
     fn callers(&self) -> SocketAddr {
         self.entry.local_addr()
     }
@@ -72,7 +72,7 @@
 
 /// Service whose threads wait for the answers.
 struct Waiting {
-    front: Front,
+    front: Frontend,
     runtime: Handle,
 }
 
@@ -82,6 +82,6 @@
     }
 
     fn told(&self, verdict: Verdict) {
-        self.front.told(verdict);
+        self.front.record_verdict(verdict);
     }
 }
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -18,8 +18,8 @@
 use snafu::{ResultExt, Snafu};
 use tracing::info;
 
-pub use self::adapters::{Doors, EdgeError, Edges, Front, Inside};
-use self::builtin::OwnEdges;
+pub use self::adapters::{AdapterError, Adapters, Frontend, ListenerContext, Listeners};
+use self::builtin::BuiltinAdapters;
 use self::deferred::LateHandler;
 use crate::admin::MemberAdmin;
 use crate::appender::Appender;
@@ -30,14 +30,14 @@
 use crate::gauges;
 use crate::handler::PeerHandler;
 use crate::heartbeat::Heartbeats;
-use crate::lag_monitor::Pulse;
-use crate::log_limiter::Ration;
+use crate::lag_monitor::LagMonitor;
+use crate::log_limiter::LogLimiter;
 use crate::metrics::{Metrics, MetricsError, MetricsSite};
 use crate::outbox::Outbox;
 use crate::peer::{PeerError, Transport};
 use crate::read_scheduler::ReadScheduler;
 use crate::reader;
-use crate::recent_records::Recent;
+use crate::recent_records::RecentRecords;
 use crate::router::{Outages, Router, Suspects, TimeoutHistory, TrafficSplits, WaitLimit};
 use crate::view::Shared;
 use crate::web::{self, WebError};
@@ -81,9 +81,9 @@
     },
     /// A listener cannot start.
     #[snafu(display("cannot open the listeners"))]
-    Edge {
+    Listener {
         /// Cause.
-        source: EdgeError,
+        source: AdapterError,
     },
 }
 
@@ -95,7 +95,7 @@
     released: Receiver<()>,
     /// Bound on a stop.
     drain: Duration,
-    doors: Box<dyn Doors>,
+    listeners: Box<dyn Listeners>,
     transport: Transport,
     /// Page of the metrics; ends with the daemon.
     _page: Option<web::Server>,
@@ -109,8 +109,8 @@
     /// Fails when an address cannot be listened on or the TLS files are not usable.
     pub fn start(settings: &Settings) -> Result<Self, StartError> {
         let metrics = Metrics::new(&settings.metrics).context(MetricsSnafu)?;
-        let edges = OwnEdges { settings, metrics: metrics.clone() };
-        Self::start_with(settings, metrics, &edges)
+        let adapters = BuiltinAdapters { settings, metrics: metrics.clone() };
+        Self::start_with(settings, metrics, &adapters)
     }
 
     /// Starts all threads of the daemon with other edges.
@@ -121,13 +121,13 @@
     pub fn start_with(
         settings: &Settings,
         metrics: Metrics,
-        edges: &dyn Edges,
+        adapters: &dyn Adapters,
     ) -> Result<Self, StartError> {
         let address = settings.listen.metrics;
         let metrics = if address.is_some() { metrics.readable() } else { metrics };
-        let decoder = edges.decoder();
+        let decoder = adapters.decoder();
         let shared = Arc::new(Shared::new(decoder.is_some()));
-        let recent = Arc::new(Recent::default());
+        let recent = Arc::new(RecentRecords::default());
         let (events, inbox) = unbounded();
         let declarations = Arc::new(Declarations::new(decoder, events.clone()));
 
@@ -136,9 +136,9 @@
             Transport::metered(options::peer_settings(settings), late.clone(), metrics.clone())
                 .context(PeerSnafu)?;
         let page = address.map(|address| page(address, &metrics, &transport)).transpose()?;
-        let log = edges.log(transport.runtime());
+        let log = adapters.log(transport.runtime());
         let outbox = Outbox::new(&transport);
-        let outlet = edges.outlet();
+        let outlet = adapters.outlet();
         let gate = Arc::new(Gate::new(
             Arc::clone(&shared),
             Arc::clone(&outlet),
@@ -171,9 +171,9 @@
             splits: TrafficSplits::default(),
             timeouts: TimeoutHistory::default(),
             declarations: Arc::clone(&declarations),
-            log_limit: Ration::new(LINES),
-            late_limit: Ration::new(LATE_LINES),
-            pulse: Pulse::start(transport.runtime()),
+            log_limit: LogLimiter::new(LINES),
+            late_limit: LogLimiter::new(LATE_LINES),
+            lag_monitor: LagMonitor::start(transport.runtime()),
         };
         let admin = MemberAdmin {
             events: events.clone(),
@@ -181,14 +181,14 @@
             gate: Arc::clone(&gate),
             transport: transport.clone(),
         };
-        let inside = Inside {
+        let listener_context = ListenerContext {
             runtime: transport.runtime().clone(),
-            front: Front { router: Arc::new(router), declarations: Arc::clone(&declarations) },
+            front: Frontend { router: Arc::new(router), declarations: Arc::clone(&declarations) },
             heartbeats: Heartbeats::new(events.clone()),
             declarations: Arc::clone(&declarations),
             admin: Arc::new(admin),
         };
-        let doors = edges.open(inside).context(EdgeSnafu)?;
+        let listeners = adapters.open(listener_context).context(ListenerSnafu)?;
 
         let read_scheduler = read_scheduler(settings, &transport);
         let (reads, appends) = relay::relays(&shared, &transport);
@@ -197,7 +197,7 @@
             location: options::location(
                 settings,
                 settings.listen.advertised.unwrap_or(transport.local_addr()),
-                doors.callers(),
+                listeners.callers(),
             ),
             lease: options::lease_settings(&settings.lease, settings.upstream.grants),
             drain_timeout: settings.limits.drain,
@@ -222,15 +222,15 @@
         gauges::start(&context.shared, &context.gate, metrics);
         reader::start(log, settings.log.wait, reads, read_scheduler, events.clone());
         let control = Control::start(context, inbox);
-        info!(http = %doors.callers(), peer = %transport.local_addr(), admin = %doors.admin(), "started");
+        info!(http = %listeners.callers(), peer = %transport.local_addr(), admin = %listeners.admin(), "started");
         let drain = settings.limits.drain;
-        Ok(Self { events, control, released, drain, doors, transport, _page: page })
+        Ok(Self { events, control, released, drain, listeners, transport, _page: page })
     }
 
     /// Returns the address for callers.
     #[must_use]
     pub fn http(&self) -> SocketAddr {
-        self.doors.callers()
+        self.listeners.callers()
     }
 
     /// Returns the address for other members.
@@ -242,7 +242,7 @@
     /// Returns the address for announcements and the command-line tool.
     #[must_use]
     pub fn admin(&self) -> SocketAddr {
-        self.doors.admin()
+        self.listeners.admin()
     }
 
     /// Hands everything over, finishes what is in flight and ends; returns how many requests were cut off.
@@ -256,7 +256,7 @@
         // Control has ended, or callers have had their part of the time.
         let _ = self.released.recv_timeout(self.drain / TAKING);
         let left = || self.drain.saturating_sub(clock::now().since(start));
-        let cut = self.doors.drain(left());
+        let cut = self.listeners.drain(left());
         // Control may have ended.
         let _ = self.events.send(Event::CallersGone);
         let _ = self.control.join();
--- a/acaciaringd/src/daemon/relay.rs
+++ b/acaciaringd/src/daemon/relay.rs
@@ -27,7 +27,7 @@
     Box::new(move |record| {
         let Some(to) = shared.view().other(clock::now()) else { return AppendOutcome::NotAppended };
         let append = call::Body::Append(Append { record: record.to_vec() });
-        match transport.blocking_call(to, append, wire::CALL) {
+        match transport.blocking_call(to, append, wire::CALL_TIMEOUT) {
             Ok(reply::Body::Appended(appended)) if appended.offset > 0 => {
                 AppendOutcome::Appended(appended.offset)
             }
@@ -44,7 +44,7 @@
     Box::new(move |from, max| {
         let to = shared.view().other(clock::now())?;
         let records = call::Body::Records(Records { from, max });
-        match transport.blocking_call(to, records, wire::CALL) {
+        match transport.blocking_call(to, records, wire::CALL_TIMEOUT) {
             Ok(reply::Body::Records(batch)) if !batch.entries.is_empty() => Some(batch),
             _ => None,
         }
--- a/acaciaringd/src/gate/once.rs
+++ b/acaciaringd/src/gate/once.rs
@@ -123,7 +123,12 @@
             age: 0,
         };
         let outcome = Outcome { workspace: job.workspace.to_string(), dedup: Some(entry) };
-        self.outbox.call(address, call::Body::Outcome(outcome), wire::CALL, Box::new(|_| {}));
+        self.outbox.call(
+            address,
+            call::Body::Outcome(outcome),
+            wire::CALL_TIMEOUT,
+            Box::new(|_| {}),
+        );
     }
 }
 
--- a/acaciaringd/src/handler.rs
+++ b/acaciaringd/src/handler.rs
@@ -16,7 +16,7 @@
 use crate::gate::Gate;
 use crate::peer::{BoxFuture, CancelFlag, Handler};
 use crate::platform::{AppendError, LogService};
-use crate::recent_records::Recent;
+use crate::recent_records::RecentRecords;
 use crate::status;
 use crate::view::Shared;
 
@@ -25,7 +25,7 @@
     pub(crate) events: Sender<Event>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) shared: Arc<Shared>,
-    pub(crate) recent: Arc<Recent>,
+    pub(crate) recent: Arc<RecentRecords>,
     pub(crate) log: Arc<dyn LogService>,
     pub(crate) declarations: Arc<Declarations>,
 }
--- a/acaciaringd/src/lag_monitor.rs
+++ b/acaciaringd/src/lag_monitor.rs
@@ -21,16 +21,16 @@
 /// them, and each seems to have just come. Served in turn all would be late; the lateness tells
 /// for how long they have waited, so that what cannot be in time is refused for little.
 #[derive(Debug, Default)]
-pub(crate) struct Pulse {
+pub(crate) struct LagMonitor {
     /// Microseconds.
     lag: AtomicU64,
 }
 
-impl Pulse {
+impl LagMonitor {
     /// Starts to look on the threads of a runtime, for as long as it runs.
     pub(crate) fn start(runtime: &Handle) -> Arc<Self> {
-        let pulse = Arc::new(Self::default());
-        let own = Arc::clone(&pulse);
+        let monitor = Arc::new(Self::default());
+        let own = Arc::clone(&monitor);
         runtime.spawn(async move {
             loop {
                 let start = clock::now();
@@ -38,7 +38,7 @@
                 own.note(clock::now().since(start).saturating_sub(TICK + USUAL));
             }
         });
-        pulse
+        monitor
     }
 
     /// Takes in how late a timer was; what was seen before counts half.
--- a/acaciaringd/src/lag_monitor/tests.rs
+++ b/acaciaringd/src/lag_monitor/tests.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::Pulse;
+use super::LagMonitor;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -10,14 +10,14 @@
 // about as long; a fifth of a second later nothing waits any more.
 #[test]
 fn lateness_is_seen_at_once_and_fades_soon() {
-    let pulse = Pulse::default();
-    assert_eq!(pulse.lag(), ms(0));
-    pulse.note(ms(400));
-    assert_eq!(pulse.lag(), ms(400));
+    let monitor = LagMonitor::default();
+    assert_eq!(monitor.lag(), ms(0));
+    monitor.note(ms(400));
+    assert_eq!(monitor.lag(), ms(400));
     for _ in 0..4 {
-        pulse.note(ms(0));
+        monitor.note(ms(0));
     }
-    assert_eq!(pulse.lag(), ms(25));
-    pulse.note(ms(100));
-    assert_eq!(pulse.lag(), ms(100));
+    assert_eq!(monitor.lag(), ms(25));
+    monitor.note(ms(100));
+    assert_eq!(monitor.lag(), ms(100));
 }
--- a/acaciaringd/src/lib.rs
+++ b/acaciaringd/src/lib.rs
@@ -34,7 +34,9 @@
 pub mod web;
 mod wire;
 
-pub use crate::daemon::{Daemon, Doors, EdgeError, Edges, Front, Inside, StartError};
+pub use crate::daemon::{
+    AdapterError, Adapters, Daemon, Frontend, ListenerContext, Listeners, StartError,
+};
 pub use crate::header::Headers;
 pub mod logging;
 pub mod metrics;
--- a/acaciaringd/src/log_limiter.rs
+++ b/acaciaringd/src/log_limiter.rs
@@ -12,7 +12,7 @@
 ///
 /// Guards against an overload whose lines cost more processor time than the requests they are about.
 #[derive(Debug)]
-pub(crate) struct Ration {
+pub(crate) struct LogLimiter {
     lines: u32,
     state: Mutex<State>,
 }
@@ -24,7 +24,7 @@
     left: u64,
 }
 
-impl Ration {
+impl LogLimiter {
     /// Makes a bound of this many lines a second.
     pub(crate) fn new(lines: u32) -> Self {
         Self { lines, state: Mutex::default() }
--- a/acaciaringd/src/log_limiter/tests.rs
+++ b/acaciaringd/src/log_limiter/tests.rs
@@ -2,7 +2,7 @@
 
 use acaciaring_core::Time;
 
-use super::Ration;
+use super::LogLimiter;
 
 fn at(millis: u64) -> Time {
     Time::from_start(Duration::from_millis(millis))
@@ -12,10 +12,10 @@
 // the next second tells how many there would have been: nothing vanishes without a trace.
 #[test]
 fn lines_beyond_the_bound_are_counted() {
-    let ration = Ration::new(2);
-    let told: Vec<_> = (0..5).map(|n| ration.admit(at(1000 + n))).collect();
+    let limiter = LogLimiter::new(2);
+    let told: Vec<_> = (0..5).map(|n| limiter.admit(at(1000 + n))).collect();
     assert_eq!(told, [Some(0), Some(0), None, None, None]);
-    assert_eq!(ration.admit(at(2001)), Some(3));
-    assert_eq!(ration.admit(at(2002)), Some(0));
-    assert_eq!(ration.admit(at(2003)), None);
+    assert_eq!(limiter.admit(at(2001)), Some(3));
+    assert_eq!(limiter.admit(at(2002)), Some(0));
+    assert_eq!(limiter.admit(at(2003)), None);
 }
--- a/acaciaringd/src/recent_records.rs
+++ b/acaciaringd/src/recent_records.rs
@@ -10,7 +10,7 @@
 
 /// The newest records of the log that this process has read.
 #[derive(Debug, Default)]
-pub(crate) struct Recent {
+pub(crate) struct RecentRecords {
     records: Mutex<Records>,
 }
 
@@ -20,7 +20,7 @@
     entries: VecDeque<Vec<u8>>,
 }
 
-impl Recent {
+impl RecentRecords {
     /// Keeps the records of a batch that was folded.
     pub(crate) fn keep(&self, batch: &Batch) {
         let mut records = self.records.lock();
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -44,8 +44,8 @@
 use crate::declared::Declarations;
 use crate::entry::{EntryAnswer, EntryRequest};
 use crate::gate::Gate;
-use crate::lag_monitor::Pulse;
-use crate::log_limiter::Ration;
+use crate::lag_monitor::LagMonitor;
+use crate::log_limiter::LogLimiter;
 use crate::metrics::{Counter, Metrics, Timer};
 use crate::peer::{CancelFlag, RequestOutcome, Transport};
 use crate::view::{Shared, View};
@@ -82,11 +82,11 @@
     pub(crate) timeouts: TimeoutHistory,
     pub(crate) declarations: Arc<Declarations>,
     /// Rate limit of the log lines about requests without an answer.
-    pub(crate) log_limit: Ration,
+    pub(crate) log_limit: LogLimiter,
     /// Rate limit of the log lines about requests that were answered late.
-    pub(crate) late_limit: Ration,
+    pub(crate) late_limit: LogLimiter,
     /// Measures the scheduling lag of this process.
-    pub(crate) pulse: Arc<Pulse>,
+    pub(crate) lag_monitor: Arc<LagMonitor>,
 }
 
 /// A client request with its route and deadlines, ready to be sent to members.
@@ -202,7 +202,7 @@
     }
 
     fn plan(&self, mut request: EntryRequest) -> Result<Plan, EntryAnswer> {
-        let lag = self.pulse.lag();
+        let lag = self.lag_monitor.lag();
         let read = request.received.since_start();
         request.received = Time::from_start(read.saturating_sub(lag));
         let view = self.shared.view();
--- a/acaciaringd/src/wire.rs
+++ b/acaciaringd/src/wire.rs
@@ -9,7 +9,7 @@
 use crate::upstream::UpstreamAnswer;
 
 /// Time-out of a call that control makes in the background.
-pub(crate) const CALL: Duration = Duration::from_millis(500);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Converts the headers of a message.
 pub(crate) fn headers(list: &[peer::Header]) -> Vec<(String, Vec<u8>)> {
