--- a/acaciaringd/src/admin.rs
+++ b/acaciaringd/src/admin.rs
@@ -24,13 +24,13 @@
 use crate::view::{Permit, Shared, View, peer_address};
 
 /// Time for a published document to be read back from the log.
-const PUBLISH: Duration = Duration::from_secs(8);
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Time for another member to answer a status query.
-const QUERY: Duration = Duration::from_millis(800);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Path at which a member tells of itself alone.
-const STATUS: &str = "/v1/status";
+const STATUS_PATH: &str = "/v1/status";
 
 const OK: u16 = 200;
 const BAD_REQUEST: u16 = 400;
@@ -42,7 +42,7 @@
 const TIMEOUT: u16 = 504;
 
 /// Status queries at once.
-const QUERIES: usize = 32;
+const MAX_QUERIES: usize = 32;
 
 /// Admin interface of a member.
 pub(crate) struct MemberAdmin {
@@ -66,7 +66,7 @@
         let find =
             |name: &str| query.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str());
         match path {
-            STATUS => ok(&self.own_status()),
+            STATUS_PATH => ok(&self.own_status()),
             admin::DOCUMENTS => ok(&documents(&view)),
             admin::MEMBERS => ok(&members(&view)),
             admin::LOAD => ok(&self.load(&view)),
@@ -102,7 +102,7 @@
         if self.events.send(Event::Publish(id, record(publish), sender)).is_err() {
             return failure(UNAVAILABLE, "the member is stopping");
         }
-        match answer.recv_timeout(PUBLISH) {
+        match answer.recv_timeout(PUBLISH_TIMEOUT) {
             Ok(PublishReply::Folded { offset, outcome }) => published(offset, &outcome),
             Ok(PublishReply::NotAppended) => failure(UNAVAILABLE, "nothing was appended"),
             Ok(PublishReply::Before) => {
@@ -162,11 +162,11 @@
         let live: Vec<&Member> =
             view.state.members().filter(|member| member.phase != Phase::Dead).collect();
         let mut found = Vec::new();
-        for group in live.chunks(QUERIES) {
+        for group in live.chunks(MAX_QUERIES) {
             thread::scope(|scope| {
                 let ask = |member| scope.spawn(move || self.status_of(view, member));
-                let asked: Vec<_> = group.iter().copied().map(ask).collect();
-                let answers = asked.into_iter().map(|thread| thread.join().ok().flatten());
+                let threads: Vec<_> = group.iter().copied().map(ask).collect();
+                let answers = threads.into_iter().map(|thread| thread.join().ok().flatten());
                 found.extend(group.iter().copied().zip(answers));
             });
         }
@@ -178,7 +178,8 @@
             return Some(status::reply(&self.shared, &self.gate));
         }
         let to: SocketAddr = peer_address(member)?;
-        let reply = self.transport.blocking_call(to, call::Body::Status(StatusQuery {}), QUERY);
+        let reply =
+            self.transport.blocking_call(to, call::Body::Status(StatusQuery {}), QUERY_TIMEOUT);
         match reply {
             // A later process on the same address does not speak for this member.
             Ok(reply::Body::Status(status)) if status.member == member.id.0 => Some(status),
--- a/acaciaringd/src/cli.rs
+++ b/acaciaringd/src/cli.rs
@@ -59,7 +59,7 @@
 #[must_use]
 pub fn start_with(args: Vec<OsString>) -> Start {
     match Acaciaringd::from_vec(args) {
-        Ok(flags) => follow(flags),
+        Ok(flags) => execute(flags),
         Err(error) if error.is_help() => {
             println!("{error}");
             Start::Exit(0)
@@ -71,7 +71,7 @@
     }
 }
 
-fn follow(flags: Acaciaringd) -> Start {
+fn execute(flags: Acaciaringd) -> Start {
     if flags.version {
         println!("acaciaringd {}", env!("CARGO_PKG_VERSION"));
         return Start::Exit(0);
--- a/acaciaringd/src/config/mod.rs
+++ b/acaciaringd/src/config/mod.rs
@@ -63,16 +63,17 @@
 pub fn parse(file_name: &str, text: &str) -> Result<Settings, SettingsError> {
     let file: Name = file_name.into();
     let IniFields { fields, problems } = parse_fields(text);
-    let mut faults: Vec<_> = problems.into_iter().map(|problem| syntax(&file, problem)).collect();
+    let mut faults: Vec<_> =
+        problems.into_iter().map(|problem| syntax_fault(&file, problem)).collect();
     let mut settings = Settings::default();
     for (index, field) in fields.iter().enumerate() {
         let problem = assign(&mut settings, &fields[..index], field);
-        faults.extend(problem.map(|message| at(&file, field, message)));
+        faults.extend(problem.map(|message| fault_at(&file, field, message)));
     }
     faults.extend(missing(&file, &fields));
     if faults.is_empty() {
-        let broken = rules::broken(&settings);
-        faults.extend(broken.into_iter().map(|rule| rule.fault(&file, &fields)));
+        let violations = rules::violations(&settings);
+        faults.extend(violations.into_iter().map(|violation| violation.fault(&file, &fields)));
     }
     ensure!(faults.is_empty(), InvalidSnafu { faults: Faults(faults) });
     Ok(settings)
@@ -88,7 +89,7 @@
     if before.iter().any(same) {
         return Some("is set twice".to_owned());
     }
-    match known(field) {
+    match find_setting(field) {
         Some(known) => (known.assign)(settings, &field.value).err().map(|error| error.to_string()),
         None if FIELDS.iter().any(|known| known.section == &*field.section) => {
             Some("unknown key".to_owned())
@@ -97,16 +98,17 @@
     }
 }
 
-fn known(field: &DocumentField) -> Option<&'static Field> {
-    FIELDS.iter().find(|known| is(known, field))
+fn find_setting(field: &DocumentField) -> Option<&'static Field> {
+    FIELDS.iter().find(|known| is_setting(known, field))
 }
 
-fn is(known: &Field, field: &DocumentField) -> bool {
+fn is_setting(known: &Field, field: &DocumentField) -> bool {
     known.section == &*field.section && known.key == &*field.key
 }
 
 fn missing(file: &Name, fields: &[DocumentField]) -> Vec<Fault> {
-    let absent = |known: &&Field| known.required && !fields.iter().any(|field| is(known, field));
+    let absent =
+        |known: &&Field| known.required && !fields.iter().any(|field| is_setting(known, field));
     let fault = |known: &Field| Fault {
         document: Name::clone(file),
         line: line_of(fields, known.section, known.key),
@@ -124,7 +126,7 @@
     field.map_or(0, |field| field.line)
 }
 
-fn at(file: &Name, field: &DocumentField, message: String) -> Fault {
+fn fault_at(file: &Name, field: &DocumentField, message: String) -> Fault {
     Fault {
         document: Name::clone(file),
         line: field.line,
@@ -134,7 +136,7 @@
     }
 }
 
-fn syntax(file: &Name, problem: IniProblem) -> Fault {
+fn syntax_fault(file: &Name, problem: IniProblem) -> Fault {
     let IniProblem { line, section, key, message } = problem;
     Fault { document: Name::clone(file), line, section, key, message }
 }
--- a/acaciaringd/src/config/rules.rs
+++ b/acaciaringd/src/config/rules.rs
@@ -7,13 +7,13 @@
 use super::line_of;
 
 /// A rule that the settings break, at the key that an operator would change.
-pub(super) struct Broken {
+pub(super) struct Violation {
     section: &'static str,
     key: &'static str,
     message: &'static str,
 }
 
-impl Broken {
+impl Violation {
     /// Returns the fault with the line of its key.
     pub(super) fn fault(&self, file: &Name, fields: &[DocumentField]) -> Fault {
         Fault {
@@ -27,14 +27,15 @@
 }
 
 /// Lists the rules that the settings break.
-pub(super) fn broken(settings: &Settings) -> Vec<Broken> {
+pub(super) fn violations(settings: &Settings) -> Vec<Violation> {
     let lease = lease(&settings.lease).into_iter();
     lease.chain(listen(&settings.listen)).collect()
 }
 
-fn lease(lease: &Lease) -> Vec<Broken> {
-    let rule =
-        |holds: bool, key, message| (!holds).then_some(Broken { section: "lease", key, message });
+fn lease(lease: &Lease) -> Vec<Violation> {
+    let rule = |holds: bool, key, message| {
+        (!holds).then_some(Violation { section: "lease", key, message })
+    };
     let needed = lease.interval + lease.resend + lease.margin;
     let rules = [
         rule(lease.resend <= lease.interval, "resend", "must be at most lease.interval"),
@@ -47,17 +48,18 @@
     rules.into_iter().flatten().collect()
 }
 
-fn listen(listen: &Listen) -> Vec<Broken> {
-    let rule =
-        |holds: bool, key, message| (!holds).then_some(Broken { section: "listen", key, message });
+fn listen(listen: &Listen) -> Vec<Violation> {
+    let rule = |holds: bool, key, message| {
+        (!holds).then_some(Violation { section: "listen", key, message })
+    };
     let same = listen.http == listen.admin && listen.http.port() != 0;
     let specific = "must be a specific address, other members are told it";
-    let told = listen.advertised.is_some() || !listen.peer.ip().is_unspecified();
+    let peer_specific = listen.advertised.is_some() || !listen.peer.ip().is_unspecified();
     let advertised = listen.advertised.is_none_or(|address| !address.ip().is_unspecified());
     let rules = [
         rule(!same, "admin", "must differ from listen.http"),
         rule(!listen.http.ip().is_unspecified(), "http", specific),
-        rule(told, "peer", "must be a specific address unless listen.advertised is set"),
+        rule(peer_specific, "peer", "must be a specific address unless listen.advertised is set"),
         rule(advertised, "advertised", specific),
     ];
     rules.into_iter().flatten().collect()
--- a/acaciaringd/src/critical_thread.rs
+++ b/acaciaringd/src/critical_thread.rs
@@ -21,21 +21,21 @@
     };
     thread::Builder::new()
         .name(name.to_owned())
-        .spawn(move || watched(run, fail))
+        .spawn(move || run_guarded(run, fail))
         .expect("the operating system starts a thread")
 }
 
 /// Runs `run`, and `fail` if it panics.
-fn watched(run: impl FnOnce(), fail: impl FnMut()) {
-    let watch = Watch(fail);
+fn run_guarded(run: impl FnOnce(), fail: impl FnMut()) {
+    let guard = PanicGuard(fail);
     run();
-    drop(watch);
+    drop(guard);
 }
 
 /// Calls its function when dropped by a panic.
-struct Watch<F: FnMut()>(F);
+struct PanicGuard<F: FnMut()>(F);
 
-impl<F: FnMut()> Drop for Watch<F> {
+impl<F: FnMut()> Drop for PanicGuard<F> {
     fn drop(&mut self) {
         if thread::panicking() {
             (self.0)();
--- a/acaciaringd/src/daemon/builtin.rs
+++ b/acaciaringd/src/daemon/builtin.rs
@@ -42,7 +42,7 @@
     }
 
     fn open(&self, context: ListenerContext) -> Result<Box<dyn Listeners>, AdapterError> {
-        let service = Waiting { front: context.front, runtime: context.runtime };
+        let service = BlockingService { front: context.front, runtime: context.runtime };
         let entry = Entry::start(options::entry_settings(self.settings), Arc::new(service))?;
         let address = self.settings.listen.admin;
         let admin = AdminSettings { address, ..AdminSettings::default() };
@@ -71,12 +71,12 @@
 }
 
 /// Service whose threads wait for the answers.
-struct Waiting {
+struct BlockingService {
     front: Frontend,
     runtime: Handle,
 }
 
-impl Service for Waiting {
+impl Service for BlockingService {
     fn handle(&self, request: EntryRequest) -> EntryAnswer {
         self.runtime.block_on(self.front.handle(request))
     }
--- a/acaciaringd/src/daemon/deferred.rs
+++ b/acaciaringd/src/daemon/deferred.rs
@@ -10,9 +10,9 @@
 
 /// Handler that is set after the transport has started, for they need each other.
 #[derive(Default)]
-pub(super) struct LateHandler(OnceLock<PeerHandler>);
+pub(super) struct DeferredHandler(OnceLock<PeerHandler>);
 
-impl LateHandler {
+impl DeferredHandler {
     /// Sets the handler, once.
     pub(super) fn set(&self, handler: PeerHandler) {
         assert!(self.0.set(handler).is_ok(), "the handler is set once");
@@ -24,7 +24,7 @@
     }
 }
 
-impl Handler for LateHandler {
+impl Handler for DeferredHandler {
     fn datagram(&self, from: SocketAddr, datagram: Datagram) {
         if let Some(handler) = self.0.get() {
             handler.datagram(from, datagram);
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -20,7 +20,7 @@
 
 pub use self::adapters::{AdapterError, Adapters, Frontend, ListenerContext, Listeners};
 use self::builtin::BuiltinAdapters;
-use self::deferred::LateHandler;
+use self::deferred::DeferredHandler;
 use crate::admin::MemberAdmin;
 use crate::appender::Appender;
 use crate::clock;
@@ -43,20 +43,20 @@
 use crate::web::{self, WebError};
 
 /// One in this many requests in hand may wait for a takeover.
-const LINGERERS: usize = 4;
+const WAITER_DIVISOR: usize = 4;
 
 /// Lines a second about requests without an answer: enough to see reasons and members, far below the
 /// requests that a machine refuses in an overload.
-const LINES: u32 = 20;
+const MAX_LOG_LINES: u32 = 20;
 
 /// Lines a second about requests that were answered late, which cost their callers less.
-const LATE_LINES: u32 = 10;
+const MAX_LATE_LOG_LINES: u32 = 10;
 
 /// Longest wait until peers have the last answers, well below a lease.
-const LAST_ANSWERS: Duration = Duration::from_secs(1);
+const FINAL_ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Part of the time of a stop in which callers are still taken; the rest is for their requests.
-const TAKING: u32 = 2;
+const ACCEPT_DIVISOR: u32 = 2;
 
 /// Failure to start the daemon.
 #[derive(Debug, Snafu)]
@@ -131,9 +131,9 @@
         let (events, inbox) = unbounded();
         let declarations = Arc::new(Declarations::new(decoder, events.clone()));
 
-        let late = Arc::new(LateHandler::default());
+        let deferred = Arc::new(DeferredHandler::default());
         let transport =
-            Transport::metered(options::peer_settings(settings), late.clone(), metrics.clone())
+            Transport::metered(options::peer_settings(settings), deferred.clone(), metrics.clone())
                 .context(PeerSnafu)?;
         let page = address.map(|address| page(address, &metrics, &transport)).transpose()?;
         let log = adapters.log(transport.runtime());
@@ -148,7 +148,7 @@
             metrics.clone(),
             events.clone(),
         ));
-        late.set(PeerHandler {
+        deferred.set(PeerHandler {
             events: events.clone(),
             gate: Arc::clone(&gate),
             shared: Arc::clone(&shared),
@@ -162,17 +162,17 @@
             gate: Arc::clone(&gate),
             transport: transport.clone(),
             choice: Mutex::new(Selector::new(SelectorSettings::default())),
-            budgets: options::budgets(settings),
+            budgets: options::retry_budgets(settings),
             suspects: Suspects::default(),
             full_queues: Mutex::default(),
             outages: Outages::default(),
             metrics: metrics.clone(),
-            wait_limit: WaitLimit::new(settings.entry.workers as usize / LINGERERS),
+            wait_limit: WaitLimit::new(settings.entry.workers as usize / WAITER_DIVISOR),
             splits: TrafficSplits::default(),
             timeouts: TimeoutHistory::default(),
             declarations: Arc::clone(&declarations),
-            log_limit: LogLimiter::new(LINES),
-            late_limit: LogLimiter::new(LATE_LINES),
+            log_limit: LogLimiter::new(MAX_LOG_LINES),
+            late_limit: LogLimiter::new(MAX_LATE_LOG_LINES),
             lag_monitor: LagMonitor::start(transport.runtime()),
         };
         let admin = MemberAdmin {
@@ -254,14 +254,14 @@
         // Control ends by itself only after a stop.
         let _ = self.events.send(Event::Stop(start));
         // Control has ended, or callers have had their part of the time.
-        let _ = self.released.recv_timeout(self.drain / TAKING);
-        let left = || self.drain.saturating_sub(clock::now().since(start));
-        let cut = self.listeners.drain(left());
+        let _ = self.released.recv_timeout(self.drain / ACCEPT_DIVISOR);
+        let remaining = || self.drain.saturating_sub(clock::now().since(start));
+        let cut = self.listeners.drain(remaining());
         // Control may have ended.
         let _ = self.events.send(Event::CallersGone);
         let _ = self.control.join();
         // Nothing renews the lease from here on.
-        let due = self.transport.stop_within(left().min(LAST_ANSWERS));
+        let due = self.transport.stop_within(remaining().min(FINAL_ACK_TIMEOUT));
         info!(cut, due, "stopped");
         cut
     }
@@ -279,9 +279,9 @@
 
 /// Returns what is wanted of the log, with the pace of reads.
 fn read_scheduler(settings: &Settings, transport: &Transport) -> Arc<ReadScheduler> {
-    let pacer = Arc::new(ReadScheduler::new(settings.log.rate.min(settings.log.reads)));
+    let scheduler = Arc::new(ReadScheduler::new(settings.log.rate.min(settings.log.reads)));
     // Who is refused may have joined by a record that was not read here yet.
-    let asked = Arc::clone(&pacer);
-    transport.on_untrusted(move || asked.request_read());
-    pacer
+    let trigger = Arc::clone(&scheduler);
+    transport.on_untrusted(move || trigger.request_read());
+    scheduler
 }
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -19,12 +19,12 @@
 use crate::router::{ClusterBudget, RetryBudgets};
 
 /// Room for headers and the like in a message between members, in bytes.
-const ENVELOPE: u64 = 256 << 10;
+const ENVELOPE_BYTES: u64 = 256 << 10;
 
 /// Longest term of a lease where upstreams are told by calls what to hold.
 ///
 /// Calls renew a hold several times within it; a report every second or so may not.
-const CALLED_TERM: Duration = Duration::from_secs(2);
+const MAX_CALL_TERM: Duration = Duration::from_secs(2);
 
 /// Returns the client of the log service.
 pub(super) fn log_client(settings: &Settings) -> LogClient {
@@ -51,7 +51,7 @@
 
 /// Returns the largest message between members: a body with its headers.
 fn message_limit(settings: &Settings) -> usize {
-    usize::try_from(settings.limits.body + ENVELOPE).unwrap_or(usize::MAX)
+    usize::try_from(settings.limits.body + ENVELOPE_BYTES).unwrap_or(usize::MAX)
 }
 
 /// Returns the settings of the entry for callers.
@@ -66,7 +66,7 @@
 
 /// Returns the limits of the gate.
 pub(super) fn gate_settings(settings: &Settings) -> GateSettings {
-    GateSettings { admission: admission_settings(settings), warmth: heat_settings(settings) }
+    GateSettings { admission: admission_settings(settings), warmth: rate_settings(settings) }
 }
 
 /// Returns the settings of admission beside the upstream.
@@ -79,15 +79,15 @@
 }
 
 /// Returns the budgets of retries: of each class, and of all members together.
-pub(super) fn budgets(settings: &Settings) -> RetryBudgets {
+pub(super) fn retry_budgets(settings: &Settings) -> RetryBudgets {
     let limits = &settings.limits;
     let retries = RetrySettings { ratio: limits.retry_ratio, ..RetrySettings::default() };
-    let common = ClusterBudget { burst: limits.retry_burst.into(), window: limits.retry_window };
-    RetryBudgets::new(retries, common)
+    let cluster = ClusterBudget { burst: limits.retry_burst.into(), window: limits.retry_window };
+    RetryBudgets::new(retries, cluster)
 }
 
 /// Returns how heat is measured.
-fn heat_settings(settings: &Settings) -> RateSettings {
+fn rate_settings(settings: &Settings) -> RateSettings {
     RateSettings { half_life: settings.balance.heat, ..RateSettings::default() }
 }
 
@@ -119,9 +119,9 @@
     match grants {
         UpstreamGrants::Heartbeat => settings,
         UpstreamGrants::Call => LeaseSettings {
-            interval: settings.interval.min(CALLED_TERM / 4),
-            term: settings.term.min(CALLED_TERM),
-            abandon: settings.abandon.min(CALLED_TERM * 2),
+            interval: settings.interval.min(MAX_CALL_TERM / 4),
+            term: settings.term.min(MAX_CALL_TERM),
+            abandon: settings.abandon.min(MAX_CALL_TERM * 2),
             ..settings
         },
     }
--- a/acaciaringd/src/daemon/relay.rs
+++ b/acaciaringd/src/daemon/relay.rs
@@ -25,7 +25,9 @@
 fn append_relay(shared: &Arc<Shared>, transport: &Transport) -> appender::Relay {
     let (shared, transport) = (Arc::clone(shared), transport.clone());
     Box::new(move |record| {
-        let Some(to) = shared.view().other(clock::now()) else { return AppendOutcome::NotAppended };
+        let Some(to) = shared.view().relay_address(clock::now()) else {
+            return AppendOutcome::NotAppended;
+        };
         let append = call::Body::Append(Append { record: record.to_vec() });
         match transport.blocking_call(to, append, wire::CALL_TIMEOUT) {
             Ok(reply::Body::Appended(appended)) if appended.offset > 0 => {
@@ -42,7 +44,7 @@
 fn read_relay(shared: &Arc<Shared>, transport: &Transport) -> reader::Relay {
     let (shared, transport) = (Arc::clone(shared), transport.clone());
     Box::new(move |from, max| {
-        let to = shared.view().other(clock::now())?;
+        let to = shared.view().relay_address(clock::now())?;
         let records = call::Body::Records(Records { from, max });
         match transport.blocking_call(to, records, wire::CALL_TIMEOUT) {
             Ok(reply::Body::Records(batch)) if !batch.entries.is_empty() => Some(batch),
@@ -53,14 +55,14 @@
 
 impl View {
     /// Returns the address of another live member, a different one with time.
-    fn other(&self, now: Time) -> Option<SocketAddr> {
+    fn relay_address(&self, now: Time) -> Option<SocketAddr> {
         let others: Vec<SocketAddr> = self
             .state
             .members()
             .filter(|member| member.alive() && Some(member.id) != self.me)
             .filter_map(peer_address)
             .collect();
-        let turn = usize::try_from(now.since_start().as_millis() / 100).unwrap_or(0);
-        others.get(turn % others.len().max(1)).copied()
+        let index = usize::try_from(now.since_start().as_millis() / 100).unwrap_or(0);
+        others.get(index % others.len().max(1)).copied()
     }
 }
--- a/acaciaringd/src/handler.rs
+++ b/acaciaringd/src/handler.rs
@@ -53,7 +53,7 @@
 
     async fn serve(&self, call: call::Body) -> reply::Body {
         match call {
-            call::Body::Vote(vote) => self.tell(Event::Vote(vote)),
+            call::Body::Vote(vote) => self.notify_control(Event::Vote(vote)),
             call::Body::Release(release) => self.release(release),
             call::Body::Sync(sync) => self.sync(&sync),
             call::Body::Intent(intent) => self.intent(&intent),
@@ -73,14 +73,14 @@
         }
     }
 
-    fn tell(&self, event: Event) -> reply::Body {
+    fn notify_control(&self, event: Event) -> reply::Body {
         // Control has ended only when the process is about to exit.
         let _ = self.events.send(event);
         done(true)
     }
 
     fn release(&self, release: Release) -> reply::Body {
-        self.tell(Event::Released(release))
+        self.notify_control(Event::Released(release))
     }
 
     fn sync(&self, sync: &Sync) -> reply::Body {
--- a/acaciaringd/src/inflight.rs
+++ b/acaciaringd/src/inflight.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 
 /// Slot of a workspace.
-type Place = (Name, Slot);
+type SlotKey = (Name, Slot);
 
 /// Requests in flight, by key.
 ///
@@ -22,7 +22,7 @@
 /// keys are counted, and a unit has the requests of the keys that it covers now.
 #[derive(Debug, Default)]
 pub(crate) struct Inflight {
-    counts: Mutex<HashMap<Place, HashMap<KeyHash, usize>>>,
+    counts: Mutex<HashMap<SlotKey, HashMap<KeyHash, usize>>>,
 }
 
 impl Inflight {
@@ -33,9 +33,9 @@
         slot: Slot,
         key: KeyHash,
     ) -> InflightGuard {
-        let place = (Arc::clone(workspace), slot);
-        *self.counts.lock().entry(place.clone()).or_default().entry(key).or_default() += 1;
-        InflightGuard { inflight: Arc::clone(self), place, key }
+        let slot_key = (Arc::clone(workspace), slot);
+        *self.counts.lock().entry(slot_key.clone()).or_default().entry(key).or_default() += 1;
+        InflightGuard { inflight: Arc::clone(self), slot_key, key }
     }
 
     /// Returns how many requests of a unit are in flight; `unit_of` tells the unit of a key.
@@ -45,17 +45,17 @@
         unit: UnitId,
         unit_of: impl Fn(KeyHash) -> UnitId,
     ) -> usize {
-        let place = (Arc::clone(workspace), unit.slot);
+        let slot_key = (Arc::clone(workspace), unit.slot);
         let counts = self.counts.lock();
-        let keys = counts.get(&place).into_iter().flatten();
+        let keys = counts.get(&slot_key).into_iter().flatten();
         keys.filter(|(key, _)| unit_of(**key) == unit).map(|(_, count)| count).sum()
     }
 
     /// Returns the keys of a workspace for which requests are in flight, as numbers in order.
     pub(crate) fn keys(&self, workspace: &str) -> BTreeSet<u64> {
         let counts = self.counts.lock();
-        let places = counts.iter().filter(|((place, _), _)| **place == *workspace);
-        places.flat_map(|(_, keys)| keys.keys()).map(|key| key.0).collect()
+        let slots = counts.iter().filter(|((name, _), _)| **name == *workspace);
+        slots.flat_map(|(_, keys)| keys.keys()).map(|key| key.0).collect()
     }
 
     /// Returns how many requests are in flight in all.
@@ -63,9 +63,9 @@
         self.counts.lock().values().flat_map(HashMap::values).sum()
     }
 
-    fn leave(&self, place: &Place, key: KeyHash) {
+    fn leave(&self, slot_key: &SlotKey, key: KeyHash) {
         let mut counts = self.counts.lock();
-        let Some(keys) = counts.get_mut(place) else { return };
+        let Some(keys) = counts.get_mut(slot_key) else { return };
         if let Some(count) = keys.get_mut(&key) {
             *count -= 1;
             if *count == 0 {
@@ -73,7 +73,7 @@
             }
         }
         if keys.is_empty() {
-            counts.remove(place);
+            counts.remove(slot_key);
         }
     }
 }
@@ -82,12 +82,12 @@
 #[derive(Debug)]
 pub(crate) struct InflightGuard {
     inflight: Arc<Inflight>,
-    place: Place,
+    slot_key: SlotKey,
     key: KeyHash,
 }
 
 impl Drop for InflightGuard {
     fn drop(&mut self) {
-        self.inflight.leave(&self.place, self.key);
+        self.inflight.leave(&self.slot_key, self.key);
     }
 }
--- a/acaciaringd/src/lag_monitor.rs
+++ b/acaciaringd/src/lag_monitor.rs
@@ -10,10 +10,10 @@
 use crate::clock;
 
 /// Time between two looks: well below the times within which answers are wanted, at twenty wake-ups a second.
-const TICK: Duration = Duration::from_millis(50);
+const INTERVAL: Duration = Duration::from_millis(50);
 
 /// Lateness that is usual for a timer and says nothing.
-const USUAL: Duration = Duration::from_millis(5);
+const TIMER_TOLERANCE: Duration = Duration::from_millis(5);
 
 /// Lateness of the threads for traffic.
 ///
@@ -30,22 +30,23 @@
     /// Starts to look on the threads of a runtime, for as long as it runs.
     pub(crate) fn start(runtime: &Handle) -> Arc<Self> {
         let monitor = Arc::new(Self::default());
-        let own = Arc::clone(&monitor);
+        let recorder = Arc::clone(&monitor);
         runtime.spawn(async move {
             loop {
                 let start = clock::now();
-                sleep(TICK).await;
-                own.note(clock::now().since(start).saturating_sub(TICK + USUAL));
+                sleep(INTERVAL).await;
+                recorder
+                    .record(clock::now().since(start).saturating_sub(INTERVAL + TIMER_TOLERANCE));
             }
         });
         monitor
     }
 
     /// Takes in how late a timer was; what was seen before counts half.
-    fn note(&self, late: Duration) {
-        let late = u64::try_from(late.as_micros()).unwrap_or(u64::MAX);
+    fn record(&self, delay: Duration) {
+        let delay = u64::try_from(delay.as_micros()).unwrap_or(u64::MAX);
         let before = self.lag.load(Ordering::Relaxed);
-        self.lag.store(late.max(before / 2), Ordering::Relaxed);
+        self.lag.store(delay.max(before / 2), Ordering::Relaxed);
     }
 
     /// Returns for how long what is read now has probably waited.
--- a/acaciaringd/src/lag_monitor/tests.rs
+++ b/acaciaringd/src/lag_monitor/tests.rs
@@ -12,12 +12,12 @@
 fn lateness_is_seen_at_once_and_fades_soon() {
     let monitor = LagMonitor::default();
     assert_eq!(monitor.lag(), ms(0));
-    monitor.note(ms(400));
+    monitor.record(ms(400));
     assert_eq!(monitor.lag(), ms(400));
     for _ in 0..4 {
-        monitor.note(ms(0));
+        monitor.record(ms(0));
     }
     assert_eq!(monitor.lag(), ms(25));
-    monitor.note(ms(100));
+    monitor.record(ms(100));
     assert_eq!(monitor.lag(), ms(100));
 }
--- a/acaciaringd/src/log_limiter/tests.rs
+++ b/acaciaringd/src/log_limiter/tests.rs
@@ -13,8 +13,8 @@
 #[test]
 fn lines_beyond_the_bound_are_counted() {
     let limiter = LogLimiter::new(2);
-    let told: Vec<_> = (0..5).map(|n| limiter.admit(at(1000 + n))).collect();
-    assert_eq!(told, [Some(0), Some(0), None, None, None]);
+    let admitted: Vec<_> = (0..5).map(|n| limiter.admit(at(1000 + n))).collect();
+    assert_eq!(admitted, [Some(0), Some(0), None, None, None]);
     assert_eq!(limiter.admit(at(2001)), Some(3));
     assert_eq!(limiter.admit(at(2002)), Some(0));
     assert_eq!(limiter.admit(at(2003)), None);
--- a/acaciaringd/src/logging.rs
+++ b/acaciaringd/src/logging.rs
@@ -20,17 +20,17 @@
 use crate::config::{Logging, LoggingFormat, LoggingLevel, LoggingSpans, SettingsError, load};
 
 /// Beginning of the targets of this project's crates.
-const OWN: &str = "acaciaring";
+const CRATE_PREFIX: &str = "acaciaring";
 
 /// Most that libraries log; below it a QUIC library writes a line for each packet.
-const LIBRARIES: LevelFilter = LevelFilter::WARN;
+const LIBRARY_LEVEL: LevelFilter = LevelFilter::WARN;
 
 /// Failure to set up or to change the logs.
 #[derive(Debug, Snafu)]
 pub enum LoggingError {
     /// The process has logs already.
     #[snafu(display("the logs are set up already"))]
-    Again {
+    AlreadySet {
         /// What the library says.
         source: SetGlobalDefaultError,
     },
@@ -51,7 +51,7 @@
 /// Changes which lines are written while the process runs.
 #[derive(Debug, Clone)]
 pub struct LogHandle {
-    filter: reload::Handle<Lines, Registry>,
+    filter: reload::Handle<LogFilter, Registry>,
 }
 
 impl LogHandle {
@@ -71,7 +71,7 @@
     ///
     /// Fails when the subscriber is gone.
     pub fn apply(&self, settings: &Logging) -> Result<(), LoggingError> {
-        self.filter.reload(Lines::new(settings)).context(GoneSnafu)?;
+        self.filter.reload(LogFilter::new(settings)).context(GoneSnafu)?;
         info!(level = ?settings.level, spans = ?settings.spans, "logs changed");
         Ok(())
     }
@@ -84,7 +84,7 @@
 /// Fails when they are set up already.
 pub fn init(settings: &Logging) -> Result<LogHandle, LoggingError> {
     let (subscriber, handle) = subscriber(settings, io::stderr);
-    subscriber::set_global_default(subscriber).context(AgainSnafu)?;
+    subscriber::set_global_default(subscriber).context(AlreadySetSnafu)?;
     Ok(handle)
 }
 
@@ -93,23 +93,23 @@
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
 {
-    let (lines, filter) = reload::Layer::new(Lines::new(settings));
+    let (layer, filter) = reload::Layer::new(LogFilter::new(settings));
     let format = fmt::layer().with_writer(writer).with_span_events(FmtSpan::CLOSE).with_ansi(false);
     let format = match settings.format {
         LoggingFormat::Text => format.boxed(),
         LoggingFormat::Json => format.json().flatten_event(true).with_span_list(false).boxed(),
     };
-    (Registry::default().with(lines).with(format), LogHandle { filter })
+    (Registry::default().with(layer).with(format), LogHandle { filter })
 }
 
 /// Which lines are written.
 #[derive(Debug)]
-struct Lines {
+struct LogFilter {
     targets: Targets,
     spans: bool,
 }
 
-impl Lines {
+impl LogFilter {
     fn new(settings: &Logging) -> Self {
         let level = match settings.level {
             LoggingLevel::Error => LevelFilter::ERROR,
@@ -118,12 +118,13 @@
             LoggingLevel::Debug => LevelFilter::DEBUG,
             LoggingLevel::Trace => LevelFilter::TRACE,
         };
-        let targets = Targets::new().with_default(level.min(LIBRARIES)).with_target(OWN, level);
+        let targets =
+            Targets::new().with_default(level.min(LIBRARY_LEVEL)).with_target(CRATE_PREFIX, level);
         Self { targets, spans: settings.spans == LoggingSpans::On }
     }
 }
 
-impl<S: Subscriber> Layer<S> for Lines {
+impl<S: Subscriber> Layer<S> for LogFilter {
     fn enabled(&self, metadata: &Metadata<'_>, _: Context<'_, S>) -> bool {
         let wanted = self.spans || !metadata.is_span();
         wanted && self.targets.would_enable(metadata.target(), metadata.level())
--- a/acaciaringd/src/metrics/mod.rs
+++ b/acaciaringd/src/metrics/mod.rs
@@ -15,7 +15,7 @@
 use snafu::{ResultExt, Snafu};
 
 pub(crate) use self::page::MetricsSite;
-use self::registry::Kept;
+use self::registry::Registry;
 use crate::config::Metrics as MetricsSettings;
 
 /// Declares a closed set of metrics with name and unit, so that no list of them can lack one.
@@ -181,7 +181,7 @@
     /// Sender to a server, if there is one.
     client: Option<Arc<StatsdClient>>,
     /// What is read as text, if anybody may.
-    kept: Option<Arc<Kept>>,
+    registry: Option<Arc<Registry>>,
     dropped: Arc<AtomicU64>,
 }
 
@@ -204,41 +204,41 @@
     /// Returns metrics that go nowhere.
     #[must_use]
     pub fn none() -> Self {
-        Self { client: None, kept: None, dropped: Arc::default() }
+        Self { client: None, registry: None, dropped: Arc::default() }
     }
 
     /// Keeps metrics from now on so that they can be read as text.
     #[must_use]
     pub fn readable(self) -> Self {
-        Self { kept: Some(Arc::default()), ..self }
+        Self { registry: Some(Arc::default()), ..self }
     }
 
     /// Returns what is kept as text, empty when nothing is.
     #[must_use]
     pub fn text(&self) -> String {
-        self.kept.as_ref().map(|kept| kept.text()).unwrap_or_default()
+        self.registry.as_ref().map(|registry| registry.text()).unwrap_or_default()
     }
 
     /// Counts `count` more.
     pub fn count(&self, counter: Counter, count: u64) {
-        if let Some(kept) = &self.kept {
-            kept.count(counter, count);
+        if let Some(registry) = &self.registry {
+            registry.count(counter, count);
         }
         self.send(|client| client.count(counter.name(), count).is_ok());
     }
 
     /// Takes in the present value.
     pub fn gauge(&self, gauge: Gauge, value: u64) {
-        if let Some(kept) = &self.kept {
-            kept.gauge(gauge, value);
+        if let Some(registry) = &self.registry {
+            registry.gauge(gauge, value);
         }
         self.send(|client| client.gauge(gauge.name(), value).is_ok());
     }
 
     /// Takes in a time; what is sent has whole milliseconds.
     pub fn time(&self, timer: Timer, time: Duration) {
-        if let Some(kept) = &self.kept {
-            kept.time(timer, time);
+        if let Some(registry) = &self.registry {
+            registry.time(timer, time);
         }
         self.send(|client| client.time(timer.name(), time).is_ok());
     }
--- a/acaciaringd/src/metrics/registry.rs
+++ b/acaciaringd/src/metrics/registry.rs
@@ -10,10 +10,10 @@
 use super::{Counter, Gauge, Timer};
 
 /// Longest time that is told apart, in microseconds; longer ones count as this.
-const LONGEST: u64 = 60_000_000;
+const MAX_MICROS: u64 = 60_000_000;
 
 /// Significant digits of a time; two keep a histogram at a few kilobytes.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Parts of all times that are written.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
@@ -23,7 +23,7 @@
 
 /// Values since the start of the process.
 #[derive(Debug)]
-pub(super) struct Kept {
+pub(super) struct Registry {
     counters: Vec<AtomicU64>,
     gauges: Vec<AtomicU64>,
     /// Times in microseconds.
@@ -36,11 +36,11 @@
     sum: u64,
 }
 
-impl Default for Kept {
+impl Default for Registry {
     fn default() -> Self {
         let zeros = |count| std::iter::repeat_with(AtomicU64::default).take(count).collect();
         let times = || {
-            let histogram = Histogram::new_with_max(LONGEST, DIGITS);
+            let histogram = Histogram::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS);
             Mutex::new(Times { histogram: histogram.expect("the bounds are valid"), sum: 0 })
         };
         Self {
@@ -51,7 +51,7 @@
     }
 }
 
-impl Kept {
+impl Registry {
     pub(super) fn count(&self, counter: Counter, count: u64) {
         self.counters[counter.index()].fetch_add(count, Ordering::Relaxed);
     }
@@ -61,10 +61,10 @@
     }
 
     pub(super) fn time(&self, timer: Timer, time: Duration) {
-        let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX).min(LONGEST);
-        let mut kept = self.timers[timer.index()].lock();
-        kept.histogram.saturating_record(micros);
-        kept.sum = kept.sum.saturating_add(micros);
+        let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX).min(MAX_MICROS);
+        let mut entry = self.timers[timer.index()].lock();
+        entry.histogram.saturating_record(micros);
+        entry.sum = entry.sum.saturating_add(micros);
     }
 
     /// Returns all values in the text format of Prometheus; times are in seconds.
--- a/acaciaringd/src/platform/mod.rs
+++ b/acaciaringd/src/platform/mod.rs
@@ -174,7 +174,7 @@
         transport::begin();
         let url = format!("http://{}/v1/records", self.address);
         let request = self.agent.post(url).config().timeout_global(Some(self.timeouts.append));
-        let (status, body) = run(request.build().send(record)).map_err(append_failure)?;
+        let (status, body) = read_response(request.build().send(record)).map_err(append_failure)?;
         match status {
             OK => offset(&body),
             BAD_REQUEST | TOO_LARGE | TOO_MANY | UNAVAILABLE => {
@@ -203,7 +203,7 @@
         let bound = wait.saturating_add(self.timeouts.read);
         let request = self.agent.get(url).config().timeout_global(Some(bound));
         let unavailable = |error: ureq::Error| ReadError::Unavailable { cause: error.to_string() };
-        let (status, body) = run(request.build().call()).map_err(unavailable)?;
+        let (status, body) = read_response(request.build().call()).map_err(unavailable)?;
         if status != OK {
             return Err(ReadError::Unavailable { cause: format!("status {status}") });
         }
@@ -221,7 +221,7 @@
 type Response = ureq::http::Response<ureq::Body>;
 
 /// Reads an answer to its end, so that a body that was cut off is an error.
-fn run(response: Result<Response, ureq::Error>) -> Result<(u16, Vec<u8>), ureq::Error> {
+fn read_response(response: Result<Response, ureq::Error>) -> Result<(u16, Vec<u8>), ureq::Error> {
     let mut response = response?;
     let body = response.body_mut().with_config().limit(MAX_ANSWER).read_to_vec()?;
     Ok((response.status().as_u16(), body))
--- a/acaciaringd/src/recent_records.rs
+++ b/acaciaringd/src/recent_records.rs
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 
 /// Records kept.
-const KEPT: usize = 2048;
+const MAX_RECORDS: usize = 2048;
 
 /// The newest records of the log that this process has read.
 #[derive(Debug, Default)]
@@ -58,7 +58,7 @@
             return;
         }
         self.entries.push_back(entry.to_vec());
-        if self.entries.len() > KEPT {
+        if self.entries.len() > MAX_RECORDS {
             self.entries.pop_front();
             self.start += 1;
         }
