--- a/acaciaringd/src/daemon/adapters.rs
+++ b/acaciaringd/src/daemon/adapters.rs
@@ -1,4 +1,4 @@
-//! What connects a process with the outside: log service, upstream, callers, operators.
+//! Adapters between a process and its environment: log service, upstream, callers and operators.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 use crate::router::Router;
 use crate::upstream::Outlet;
 
-/// Any failure of an edge.
+/// Failure of an adapter.
 pub type AdapterError = Box<dyn Error + Send + Sync>;
 
-/// Connections of a process with the outside.
+/// Protocols by which a process talks to its environment.
 pub trait Adapters {
     /// Returns the client of the log service.
     fn log(&self, runtime: &Handle) -> Arc<dyn LogService>;
@@ -26,45 +26,46 @@
     /// Returns the client of the upstream.
     fn outlet(&self) -> Arc<dyn Outlet>;
 
-    /// Returns what reads declared configurations, `None` where the log holds the configuration.
+    /// Returns the decoder of declared configurations, `None` if the configuration is in the log.
     fn decoder(&self) -> Option<Box<dyn Decoder>>;
 
-    /// Opens the listeners.
+    /// Opens the listeners for callers, operators and the upstream.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on.
+    /// Fails if an address cannot be bound.
     fn open(&self, context: ListenerContext) -> Result<Box<dyn Listeners>, AdapterError>;
 }
 
-/// What the listeners serve.
+/// Services that the listeners expose.
 pub struct ListenerContext {
-    /// Threads for traffic.
+    /// Runtime that serves the requests.
     pub runtime: Handle,
-    /// Way of callers' requests.
+    /// Handler of callers' requests.
     pub front: Frontend,
-    /// Way of the upstream's reports.
+    /// Receiver of the upstream's heartbeats.
     pub heartbeats: Heartbeats,
-    /// Declared configurations.
+    /// Declared configurations, received from the environment.
     pub declarations: Arc<Declarations>,
     pub(crate) admin: Arc<dyn crate::announce::Admin>,
 }
 
 /// Open listeners.
 pub trait Listeners: Send {
-    /// Returns the address for callers.
+    /// Returns the address that callers connect to.
     fn callers(&self) -> SocketAddr;
 
-    /// Returns the address for operators and the upstream.
+    /// Returns the address that operators and the upstream connect to.
     fn admin(&self) -> SocketAddr;
 
-    /// Stops to accept and waits for the requests in hand, at most `bound`; returns how many are cut off.
+    /// Stops accepting requests and waits at most `bound` for those in flight; returns how many
+    /// were cut off.
     ///
-    /// The upstream and operators are served further on.
+    /// The listener for the upstream and operators stays open.
     fn drain(&self, bound: Duration) -> usize;
 }
 
-/// Way of callers' requests through this process.
+/// Handler of callers' requests: routes each to a member that may serve it.
 #[derive(Clone)]
 pub struct Frontend {
     pub(crate) router: Arc<Router>,
@@ -72,23 +73,23 @@
 }
 
 impl Frontend {
-    /// Answers a request; when the future is dropped, its work is cancelled.
+    /// Routes a request and returns its answer; dropping the future cancels the request.
     pub async fn handle(&self, request: EntryRequest) -> EntryAnswer {
         self.router.handle(request).await
     }
 
-    /// Counts the verdict of an answer, also of one that the listener gave itself.
+    /// Counts the verdict of an answer, including answers that the listener produced itself.
     pub fn record_verdict(&self, verdict: Verdict) {
         self.router.count_verdict(verdict);
     }
 
-    /// Returns true while callers are to come to this member.
+    /// Returns true while this member is ready for callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.router.shared.is_ready()
     }
 
-    /// Returns the bounds on callers in force.
+    /// Returns the limits on callers from the current configuration, or the defaults.
     #[must_use]
     pub fn limits(&self) -> CallerLimits {
         self.declarations.current().map(|declared| declared.limits).unwrap_or_default()
--- a/acaciaringd/src/daemon/builtin.rs
+++ b/acaciaringd/src/daemon/builtin.rs
@@ -1,4 +1,4 @@
-//! The project's own edges: its log protocol, its upstream protocol, its entry.
+//! Built-in adapters: the project's own protocols for the log, the upstream and callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::platform::LogService;
 use crate::upstream::{Direct, Outlet, Upstream, UpstreamSettings};
 
-/// Edges by the settings alone.
+/// Adapters that are configured by the settings file alone.
 pub(super) struct BuiltinAdapters<'a> {
     pub(super) settings: &'a Settings,
     pub(super) metrics: Metrics,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Service whose threads wait for the answers.
+/// Service for a thread pool: each thread blocks until its request is answered.
 struct BlockingService {
     front: Frontend,
     runtime: Handle,
--- a/acaciaringd/src/daemon/deferred.rs
+++ b/acaciaringd/src/daemon/deferred.rs
@@ -1,4 +1,4 @@
-//! Handler of the transport, set after it has started.
+//! Message handler that is set after the transport has started.
 
 use std::net::SocketAddr;
 use std::sync::OnceLock;
@@ -8,17 +8,21 @@
 use crate::handler::PeerHandler;
 use crate::peer::{BoxFuture, CancelFlag, Handler};
 
-/// Handler that is set after the transport has started, for they need each other.
+/// Handler that is set after the transport has started: each needs the other to be constructed.
 #[derive(Default)]
 pub(super) struct DeferredHandler(OnceLock<PeerHandler>);
 
 impl DeferredHandler {
-    /// Sets the handler, once.
+    /// Sets the handler.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the handler is already set.
     pub(super) fn set(&self, handler: PeerHandler) {
         assert!(self.0.set(handler).is_ok(), "the handler is set once");
     }
 
-    /// Waits for the handler: a message may come in the moment between the two starts.
+    /// Blocks until the handler is set: a message may arrive before.
     fn get(&self) -> &PeerHandler {
         self.0.wait()
     }
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -42,26 +42,25 @@
 use crate::view::Shared;
 use crate::web::{self, WebError};
 
-/// One in this many requests in hand may wait for a takeover.
+/// Part of the entry workers whose requests may wait for a takeover: one in this many.
 const WAITER_DIVISOR: usize = 4;
 
-/// Lines a second about requests without an answer: enough to see reasons and members, far below the
-/// requests that a machine refuses in an overload.
+/// Limit on log lines per second about requests without an answer.
 const MAX_LOG_LINES: u32 = 20;
 
-/// Lines a second about requests that were answered late, which cost their callers less.
+/// Limit on log lines per second about requests that were answered late.
 const MAX_LATE_LOG_LINES: u32 = 10;
 
-/// Longest wait until peers have the last answers, well below a lease.
+/// Longest wait for peers to acknowledge the last answers at a stop; must be below a lease term.
 const FINAL_ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Part of the time of a stop in which callers are still taken; the rest is for their requests.
+/// Part of the drain time in which callers are still accepted: one in this many.
 const ACCEPT_DIVISOR: u32 = 2;
 
 /// Failure to start the daemon.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The metrics cannot be sent.
+    /// The metrics cannot be set up.
     #[snafu(display("cannot start the metrics"))]
     Metrics {
         /// Cause.
@@ -73,8 +72,8 @@
         /// Cause.
         source: PeerError,
     },
-    /// The page of the metrics cannot be served.
-    #[snafu(display("cannot serve the metrics"))]
+    /// The metrics listener cannot start.
+    #[snafu(display("cannot start the metrics listener"))]
     Page {
         /// Cause.
         source: WebError,
@@ -91,33 +90,33 @@
 pub struct Daemon {
     events: Sender<Event>,
     control: JoinHandle<()>,
-    /// Tells that control has nothing left to hand over.
+    /// Receives a message once control has handed over all units.
     released: Receiver<()>,
-    /// Bound on a stop.
+    /// Longest duration of a stop.
     drain: Duration,
     listeners: Box<dyn Listeners>,
     transport: Transport,
-    /// Page of the metrics; ends with the daemon.
+    /// Metrics listener; stops when dropped.
     _page: Option<web::Server>,
 }
 
 impl Daemon {
-    /// Starts all threads of the daemon with the project's own edges.
+    /// Starts the daemon with the built-in adapters.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on or the TLS files are not usable.
+    /// Fails if an address cannot be bound or the TLS files are not usable.
     pub fn start(settings: &Settings) -> Result<Self, StartError> {
         let metrics = Metrics::new(&settings.metrics).context(MetricsSnafu)?;
         let adapters = BuiltinAdapters { settings, metrics: metrics.clone() };
         Self::start_with(settings, metrics, &adapters)
     }
 
-    /// Starts all threads of the daemon with other edges.
+    /// Starts the daemon with the given adapters.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on or the TLS files are not usable.
+    /// Fails if an address cannot be bound or the TLS files are not usable.
     pub fn start_with(
         settings: &Settings,
         metrics: Metrics,
@@ -222,18 +221,19 @@
         gauges::start(&context.shared, &context.gate, metrics);
         reader::start(log, settings.log.wait, reads, read_scheduler, events.clone());
         let control = Control::start(context, inbox);
-        info!(http = %listeners.callers(), peer = %transport.local_addr(), admin = %listeners.admin(), "started");
+        info!(http = %listeners.callers(), peer = %transport.local_addr(),
+            admin = %listeners.admin(), "daemon started");
         let drain = settings.limits.drain;
         Ok(Self { events, control, released, drain, listeners, transport, _page: page })
     }
 
-    /// Returns the address for callers.
+    /// Returns the address that callers connect to.
     #[must_use]
     pub fn http(&self) -> SocketAddr {
         self.listeners.callers()
     }
 
-    /// Returns the address for other members.
+    /// Returns the address that other members connect to.
     #[must_use]
     pub fn peer(&self) -> SocketAddr {
         self.transport.local_addr()
@@ -245,29 +245,30 @@
         self.listeners.admin()
     }
 
-    /// Hands everything over, finishes what is in flight and ends; returns how many requests were cut off.
+    /// Hands over all units, drains the requests in flight and stops; returns how many requests
+    /// were cut off.
     ///
-    /// All of it shares one bound, counted from here.
+    /// All steps share the drain timeout, which starts with this call.
     #[must_use]
     pub fn stop(self) -> usize {
         let start = clock::now();
-        // Control ends by itself only after a stop.
+        // Control is still running: it ends only after this event.
         let _ = self.events.send(Event::Stop(start));
-        // Control has ended, or callers have had their part of the time.
+        // Waits for the handover or until callers must no longer be accepted.
         let _ = self.released.recv_timeout(self.drain / ACCEPT_DIVISOR);
         let remaining = || self.drain.saturating_sub(clock::now().since(start));
         let cut = self.listeners.drain(remaining());
-        // Control may have ended.
+        // Fails only if control has already ended.
         let _ = self.events.send(Event::CallersGone);
         let _ = self.control.join();
-        // Nothing renews the lease from here on.
+        // The lease is no longer renewed, so this wait must end before it expires.
         let due = self.transport.stop_within(remaining().min(FINAL_ACK_TIMEOUT));
-        info!(cut, due, "stopped");
+        info!(cut, due, "daemon stopped");
         cut
     }
 }
 
-/// Serves the page of the metrics.
+/// Starts the metrics listener.
 fn page(
     address: SocketAddr,
     metrics: &Metrics,
@@ -277,10 +278,10 @@
     web::Server::start(transport.runtime(), address, site).context(PageSnafu)
 }
 
-/// Returns what is wanted of the log, with the pace of reads.
+/// Returns the scheduler of log reads, limited to the configured rate.
 fn read_scheduler(settings: &Settings, transport: &Transport) -> Arc<ReadScheduler> {
     let scheduler = Arc::new(ReadScheduler::new(settings.log.rate.min(settings.log.reads)));
-    // Who is refused may have joined by a record that was not read here yet.
+    // An untrusted peer may have joined by a record that this process has not read yet.
     let trigger = Arc::clone(&scheduler);
     transport.on_untrusted(move || trigger.request_read());
     scheduler
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon's parts, from the settings file.
+//! Conversion of the settings file to the settings of each component.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use crate::platform::{LogClient, LogTimeouts};
 use crate::router::{ClusterBudget, RetryBudgets};
 
-/// Room for headers and the like in a message between members, in bytes.
+/// Allowance for headers and metadata in a message between members, in bytes.
 const ENVELOPE_BYTES: u64 = 256 << 10;
 
-/// Longest term of a lease where upstreams are told by calls what to hold.
+/// Longest term of a lease when grants are sent to the upstream by calls.
 ///
-/// Calls renew a hold several times within it; a report every second or so may not.
+/// Calls renew a grant several times within this term; heartbeats may be too rare for that.
 const MAX_CALL_TERM: Duration = Duration::from_secs(2);
 
 /// Returns the client of the log service.
@@ -49,7 +49,7 @@
     }
 }
 
-/// Returns the largest message between members: a body with its headers.
+/// Returns the largest message between members in bytes: a body and its headers.
 fn message_limit(settings: &Settings) -> usize {
     usize::try_from(settings.limits.body + ENVELOPE_BYTES).unwrap_or(usize::MAX)
 }
@@ -69,7 +69,7 @@
     GateSettings { admission: admission_settings(settings), warmth: rate_settings(settings) }
 }
 
-/// Returns the settings of admission beside the upstream.
+/// Returns the settings of admission to the upstream.
 fn admission_settings(settings: &Settings) -> AdmissionSettings {
     AdmissionSettings {
         slots: settings.limits.slots,
@@ -78,7 +78,7 @@
     }
 }
 
-/// Returns the budgets of retries: of each class, and of all members together.
+/// Returns the retry budgets: one for each class, and one shared by the whole cluster.
 pub(super) fn retry_budgets(settings: &Settings) -> RetryBudgets {
     let limits = &settings.limits;
     let retries = RetrySettings { ratio: limits.retry_ratio, ..RetrySettings::default() };
@@ -86,12 +86,12 @@
     RetryBudgets::new(retries, cluster)
 }
 
-/// Returns how heat is measured.
+/// Returns the settings of the request rate estimate.
 fn rate_settings(settings: &Settings) -> RateSettings {
     RateSettings { half_life: settings.balance.heat, ..RateSettings::default() }
 }
 
-/// Returns the settings of balance.
+/// Returns the settings of load balancing.
 pub(super) fn balance_settings(settings: &Settings) -> BalanceSettings {
     let balance = &settings.balance;
     BalanceSettings {
@@ -104,10 +104,10 @@
     }
 }
 
-/// Returns the times that govern leases.
+/// Returns the timing of leases.
 ///
-/// A term has to outlast a late report where reports renew what an upstream holds. Where calls do, a
-/// shorter one costs nothing, and the keys of a lost member are served sooner.
+/// With heartbeats, the term must outlast a late one, or the upstream loses its grants. With calls,
+/// a shorter term is safe, and the keys of a lost member are served sooner.
 pub(super) fn lease_settings(lease: &Lease, grants: UpstreamGrants) -> LeaseSettings {
     let settings = LeaseSettings {
         interval: lease.interval,
@@ -127,7 +127,7 @@
     }
 }
 
-/// Returns where this process runs, as other members are told.
+/// Returns the location of this process that is published to other members.
 pub(super) fn location(settings: &Settings, peer: SocketAddr, http: SocketAddr) -> Location {
     let member = &settings.member;
     Location {
--- a/acaciaringd/src/daemon/relay.rs
+++ b/acaciaringd/src/daemon/relay.rs
@@ -1,4 +1,4 @@
-//! Access to the log through another member, when the log service cannot be reached.
+//! Access to the log through another member while the log service cannot be reached.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::view::{Shared, View, peer_address};
 use crate::wire;
 
-/// Returns what reads and what appends through another member.
+/// Returns the functions that read and append through another live member.
 pub(super) fn relays(
     shared: &Arc<Shared>,
     transport: &Transport,
@@ -21,7 +21,7 @@
     (read_relay(shared, transport), append_relay(shared, transport))
 }
 
-/// Appends through another member that is alive.
+/// Returns a function that appends a record through another live member.
 fn append_relay(shared: &Arc<Shared>, transport: &Transport) -> appender::Relay {
     let (shared, transport) = (Arc::clone(shared), transport.clone());
     Box::new(move |record| {
@@ -40,7 +40,7 @@
     })
 }
 
-/// Reads records from another member that is alive.
+/// Returns a function that reads records from another live member.
 fn read_relay(shared: &Arc<Shared>, transport: &Transport) -> reader::Relay {
     let (shared, transport) = (Arc::clone(shared), transport.clone());
     Box::new(move |from, max| {
@@ -54,7 +54,7 @@
 }
 
 impl View {
-    /// Returns the address of another live member, a different one with time.
+    /// Returns the address of another live member; the choice rotates with time.
     fn relay_address(&self, now: Time) -> Option<SocketAddr> {
         let others: Vec<SocketAddr> = self
             .state
