--- a/acaciaringd/src/admin.rs
+++ b/acaciaringd/src/admin.rs
@@ -1,4 +1,4 @@
-//! Answers to the command-line tool and to the upstream's announcements.
+//! Admin interface: answers the command-line tool and the announcements of the upstream.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,13 +23,13 @@
 use crate::status;
 use crate::view::{Permit, Shared, View, peer_address};
 
-/// Time for a published document to be read back from the log.
+/// Longest wait until a published document is read back from the log.
 const PUBLISH_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Time for another member to answer a status query.
+/// Longest wait for the answer of another member to a status query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Path at which a member tells of itself alone.
+/// Path of the status of this member alone.
 const STATUS_PATH: &str = "/v1/status";
 
 const OK: u16 = 200;
@@ -41,7 +41,7 @@
 const UNAVAILABLE: u16 = 503;
 const TIMEOUT: u16 = 504;
 
-/// Status queries at once.
+/// Limit on concurrent status queries.
 const MAX_QUERIES: usize = 32;
 
 /// Admin interface of a member.
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Asks all members that are not dead what they have folded.
+    /// Queries all members that are not dead for the offset up to which they have folded the log.
     fn in_force(&self, view: &View, offset: Offset) -> admin::InForce {
         let mut applied = Vec::new();
         let mut pending = Vec::new();
@@ -181,7 +181,7 @@
         let reply =
             self.transport.blocking_call(to, call::Body::Status(StatusQuery {}), QUERY_TIMEOUT);
         match reply {
-            // A later process on the same address does not speak for this member.
+            // The address may belong to another process by now, whose status is not this member's.
             Ok(reply::Body::Status(status)) if status.member == member.id.0 => Some(status),
             _ => None,
         }
@@ -305,7 +305,9 @@
     })
 }
 
-/// Returns who serves a unit as far as this member knows; another member's takeover shows once it is in the log.
+/// Returns the member that serves a unit, and why, as far as this member knows.
+///
+/// A takeover by another member is seen only once its record is in the log.
 fn server(
     view: &View,
     workspace: &str,
@@ -316,7 +318,7 @@
     match assignment.owner {
         None => (None, OwnerReason::Unassigned),
         owner if mine && owner != view.me => (view.me, OwnerReason::TakenOver),
-        // Whether another owner has its release is not in the log; it takes moments.
+        // The log does not record whether another owner has received its release.
         owner if owner == view.me && !mine => (None, OwnerReason::AwaitsRelease),
         owner => (owner, OwnerReason::Assigned),
     }
--- a/acaciaringd/src/backoff.rs
+++ b/acaciaringd/src/backoff.rs
@@ -1,10 +1,11 @@
-//! Pauses between tries that fail.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
-/// Pauses that double up to a longest one.
+/// Delays that double after each failure, up to a limit.
 ///
-/// Each is spread over its second half: after an outage all members come back in the same moment.
+/// Jitter over the upper half of each delay keeps members from retrying at the same moment after an
+/// outage.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     first: Duration,
@@ -13,20 +14,20 @@
 }
 
 impl Backoff {
-    /// Makes pauses that begin with `first`.
+    /// Creates a backoff whose first delay is at most `first`.
     #[must_use]
     pub const fn new(first: Duration, longest: Duration) -> Self {
         Self { first, longest, next: first }
     }
 
-    /// Returns the pause after a failed try.
+    /// Returns the delay before the next attempt, after a failed one.
     pub fn pause(&mut self) -> Duration {
         let pause = self.next.mul_f64(rand::random_range(0.5..1.0));
         self.next = (self.next * 2).min(self.longest);
         pause
     }
 
-    /// Begins anew, after a try that did not fail.
+    /// Resets the delay after a successful attempt.
     pub const fn reset(&mut self) {
         self.next = self.first;
     }
--- a/acaciaringd/src/backoff/tests.rs
+++ b/acaciaringd/src/backoff/tests.rs
@@ -1,11 +1,10 @@
-//! Tests of the pauses between tries.
+//! Tests of the exponential backoff.
 
 use std::time::Duration;
 
 use super::Backoff;
 
-// The log is away for a while. Each try waits longer than the one before, none longer than the
-// longest pause, and after the log has answered once the pauses begin anew.
+// Guards against delays that exceed the limit or do not start again at the first one after a reset.
 #[test]
 fn pauses_double_up_to_the_longest_and_begin_anew() {
     let (first, longest) = (Duration::from_millis(100), Duration::from_secs(1));
--- a/acaciaringd/src/cli.rs
+++ b/acaciaringd/src/cli.rs
@@ -6,10 +6,10 @@
 
 use crate::config::{Settings, load};
 
-/// Exit code for a command line that is not valid.
+/// Exit code for an invalid command line.
 const USAGE: u8 = 2;
 
-/// Exit code for a settings file that is not valid.
+/// Exit code for an invalid settings file.
 const INVALID: u8 = 3;
 
 xflags::xflags! {
@@ -24,22 +24,22 @@
     }
 }
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Debug, PartialEq)]
 pub enum Start {
-    /// Run with these settings, which were read from this file.
+    /// Run the daemon.
     Run {
         /// The settings file, read again for `[logging]` on SIGHUP.
         path: PathBuf,
-        /// Settings that have been checked.
+        /// Validated settings.
         settings: Box<Settings>,
     },
-    /// Nothing is left to do.
+    /// Exit with this code.
     Exit(u8),
 }
 
 impl Start {
-    /// Returns the exit code of a process that has nothing left to do.
+    /// Returns the exit code, success for [`Self::Run`].
     #[must_use]
     pub fn exit_code(&self) -> ExitCode {
         match self {
@@ -49,13 +49,13 @@
     }
 }
 
-/// Reads the command line of this process and its settings; writes messages for the operator.
+/// Parses the command line of this process and loads its settings; prints errors to standard error.
 #[must_use]
 pub fn start() -> Start {
     start_with(std::env::args_os().skip(1).collect())
 }
 
-/// Reads a command line without the program's name.
+/// Parses a command line without the name of the program, and loads the settings.
 #[must_use]
 pub fn start_with(args: Vec<OsString>) -> Start {
     match Acaciaringd::from_vec(args) {
--- a/acaciaringd/src/clock.rs
+++ b/acaciaringd/src/clock.rs
@@ -1,15 +1,15 @@
-//! Clock of this process.
+//! Monotonic clock of this process.
 
 use std::time::Duration;
 
 use acaciaring_core::Time;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Returns the present time.
+/// Returns the current time.
 ///
-/// The source is `CLOCK_BOOTTIME`, which runs on while the VM is suspended: a
-/// lease that has run out meanwhile is seen to have run out. `CLOCK_MONOTONIC`,
-/// and so `std::time::Instant`, stands still and would hide it.
+/// Uses `CLOCK_BOOTTIME`, which includes the time for which the VM was suspended, so that a lease
+/// that expired meanwhile is seen as expired. `CLOCK_MONOTONIC`, and so `std::time::Instant`,
+/// excludes that time.
 #[must_use]
 pub fn now() -> Time {
     let time = clock_gettime(ClockId::Boottime);
--- a/acaciaringd/src/critical_thread.rs
+++ b/acaciaringd/src/critical_thread.rs
@@ -1,22 +1,21 @@
-//! Threads without which the process must not go on.
+//! Threads whose panic ends the process.
 
 use std::process;
 use std::thread::{self, JoinHandle};
 
 use tracing::error;
 
-/// Exit code after a vital thread has failed.
+/// Exit code after a critical thread has panicked.
 const FAILED: i32 = 70;
 
-/// Starts a thread whose failure ends the process.
+/// Starts a thread whose panic ends the process.
 ///
-/// Guards against a process that lost its control and lives on: it would take requests by an old
-/// configuration and old owners, and report readiness, until somebody stops it. A process that ends
-/// is started again within a second or two.
+/// Guards against a process that goes on without its control thread: it would report readiness and
+/// route by stale configuration and owners, whereas a process that exits is restarted.
 pub(crate) fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> JoinHandle<()> {
     let owned = name.to_owned();
     let fail = move || {
-        error!(thread = owned, "a vital thread has failed, the process ends");
+        error!(thread = owned, "critical thread panicked, exiting");
         process::exit(FAILED);
     };
     thread::Builder::new()
@@ -25,14 +24,14 @@
         .expect("the operating system starts a thread")
 }
 
-/// Runs `run`, and `fail` if it panics.
+/// Calls `run`, and `fail` if it panics.
 fn run_guarded(run: impl FnOnce(), fail: impl FnMut()) {
     let guard = PanicGuard(fail);
     run();
     drop(guard);
 }
 
-/// Calls its function when dropped by a panic.
+/// Calls its function if it is dropped by a panic.
 struct PanicGuard<F: FnMut()>(F);
 
 impl<F: FnMut()> Drop for PanicGuard<F> {
--- a/acaciaringd/src/critical_thread/tests.rs
+++ b/acaciaringd/src/critical_thread/tests.rs
@@ -1,11 +1,10 @@
-//! Tests of threads that must not fail.
+//! Tests of critical threads.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use super::run_guarded;
 
-// Control meets a value that it cannot handle and panics. The process is told so; it is not told when
-// control ends because it was asked to.
+// Guards against a panic that goes unnoticed, and a normal return that is taken for a panic.
 #[test]
 fn a_failure_is_told_and_an_end_is_not() {
     let mut failures = 0;
--- a/acaciaringd/src/gauges.rs
+++ b/acaciaringd/src/gauges.rs
@@ -1,4 +1,4 @@
-//! Thread that sends what is the case, and flushes the metrics.
+//! Thread that reports the gauges and flushes the metrics.
 
 use std::sync::{Arc, Weak};
 use std::thread;
@@ -9,10 +9,10 @@
 use crate::metrics::{Gauge, Metrics};
 use crate::view::Shared;
 
-/// Time between two sendings.
+/// Interval between two reports.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts the thread; it ends with the gate.
+/// Starts the thread, which ends once the gate is dropped.
 pub(crate) fn start(shared: &Arc<Shared>, gate: &Arc<Gate>, metrics: Metrics) {
     let (shared, gate) = (Arc::downgrade(shared), Arc::downgrade(gate));
     let run = move || {
--- a/acaciaringd/src/handler.rs
+++ b/acaciaringd/src/handler.rs
@@ -1,4 +1,4 @@
-//! Handling of what other members send.
+//! Handler of messages from other members.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use crate::status;
 use crate::view::Shared;
 
-/// What serves the messages of other members.
+/// Dispatches messages from other members to the components that serve them.
 pub(crate) struct PeerHandler {
     pub(crate) events: Sender<Event>,
     pub(crate) gate: Arc<Gate>,
@@ -65,7 +65,7 @@
             call::Body::Append(append) => self.append(append).await,
             call::Body::Declaration(_) => reply::Body::Declaration(self.declarations.newest()),
             call::Body::Status(_) => reply::Body::Status(self.status()),
-            // The transport answers these itself.
+            // Answered by the transport, which does not pass them on.
             call::Body::Request(_)
             | call::Body::Probe(_)
             | call::Body::Fetch(_)
@@ -104,9 +104,9 @@
         };
         match appended {
             Ok(offset) => reply::Body::Appended(Appended { offset }),
-            // Offset 0 tells that the append was not confirmed here either.
+            // Offset 0 means that the append is unconfirmed.
             Err(AppendError::Unknown { .. }) => reply::Body::Appended(Appended { offset: 0 }),
-            // Surely not appended.
+            // The record was not appended.
             Err(AppendError::Refused { .. }) => done(false),
         }
     }
--- a/acaciaringd/src/header.rs
+++ b/acaciaringd/src/header.rs
@@ -1,6 +1,6 @@
-//! Names of headers, and which of them belong to one hop only.
+//! Names of HTTP headers, and removal of those that must not be forwarded.
 
-/// Prefix of all headers of this project.
+/// Prefix of all headers that this project defines.
 pub(crate) const PREFIX: &str = "x-acaciaring-";
 
 pub(crate) const ATTEMPT: &str = "x-acaciaring-attempt";
@@ -22,7 +22,7 @@
 pub(crate) const RETRY_AFTER: &str = "retry-after";
 pub(crate) const TRANSFER_ENCODING: &str = "transfer-encoding";
 
-/// Headers that concern one connection only, RFC 9110, section 7.6.1.
+/// Hop-by-hop headers, RFC 9110, section 7.6.1.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -35,22 +35,22 @@
     "upgrade",
 ];
 
-/// Headers as names and raw values; a value need not be ASCII.
+/// Header names with raw values, which need not be ASCII.
 pub type Headers = Vec<(String, Vec<u8>)>;
 
-/// Returns the first value of a header.
+/// Returns the first value of a header; names are compared without case.
 pub(crate) fn find<'a>(headers: &'a [(String, Vec<u8>)], name: &str) -> Option<&'a [u8]> {
     let header = headers.iter().find(|(found, _)| found.eq_ignore_ascii_case(name))?;
     Some(&header.1)
 }
 
-/// Removes the headers that concern one connection only, and those that `connection` names.
+/// Removes the hop-by-hop headers, including those that `connection` nominates.
 pub(crate) fn strip_hop(headers: &mut Headers) {
     let nominated = nominated(headers);
     headers.retain(|(name, _)| !is_hop(name) && !nominated.iter().any(|n| same(n, name)));
 }
 
-/// Removes the headers of this project, so that neither side can pose as a member.
+/// Removes the headers of this project, so that neither callers nor upstreams can forge them.
 pub(crate) fn strip_own(headers: &mut Headers) {
     headers.retain(|(name, _)| !has_prefix(name));
 }
--- a/acaciaringd/src/inflight.rs
+++ b/acaciaringd/src/inflight.rs
@@ -1,4 +1,4 @@
-//! Count of requests in flight, so that the release of a unit can wait for them.
+//! Counts of requests in flight at the upstream, which the release of a unit waits for.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -6,27 +6,24 @@
 use acaciaring_core::{KeyHash, Name, Slot, UnitId};
 use parking_lot::Mutex;
 
-/// Slot of a workspace.
+/// Workspace and slot.
 type SlotKey = (Name, Slot);
 
 /// Requests in flight, by key.
 ///
-/// A request registers before it reads the view and checks its right; the
-/// control thread publishes the view in which the unit is draining before it
-/// reads the count. So either the request sees the drain and is refused, or the
-/// control thread sees the request and waits for it.
+/// A request registers before it reads the view and checks its permit; the control thread publishes
+/// the view in which the unit is draining before it reads the count. So either the request sees the
+/// drain and is refused, or the control thread sees the request and waits for it.
 ///
-/// Guards against a key that is split out of its slot and moved while an old
-/// request for it still runs: counted for the slot, it would not hold up the
-/// release of the key, and the key would run on two servers at once. So the
-/// keys are counted, and a unit has the requests of the keys that it covers now.
+/// Counts keys rather than slots: when a key is split out of its slot and moved, the release of the
+/// key must wait for its older requests too, or the key would be served by two servers at once.
 #[derive(Debug, Default)]
 pub(crate) struct Inflight {
     counts: Mutex<HashMap<SlotKey, HashMap<KeyHash, usize>>>,
 }
 
 impl Inflight {
-    /// Registers a request until the guard is dropped.
+    /// Counts a request until the guard is dropped.
     pub(crate) fn enter(
         self: &Arc<Self>,
         workspace: &Name,
@@ -38,7 +35,7 @@
         InflightGuard { inflight: Arc::clone(self), slot_key, key }
     }
 
-    /// Returns how many requests of a unit are in flight; `unit_of` tells the unit of a key.
+    /// Returns the number of requests of a unit; `unit_of` maps a key to its current unit.
     pub(crate) fn count(
         &self,
         workspace: &Name,
@@ -51,14 +48,14 @@
         keys.filter(|(key, _)| unit_of(**key) == unit).map(|(_, count)| count).sum()
     }
 
-    /// Returns the keys of a workspace for which requests are in flight, as numbers in order.
+    /// Returns the hashes of the keys of a workspace with requests in flight.
     pub(crate) fn keys(&self, workspace: &str) -> BTreeSet<u64> {
         let counts = self.counts.lock();
         let slots = counts.iter().filter(|((name, _), _)| **name == *workspace);
         slots.flat_map(|(_, keys)| keys.keys()).map(|key| key.0).collect()
     }
 
-    /// Returns how many requests are in flight in all.
+    /// Returns the number of all requests in flight.
     pub(crate) fn total(&self) -> usize {
         self.counts.lock().values().flat_map(HashMap::values).sum()
     }
@@ -78,7 +75,7 @@
     }
 }
 
-/// Registration of one request; ends when dropped.
+/// Registration of one request, removed on drop.
 #[derive(Debug)]
 pub(crate) struct InflightGuard {
     inflight: Arc<Inflight>,
--- a/acaciaringd/src/lag_monitor.rs
+++ b/acaciaringd/src/lag_monitor.rs
@@ -1,4 +1,4 @@
-//! How late this process is, by its own timers.
+//! Scheduling delay of this process, measured by a periodic timer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,25 +9,25 @@
 
 use crate::clock;
 
-/// Time between two looks: well below the times within which answers are wanted, at twenty wake-ups a second.
+/// Interval of the timer.
 const INTERVAL: Duration = Duration::from_millis(50);
 
-/// Lateness that is usual for a timer and says nothing.
+/// Timer delay that is normal and not counted as lag.
 const TIMER_TOLERANCE: Duration = Duration::from_millis(5);
 
-/// Lateness of the threads for traffic.
+/// Scheduling delay of the runtime that serves requests.
 ///
-/// Guards against a machine that has turned slow: requests wait in its sockets until it reads
-/// them, and each seems to have just come. Served in turn all would be late; the lateness tells
-/// for how long they have waited, so that what cannot be in time is refused for little.
+/// Guards against an overloaded machine whose requests wait in socket buffers and seem to have just
+/// arrived: the delay estimates that wait, so that requests that cannot be in time are refused
+/// early.
 #[derive(Debug, Default)]
 pub(crate) struct LagMonitor {
-    /// Microseconds.
+    /// Delay in microseconds.
     lag: AtomicU64,
 }
 
 impl LagMonitor {
-    /// Starts to look on the threads of a runtime, for as long as it runs.
+    /// Starts the timer on a runtime, for as long as the runtime runs.
     pub(crate) fn start(runtime: &Handle) -> Arc<Self> {
         let monitor = Arc::new(Self::default());
         let recorder = Arc::clone(&monitor);
@@ -42,14 +42,14 @@
         monitor
     }
 
-    /// Takes in how late a timer was; what was seen before counts half.
+    /// Records the delay of a timer, or half the previous value if that is longer.
     fn record(&self, delay: Duration) {
         let delay = u64::try_from(delay.as_micros()).unwrap_or(u64::MAX);
         let before = self.lag.load(Ordering::Relaxed);
         self.lag.store(delay.max(before / 2), Ordering::Relaxed);
     }
 
-    /// Returns for how long what is read now has probably waited.
+    /// Returns the estimated time for which data read now has waited.
     pub(crate) fn lag(&self) -> Duration {
         Duration::from_micros(self.lag.load(Ordering::Relaxed))
     }
--- a/acaciaringd/src/lag_monitor/tests.rs
+++ b/acaciaringd/src/lag_monitor/tests.rs
@@ -6,8 +6,8 @@
     Duration::from_millis(millis)
 }
 
-// A machine stands still for 400 ms and goes on. What is read in the next moments has waited for
-// about as long; a fifth of a second later nothing waits any more.
+// Guards against a stall that is not reported at once, or that is still reported after the backlog
+// has been read.
 #[test]
 fn lateness_is_seen_at_once_and_fades_soon() {
     let monitor = LagMonitor::default();
--- a/acaciaringd/src/lib.rs
+++ b/acaciaringd/src/lib.rs
@@ -1,4 +1,4 @@
-//! Daemon of acaciaring as a library, so that its parts can be tested alone.
+//! Daemon of acaciaring as a library, so that tests and other binaries can use its modules.
 
 mod admin;
 pub mod announce;
--- a/acaciaringd/src/log_limiter.rs
+++ b/acaciaringd/src/log_limiter.rs
@@ -1,16 +1,16 @@
-//! Bound on the lines of one kind that are written in a second.
+//! Rate limit on log lines of one kind.
 
 use std::time::Duration;
 
 use acaciaring_core::Time;
 use parking_lot::Mutex;
 
-/// Span over which lines are counted.
+/// Window in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines that may be written in each second; the others are counted.
+/// Limits log lines per second and counts those that are suppressed.
 ///
-/// Guards against an overload whose lines cost more processor time than the requests they are about.
+/// Guards against an overload in which logging costs more processor time than serving the requests.
 #[derive(Debug)]
 pub(crate) struct LogLimiter {
     max_lines: u32,
@@ -25,12 +25,12 @@
 }
 
 impl LogLimiter {
-    /// Makes a bound of this many lines a second.
+    /// Creates a limit of `max_lines` per second.
     pub(crate) fn new(max_lines: u32) -> Self {
         Self { max_lines, state: Mutex::default() }
     }
 
-    /// Returns how many lines were left out since the last one, `None` when this one is to be left out too.
+    /// Returns the number of lines suppressed since the last one, `None` to suppress this one.
     pub(crate) fn admit(&self, now: Time) -> Option<u64> {
         let mut state = self.state.lock();
         if now.since(state.start) >= WINDOW {
--- a/acaciaringd/src/log_limiter/tests.rs
+++ b/acaciaringd/src/log_limiter/tests.rs
@@ -8,8 +8,8 @@
     Time::from_start(Duration::from_millis(millis))
 }
 
-// A flood of refusals lasts for two seconds. Each second has its few lines, and the first line of
-// the next second tells how many there would have been: nothing vanishes without a trace.
+// Guards against suppressed lines that are not reported: the first line of the next second must
+// carry their number.
 #[test]
 fn lines_beyond_the_bound_are_counted() {
     let limiter = LogLimiter::new(2);
--- a/acaciaringd/src/logging.rs
+++ b/acaciaringd/src/logging.rs
@@ -1,8 +1,7 @@
-//! Logs and traces on standard error, as text or JSON.
+//! Logs and trace spans on standard error, as text or JSON.
 //!
-//! Each hop of a request has a span. When the span ends, a line with its
-//! fields and its time is written, so that the lines with one trace id are the
-//! trace of one request.
+//! Each hop of a request has a span. When the span closes, a line with its fields and duration is
+//! written; the lines with the same trace id form the trace of a request.
 
 use std::io;
 use std::path::Path;
@@ -19,76 +18,76 @@
 
 use crate::config::{Logging, LoggingFormat, LoggingLevel, LoggingSpans, SettingsError, load};
 
-/// Beginning of the targets of this project's crates.
+/// Prefix of the log targets of this project's crates.
 const CRATE_PREFIX: &str = "acaciaring";
 
-/// Most that libraries log; below it a QUIC library writes a line for each packet.
+/// Most verbose level of other crates: below it the QUIC library logs every packet.
 const LIBRARY_LEVEL: LevelFilter = LevelFilter::WARN;
 
-/// Failure to set up or to change the logs.
+/// Failure to set up or to reconfigure logging.
 #[derive(Debug, Snafu)]
 pub enum LoggingError {
-    /// The process has logs already.
-    #[snafu(display("the logs are set up already"))]
+    /// Logging is already set up.
+    #[snafu(display("logging is already set up"))]
     AlreadySet {
-        /// What the library says.
+        /// Error of the library.
         source: SetGlobalDefaultError,
     },
-    /// The settings file has faults; the logs stay as they were.
-    #[snafu(display("the settings of the logs stay as they were"))]
+    /// The settings file is invalid; the log filter is unchanged.
+    #[snafu(display("cannot reload the logging settings, keeping the current ones"))]
     Settings {
-        /// Faults of the file.
+        /// Faults of the settings file.
         source: SettingsError,
     },
-    /// The logs are gone.
-    #[snafu(display("the logs cannot be changed"))]
+    /// The subscriber no longer exists.
+    #[snafu(display("cannot change the log filter"))]
     Gone {
-        /// What the library says.
+        /// Error of the library.
         source: reload::Error,
     },
 }
 
-/// Changes which lines are written while the process runs.
+/// Handle that changes the log filter at run time.
 #[derive(Debug, Clone)]
 pub struct LogHandle {
     filter: reload::Handle<LogFilter, Registry>,
 }
 
 impl LogHandle {
-    /// Reads a settings file again and applies the level and the spans of its `[logging]`.
+    /// Reloads a settings file and applies the level and the spans of its `[logging]`.
     ///
     /// # Errors
     ///
-    /// Fails when the file has any fault; then the logs stay as they were.
+    /// Fails if the file has any fault; the log filter is then unchanged.
     pub fn reload(&self, path: &Path) -> Result<(), LoggingError> {
         let settings = load(path).context(SettingsSnafu)?;
         self.apply(&settings.logging)
     }
 
-    /// Applies the level and the spans.
+    /// Applies the level and the spans of the settings.
     ///
     /// # Errors
     ///
-    /// Fails when the subscriber is gone.
+    /// Fails if the subscriber no longer exists.
     pub fn apply(&self, settings: &Logging) -> Result<(), LoggingError> {
         self.filter.reload(LogFilter::new(settings)).context(GoneSnafu)?;
-        info!(level = ?settings.level, spans = ?settings.spans, "logs changed");
+        info!(level = ?settings.level, spans = ?settings.spans, "log filter changed");
         Ok(())
     }
 }
 
-/// Sets up the logs of this process on standard error.
+/// Sets up logging to standard error for the whole process.
 ///
 /// # Errors
 ///
-/// Fails when they are set up already.
+/// Fails if logging is already set up.
 pub fn init(settings: &Logging) -> Result<LogHandle, LoggingError> {
     let (subscriber, handle) = subscriber(settings, io::stderr);
     subscriber::set_global_default(subscriber).context(AlreadySetSnafu)?;
     Ok(handle)
 }
 
-/// Returns a subscriber that writes to `writer`, and the handle that changes it.
+/// Returns a subscriber that writes to `writer`, and the handle that changes its filter.
 pub fn subscriber<W>(settings: &Logging, writer: W) -> (impl Subscriber + Send + Sync, LogHandle)
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
@@ -102,7 +101,7 @@
     (Registry::default().with(layer).with(format), LogHandle { filter })
 }
 
-/// Which lines are written.
+/// Filter by target and level, with or without spans.
 #[derive(Debug)]
 struct LogFilter {
     targets: Targets,
--- a/acaciaringd/src/main.rs
+++ b/acaciaringd/src/main.rs
@@ -1,4 +1,4 @@
-//! Daemon of acaciaring.
+//! Entry point of the daemon of acaciaring.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 use signal_hook::iterator::Signals;
 use tracing::{error, warn};
 
-/// Exit code after a graceful shutdown that had to cut off requests.
+/// Exit code after a graceful shutdown that cut off requests.
 const CUT_OFF: u8 = 4;
 
 fn main() -> ExitCode {
@@ -21,7 +21,7 @@
     }
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until SIGTERM or SIGINT.
 fn run(path: &Path, settings: &Settings) -> ExitCode {
     let logs = match logging::init(&settings.logging) {
         Ok(logs) => logs,
@@ -30,7 +30,7 @@
             return ExitCode::FAILURE;
         }
     };
-    // Before the threads start, so that no signal finds its default action.
+    // Registered before any thread starts, so that no signal takes its default action.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]);
     let started = Daemon::start(settings);
     match (signals, started) {
@@ -47,13 +47,13 @@
             break;
         }
         if let Err(error) = logs.reload(path) {
-            warn!(%error, "settings not read again");
+            warn!(%error, "cannot reload the settings file, keeping the current logging settings");
         }
     }
     if daemon.stop() == 0 { ExitCode::SUCCESS } else { ExitCode::from(CUT_OFF) }
 }
 
 fn fail(error: &(dyn std::error::Error + 'static)) -> ExitCode {
-    error!(error, "cannot start");
+    error!(error, "cannot start the daemon");
     ExitCode::FAILURE
 }
--- a/acaciaringd/src/recent_records.rs
+++ b/acaciaringd/src/recent_records.rs
@@ -1,14 +1,14 @@
-//! Records read lately, for members that cannot reach the log service.
+//! Cache of recent log records, for members that cannot reach the log service.
 
 use std::collections::VecDeque;
 
 use acaciaring_schema::log::Batch;
 use parking_lot::Mutex;
 
-/// Records kept.
+/// Limit on cached records.
 const MAX_RECORDS: usize = 2048;
 
-/// The newest records of the log that this process has read.
+/// Newest records of the log that this process has folded.
 #[derive(Debug, Default)]
 pub(crate) struct RecentRecords {
     records: Mutex<Records>,
@@ -21,7 +21,7 @@
 }
 
 impl RecentRecords {
-    /// Keeps the records of a batch that was folded.
+    /// Adds the records of a folded batch.
     pub(crate) fn keep(&self, batch: &Batch) {
         let mut records = self.records.lock();
         for (offset, entry) in (batch.start..).zip(&batch.entries) {
@@ -29,10 +29,10 @@
         }
     }
 
-    /// Returns records from an offset on, none when they are not kept.
+    /// Returns at most `max` records from offset `from`, none if that offset is not cached.
     ///
-    /// A batch that would begin later than asked for is never given: the asker
-    /// must not take a gap for the end of the log.
+    /// A batch never starts later than requested: the reader must not mistake a gap for the end of
+    /// the log.
     pub(crate) fn read(&self, from: u64, max: u32) -> Batch {
         let records = self.records.lock();
         let next = records.start + records.entries.len() as u64;
--- a/acaciaringd/src/status.rs
+++ b/acaciaringd/src/status.rs
@@ -1,4 +1,4 @@
-//! What this member tells of itself.
+//! Status of this member, as reported to other members and operators.
 
 use acaciaring_schema::peer::StatusReply;
 
--- a/acaciaringd/src/trace.rs
+++ b/acaciaringd/src/trace.rs
@@ -8,10 +8,10 @@
 /// Length of a header value of version 00.
 const LENGTH: usize = 55;
 
-/// The version that this module writes.
+/// Version that is written.
 const VERSION: u8 = 0;
 
-/// Flag that says that the caller records this trace.
+/// Flag that the caller records this trace.
 const SAMPLED: u8 = 1;
 
 /// Identity of a trace and of one span in it.
@@ -29,14 +29,14 @@
     /// Returns the context of a new trace with random identities.
     #[must_use]
     pub fn new() -> Self {
-        // An identity of zeros only is invalid; the lowest bit set excludes it.
+        // An identity of zeros is invalid, so the lowest bit is always set.
         let trace = (rand::random::<u128>() | 1).to_be_bytes();
         Self { trace, span: random_span(), flags: SAMPLED }
     }
 
-    /// Reads a header value, `None` when it is not valid.
+    /// Parses a header value, `None` if it is invalid.
     ///
-    /// A later version is read as far as version 00 defines it, as the recommendation asks.
+    /// A later version is parsed as far as version 00 defines it, as the recommendation requires.
     #[must_use]
     pub fn parse(value: &str) -> Option<Self> {
         let bytes = value.as_bytes();
@@ -60,7 +60,7 @@
         valid.then_some(Self { trace, span, flags })
     }
 
-    /// Reads a header value; starts a new trace when there is none or it is not valid.
+    /// Continues the trace of a header value, or starts a new one if it is missing or invalid.
     #[must_use]
     pub fn receive(value: Option<&str>) -> Self {
         value.and_then(Self::parse).map_or_else(Self::new, |context| context.child())
@@ -97,7 +97,7 @@
     }
 }
 
-/// Bytes that are written as lower-case hex digits.
+/// Displays bytes as lower-case hex digits.
 #[derive(Debug, Clone, Copy)]
 pub struct Hex<'a>(pub &'a [u8]);
 
--- a/acaciaringd/src/wire.rs
+++ b/acaciaringd/src/wire.rs
@@ -1,4 +1,4 @@
-//! Conversions between messages and the core's types.
+//! Conversions between protobuf messages and the types of the core.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 
 use crate::upstream::UpstreamAnswer;
 
-/// Time-out of a call that control makes in the background.
+/// Timeout of a background call to another member.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Converts the headers of a message.
+/// Converts headers from their message form.
 pub(crate) fn headers(list: &[peer::Header]) -> Vec<(String, Vec<u8>)> {
     list.iter().map(|header| (header.name.clone(), header.value.clone())).collect()
 }
 
-/// Converts headers to a message.
+/// Converts headers to their message form.
 pub(crate) fn header_list(headers: &[(String, Vec<u8>)]) -> Vec<peer::Header> {
     headers
         .iter()
@@ -24,7 +24,7 @@
         .collect()
 }
 
-/// Converts a whole answer of an upstream.
+/// Converts a complete answer of an upstream.
 pub(crate) fn answer(answer: UpstreamAnswer) -> peer::Answer {
     peer::Answer {
         verdict: peer::Verdict::Answered.into(),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Converts a refusal.
+/// Converts a refusal to an answer.
 pub(crate) fn refusal(refusal: Refusal) -> peer::Answer {
     peer::Answer {
         verdict: verdict_to(refusal.verdict).into(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// Returns the refusal that a message carries, or `None` for a whole answer.
+/// Returns the refusal of an answer, `None` if the answer is complete.
 pub(crate) fn refused(answer: &peer::Answer) -> Option<Refusal> {
     let verdict = match answer.verdict() {
         peer::Verdict::Answered => return None,
@@ -57,7 +57,7 @@
     Some(Refusal { verdict, reason: reason_from(answer.reason()), retry })
 }
 
-/// Returns true when a call was carried out.
+/// Returns true if the reply says that the call was accepted.
 pub(crate) fn accepted(reply: Option<&peer::reply::Body>) -> bool {
     matches!(reply, Some(peer::reply::Body::Done(peer::Done { accepted: true })))
 }
@@ -67,7 +67,7 @@
     rank as u32
 }
 
-/// Returns the rank with a number; a number that is not known is the least important.
+/// Returns the rank of a number; an unknown number has the lowest priority.
 pub(crate) const fn rank(number: u32) -> Rank {
     match number {
         0 => Rank::Critical,
@@ -77,17 +77,17 @@
     }
 }
 
-/// Converts a span of time to whole milliseconds.
+/// Returns a duration in whole milliseconds, saturating.
 pub(crate) fn millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Converts a unit.
+/// Converts a unit to its message form.
 pub(crate) fn unit(unit: UnitId, version: u64) -> log::Unit {
     log::Unit { slot: unit.slot, key: unit.key.map(|key| key.0), version }
 }
 
-/// Converts a unit of a message.
+/// Converts a unit from its message form.
 pub(crate) fn unit_id(unit: &log::Unit) -> UnitId {
     UnitId { slot: unit.slot, key: unit.key.map(KeyHash) }
 }
@@ -136,7 +136,7 @@
         peer::Reason::DedupLost => Reason::DedupLost,
         peer::Reason::BadRequest => Reason::BadRequest,
         peer::Reason::Unreachable => Reason::Unreachable,
-        // An answer without a reason that this version knows is treated as lost.
+        // An answer whose reason is missing or unknown is treated as lost.
         peer::Reason::LostAnswer | peer::Reason::None => Reason::LostAnswer,
     }
 }
