--- a/acaciaringd/src/config/mod.rs
+++ b/acaciaringd/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, read from an INI file and checked as a whole.
+//! Settings of the daemon, loaded from an INI file and validated as a whole.
 
 mod rules;
 
@@ -23,18 +23,18 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file has faults.
+    /// The file is invalid.
     #[snafu(display("{faults}"))]
     Invalid {
-        /// Every fault of the file.
+        /// All faults of the file.
         faults: Faults,
     },
 }
 
-/// Faults of a settings file, written one a line.
+/// Faults of a settings file, displayed one per line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Faults(pub Vec<Fault>);
 
@@ -45,21 +45,21 @@
     }
 }
 
-/// Loads and checks a settings file.
+/// Loads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Fails when the file cannot be read; lists every fault that it has.
+/// Fails if the file cannot be read or has faults, all of which are listed.
 pub fn load(path: &Path) -> Result<Settings, SettingsError> {
     let text = fs::read_to_string(path).context(ReadSnafu { path })?;
     parse(&path.display().to_string(), &text)
 }
 
-/// Reads settings from the text of a file.
+/// Parses and validates the text of a settings file.
 ///
 /// # Errors
 ///
-/// Lists every fault of the text.
+/// Fails if the text has faults, all of which are listed.
 pub fn parse(file_name: &str, text: &str) -> Result<Settings, SettingsError> {
     let file: Name = file_name.into();
     let IniFields { fields, problems } = parse_fields(text);
@@ -79,7 +79,7 @@
     Ok(settings)
 }
 
-/// Sets one value; returns what is wrong with it.
+/// Sets one value; returns the message of a fault if it is invalid.
 fn assign(
     settings: &mut Settings,
     before: &[DocumentField],
@@ -119,7 +119,7 @@
     FIELDS.iter().filter(absent).map(fault).collect()
 }
 
-/// Returns the line of a key, else of the first value in its section, else 0.
+/// Returns the line of a key, or else of the first value in its section, or else 0.
 fn line_of(fields: &[DocumentField], section: &str, key: &str) -> u32 {
     let within = || fields.iter().filter(|field| &*field.section == section);
     let field = within().find(|field| &*field.key == key).or_else(|| within().next());
--- a/acaciaringd/src/config/rules.rs
+++ b/acaciaringd/src/config/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that join several settings.
+//! Validation rules that span several settings.
 
 use acaciaring_core::Name;
 use acaciaring_core::route::{DocumentField, Fault};
@@ -6,7 +6,7 @@
 
 use super::line_of;
 
-/// A rule that the settings break, at the key that an operator would change.
+/// Violated rule, reported at the key that an operator would change.
 pub(super) struct Violation {
     section: &'static str,
     key: &'static str,
@@ -14,7 +14,7 @@
 }
 
 impl Violation {
-    /// Returns the fault with the line of its key.
+    /// Returns the violation as a fault, with the line of its key.
     pub(super) fn fault(&self, file: &Name, fields: &[DocumentField]) -> Fault {
         Fault {
             document: Name::clone(file),
@@ -26,7 +26,7 @@
     }
 }
 
-/// Lists the rules that the settings break.
+/// Returns the rules that the settings violate.
 pub(super) fn violations(settings: &Settings) -> Vec<Violation> {
     let lease = lease(&settings.lease).into_iter();
     lease.chain(listen(&settings.listen)).collect()
@@ -39,10 +39,10 @@
     let needed = lease.interval + lease.resend + lease.margin;
     let rules = [
         rule(lease.resend <= lease.interval, "resend", "must be at most lease.interval"),
-        // With less, one lost renewal ends the lease: callers of the member's keys see
-        // `no-lease` although nothing has failed.
+        // A shorter term lets one lost renewal end the lease, and callers get `no-lease` although
+        // no process has failed.
         rule(needed < lease.term, "term", "must be above interval + resend + margin"),
-        // With less, a member gives up its identity over a pause that a renewal would mend.
+        // A shorter time makes a member give up its identity after a pause that a renewal ends.
         rule(lease.abandon >= lease.term * 2, "abandon", "must be at least twice lease.term"),
     ];
     rules.into_iter().flatten().collect()
--- a/acaciaringd/src/metrics/mod.rs
+++ b/acaciaringd/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics: sent to a statsd server over UDP, kept to be read as text, or both.
+//! Metrics: sent to a statsd server over UDP, kept in memory to be read as text, or both.
 
 mod page;
 mod registry;
@@ -18,7 +18,7 @@
 use self::registry::Registry;
 use crate::config::Metrics as MetricsSettings;
 
-/// Declares a closed set of metrics with name and unit, so that no list of them can lack one.
+/// Declares an enum of metrics with their names and units, and the list of all of them.
 macro_rules! metrics {
     ($(#[$doc:meta])* $set:ident { $($(#[$line:meta])* $metric:ident = $name:literal, $unit:literal;)+ }) => {
         $(#[$doc])*
@@ -28,7 +28,7 @@
         }
 
         impl $set {
-            /// Every metric of this type.
+            /// All metrics of this type.
             pub const ALL: &'static [Self] = &[$(Self::$metric,)+];
 
             /// Returns the name, without the prefix of the settings.
@@ -39,7 +39,7 @@
                 }
             }
 
-            /// Returns the place among all of this type.
+            /// Returns the index in [`Self::ALL`].
             #[must_use]
             pub const fn index(self) -> usize {
                 self as usize
@@ -57,55 +57,55 @@
 }
 
 metrics! {
-    /// What happens, counted.
+    /// Counters of events.
     Counter {
-        /// Requests of callers that got a whole answer of an upstream.
+        /// Requests of callers that got a complete answer of an upstream.
         RequestsAnswered = "requests.answered", "requests";
         /// Requests of callers that were refused as not run.
         RequestsNotRun = "requests.not_run", "requests";
-        /// Requests of callers that may have run and have no whole answer.
+        /// Requests of callers that may have run and got no complete answer.
         RequestsUnknown = "requests.unknown", "requests";
-        /// Further tries of requests.
+        /// Attempts after the first of a request.
         RequestsRetried = "requests.retried", "tries";
-        /// Tries that went to another member because the first did not own the key.
+        /// Attempts at another member because the member asked before did not own the key.
         RequestsRedirected = "requests.redirected", "tries";
-        /// Requests refused at the entry because the member had just refused such a one.
+        /// Requests refused at the entry because members had just refused similar ones.
         RequestsFull = "requests.full", "requests";
-        /// Requests that were answered from the memory of requests that ran before.
+        /// Repeated requests answered from the deduplication state.
         RequestsRepeated = "requests.repeated", "requests";
-        /// Requests that the queue beside the upstream refused, being full.
+        /// Requests refused because the queue for the upstream was full.
         QueueRefused = "queue.refused", "requests";
-        /// Requests whose deadline passed in the queue beside the upstream.
+        /// Requests whose deadline passed in the queue for the upstream.
         QueueExpired = "queue.expired", "requests";
-        /// Answers by which the upstream shed a request.
+        /// Requests that the upstream shed.
         UpstreamShed = "upstream.shed", "requests";
-        /// Requests that the upstream refused by their fence.
+        /// Requests that the upstream refused because of their fencing token.
         UpstreamFenced = "upstream.fenced", "requests";
-        /// Connections to members that were given up for want of an acknowledgement.
+        /// Connections to members marked as suspect for lack of an acknowledgement.
         PeerSuspects = "peer.suspects", "connections";
-        /// Probes after a connection became suspect.
+        /// Probes sent after a connection became suspect.
         PeerProbes = "peer.probes", "probes";
-        /// Probes after which the request was known as not run.
+        /// Probes that proved that the request had not run.
         PeerProbesNotRun = "peer.probes_not_run", "probes";
-        /// Requests at members that had gone silent, which went on.
+        /// Requests whose member went silent and whose outcome was still awaited.
         PeerSilent = "peer.silent", "requests";
-        /// Requests held up on their way whose senders still waited.
+        /// Requests delayed in transit whose senders still waited.
         PeerHeldUp = "peer.held_up", "requests";
-        /// Requests held up on their way that were refused, for their senders did not answer in time.
+        /// Requests delayed in transit and refused because their senders did not respond in time.
         PeerHeldUpRefused = "peer.held_up_refused", "requests";
-        /// Times that this member lost its lease.
+        /// Losses of the lease of this member.
         LeaseLost = "lease.lost", "times";
-        /// Votes of this member that a lease is over.
+        /// Votes of this member that a lease has expired.
         LeaseVotes = "lease.votes", "votes";
-        /// Units that this member took over after the loss of their server.
+        /// Units that this member took over after their server was lost.
         UnitsTakenOver = "units.taken_over", "units";
-        /// Units that this member took over after their release by a planned move.
+        /// Units that this member received by a planned move.
         UnitsSwitched = "units.switched", "units";
-        /// Hot keys that this member made units of their own.
+        /// Hot keys that this member split out into units of their own.
         UnitsSplit = "units.split", "units";
         /// Requests to the log service that failed.
         LogFailures = "log.failures", "requests";
-        /// Records that this member appended, also for others.
+        /// Records that this member appended, including those of other members.
         LogAppends = "log.appends", "records";
         /// Snapshots that this member appended.
         LogSnapshots = "log.snapshots", "snapshots";
@@ -115,7 +115,7 @@
 }
 
 metrics! {
-    /// What is the case, at the time of sending.
+    /// Gauges, sampled when they are reported.
     Gauge {
         /// Requests in flight at the upstream.
         UpstreamBusy = "upstream.busy", "requests";
@@ -125,21 +125,21 @@
         LeaseHeld = "lease.held", "0 or 1";
         /// Units that this member owns.
         UnitsOwned = "units.owned", "units";
-        /// Units for which this member stands by.
+        /// Units for which this member is the standby.
         UnitsStandby = "units.standby", "units";
         /// Highest offset of the log that this member has folded.
         LogApplied = "log.applied", "offset";
         /// Records without effect: undecodable, repeated or rejected.
         LogSkipped = "log.skipped", "records";
-        /// Load of this member over the mean of the loads that it knows, in thousandths.
+        /// Load of this member relative to the mean of the loads that it knows, in thousandths.
         BalanceImbalance = "balance.imbalance", "thousandths";
-        /// Requests that this member remembers against a second run.
+        /// Requests in the deduplication state of this member.
         DedupEntries = "dedup.entries", "requests";
     }
 }
 
 metrics! {
-    /// How long something takes.
+    /// Timers.
     Timer {
         /// Time from a caller's request to its answer.
         Requests = "requests.time", "ms";
@@ -147,9 +147,9 @@
         Peer = "peer.time", "ms";
         /// Time of a hop to the upstream.
         Upstream = "upstream.time", "ms";
-        /// Time in the queue beside the upstream.
+        /// Time in the queue for the upstream.
         Queue = "queue.time", "ms";
-        /// Time from the first try for a unit that found no server to the next answer, as this entry saw it.
+        /// Time from the first attempt that found no server of a unit to its next answer.
         UnitsUnavailable = "units.unavailable", "ms";
         /// Time of an append to the log service.
         LogAppend = "log.append_time", "ms";
@@ -159,38 +159,38 @@
 /// Failure to set up the metrics.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
-    /// There is no socket.
-    #[snafu(display("cannot open a socket for metrics"))]
+    /// The UDP socket cannot be opened.
+    #[snafu(display("cannot open the UDP socket for metrics"))]
     Socket {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The server's address is not valid.
-    #[snafu(display("cannot send metrics to {address}"))]
+    /// The address of the statsd server is invalid.
+    #[snafu(display("cannot send metrics to the statsd server at {address}"))]
     Sink {
-        /// Address of the settings.
+        /// Address of the server.
         address: SocketAddr,
-        /// What the library says.
+        /// Error of the library.
         source: MetricError,
     },
 }
 
-/// Takes in metrics; one that cannot be sent is dropped and never blocks.
+/// Recorder of metrics that never blocks: metrics that cannot be sent are dropped and counted.
 #[derive(Debug, Clone)]
 pub struct Metrics {
-    /// Sender to a server, if there is one.
+    /// Client of the statsd server, if one is configured.
     client: Option<Arc<StatsdClient>>,
-    /// What is read as text, if anybody may.
+    /// Values that can be read as text, if enabled.
     registry: Option<Arc<Registry>>,
     dropped: Arc<AtomicU64>,
 }
 
 impl Metrics {
-    /// Returns a sender to the server of the settings, or one that sends nothing.
+    /// Creates metrics that are sent to the configured statsd server, or nowhere without one.
     ///
     /// # Errors
     ///
-    /// Fails when the socket cannot be opened.
+    /// Fails if the socket cannot be opened or the address is invalid.
     pub fn new(settings: &MetricsSettings) -> Result<Self, MetricsError> {
         let Some(address) = settings.address else { return Ok(Self::none()) };
         let socket = socket(address).context(SocketSnafu)?;
@@ -201,25 +201,25 @@
         Ok(Self { client: Some(client), ..Self::none() })
     }
 
-    /// Returns metrics that go nowhere.
+    /// Creates metrics that are discarded.
     #[must_use]
     pub fn none() -> Self {
         Self { client: None, registry: None, dropped: Arc::default() }
     }
 
-    /// Keeps metrics from now on so that they can be read as text.
+    /// Also keeps metrics in memory, so that they can be read as text.
     #[must_use]
     pub fn readable(self) -> Self {
         Self { registry: Some(Arc::default()), ..self }
     }
 
-    /// Returns what is kept as text, empty when nothing is.
+    /// Returns the metrics in memory as text, empty if none are kept.
     #[must_use]
     pub fn text(&self) -> String {
         self.registry.as_ref().map(|registry| registry.text()).unwrap_or_default()
     }
 
-    /// Counts `count` more.
+    /// Adds `count` to a counter.
     pub fn count(&self, counter: Counter, count: u64) {
         if let Some(registry) = &self.registry {
             registry.count(counter, count);
@@ -227,7 +227,7 @@
         self.send(|client| client.count(counter.name(), count).is_ok());
     }
 
-    /// Takes in the present value.
+    /// Sets the value of a gauge.
     pub fn gauge(&self, gauge: Gauge, value: u64) {
         if let Some(registry) = &self.registry {
             registry.gauge(gauge, value);
@@ -235,7 +235,7 @@
         self.send(|client| client.gauge(gauge.name(), value).is_ok());
     }
 
-    /// Takes in a time; what is sent has whole milliseconds.
+    /// Records a duration, which is sent in whole milliseconds.
     pub fn time(&self, timer: Timer, time: Duration) {
         if let Some(registry) = &self.registry {
             registry.time(timer, time);
@@ -243,14 +243,14 @@
         self.send(|client| client.time(timer.name(), time).is_ok());
     }
 
-    /// Sends what is buffered, and the count of metrics that were dropped; due once a second.
+    /// Sends buffered metrics and the number of dropped ones; must be called once per second.
     pub fn flush(&self) {
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             self.count(Counter::MetricsDropped, dropped);
         }
         if let Some(client) = &self.client {
-            // The server may be down; the next flush tries again.
+            // The server may be unavailable; the next flush retries.
             let _ = client.flush();
         }
     }
@@ -262,7 +262,7 @@
     }
 }
 
-/// Opens a socket that reaches `address`; it never blocks.
+/// Opens a non-blocking socket of the address family of `address`.
 fn socket(address: SocketAddr) -> io::Result<UdpSocket> {
     let any: IpAddr = match address {
         SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
--- a/acaciaringd/src/metrics/page.rs
+++ b/acaciaringd/src/metrics/page.rs
@@ -1,4 +1,4 @@
-//! Page on which metrics are read.
+//! HTTP endpoint of the metrics.
 
 use bytes::Bytes;
 use hyper::http::request::Parts;
@@ -8,10 +8,10 @@
 use crate::peer::BoxFuture;
 use crate::web::{Response, Site, text};
 
-/// Path of the page.
+/// Path of the endpoint.
 const PATH: &str = "/metrics";
 
-/// Answers with the metrics as text.
+/// Serves the metrics as text.
 pub(crate) struct MetricsSite(pub(crate) Metrics);
 
 impl Site for MetricsSite {
--- a/acaciaringd/src/metrics/registry.rs
+++ b/acaciaringd/src/metrics/registry.rs
@@ -1,4 +1,4 @@
-//! Metrics that are kept in memory and read as text.
+//! Metrics in memory, exported in the text format of Prometheus.
 
 use std::fmt::Write as _;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,24 +9,24 @@
 
 use super::{Counter, Gauge, Timer};
 
-/// Longest time that is told apart, in microseconds; longer ones count as this.
+/// Longest recorded duration in microseconds; longer ones are recorded as this.
 const MAX_MICROS: u64 = 60_000_000;
 
-/// Significant digits of a time; two keep a histogram at a few kilobytes.
+/// Significant digits of a histogram, which determine its size in memory.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Parts of all times that are written.
+/// Exported quantiles.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
-/// Prefix of each name.
+/// Prefix of all metric names.
 const PREFIX: &str = "acaciaring";
 
-/// Values since the start of the process.
+/// Values of all metrics since the start of the process.
 #[derive(Debug)]
 pub(super) struct Registry {
     counters: Vec<AtomicU64>,
     gauges: Vec<AtomicU64>,
-    /// Times in microseconds.
+    /// Durations in microseconds.
     timers: Vec<Mutex<Times>>,
 }
 
@@ -67,7 +67,7 @@
         entry.sum = entry.sum.saturating_add(micros);
     }
 
-    /// Returns all values in the text format of Prometheus; times are in seconds.
+    /// Returns all values in the text format of Prometheus, with durations in seconds.
     pub(super) fn text(&self) -> String {
         let mut text = String::new();
         for counter in Counter::ALL {
--- a/acaciaringd/src/platform/mod.rs
+++ b/acaciaringd/src/platform/mod.rs
@@ -14,10 +14,10 @@
 use crate::metrics::{Counter, Metrics, Timer};
 use crate::upstream::transport::{self, Literal, Marking};
 
-/// Largest record that the log service takes, bytes.
+/// Largest record that the log service accepts, in bytes.
 pub const MAX_RECORD: usize = 256 << 10;
 
-/// Largest answer that is read, bytes.
+/// Largest response that is read, in bytes.
 const MAX_ANSWER: u64 = 64 << 20;
 
 const OK: u16 = 200;
@@ -26,16 +26,16 @@
 const TOO_MANY: u16 = 429;
 const UNAVAILABLE: u16 = 503;
 
-/// Timeouts of the client.
+/// Timeouts of the client of the log service.
 #[derive(Debug, Clone, Copy)]
 pub struct LogTimeouts {
-    /// Time in which a connection has to be made.
+    /// Timeout of a connection attempt.
     pub connect: Duration,
-    /// Time in which an append has to be answered.
+    /// Timeout of an append.
     pub append: Duration,
-    /// Time in which a read has to be answered, beyond the time for which it waits.
+    /// Timeout of a read, in addition to the time for which it waits for records.
     pub read: Duration,
-    /// Age above which an idle connection is not used.
+    /// Age above which an idle connection is not reused.
     pub idle: Duration,
 }
 
@@ -53,16 +53,16 @@
 /// Failure of an append.
 #[derive(Debug, Snafu)]
 pub enum AppendError {
-    /// The record was surely not appended.
-    #[snafu(display("append refused: {cause}"))]
+    /// The record was not appended.
+    #[snafu(display("record not appended to the log: {cause}"))]
     Refused {
-        /// What the service or the connection said.
+        /// Status of the service or error of the connection.
         cause: String,
     },
-    /// The record may have been appended; its id makes it safe to append it again.
-    #[snafu(display("append without answer: {cause}"))]
+    /// The record may have been appended; its id makes it safe to retry the append.
+    #[snafu(display("append to the log not confirmed: {cause}"))]
     Unknown {
-        /// What the connection said.
+        /// Error of the connection, or the unexpected response.
         cause: String,
     },
 }
@@ -70,39 +70,39 @@
 /// Failure of a read.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// The service cannot be reached, or does not answer in time.
-    #[snafu(display("log service cannot be read: {cause}"))]
+    /// The service is unreachable, refuses the read or does not respond in time.
+    #[snafu(display("cannot read from the log service: {cause}"))]
     Unavailable {
-        /// What the service or the connection said.
+        /// Status of the service or error of the connection.
         cause: String,
     },
-    /// The answer is not what the protocol says.
-    #[snafu(display("log service answers {cause}"))]
+    /// The response violates the protocol.
+    #[snafu(display("invalid response of the log service: {cause}"))]
     Invalid {
-        /// What is wrong with it.
+        /// Error of the decoder.
         cause: String,
     },
 }
 
-/// Append-only log service, as the process uses it; its calls block.
+/// Append-only log service; calls block.
 pub trait LogService: Send + Sync + 'static {
     /// Appends a record and returns its offset, the first of which is 1.
     ///
     /// # Errors
     ///
-    /// `Refused` when the record was surely not appended, otherwise `Unknown`.
+    /// `Refused` if the record was certainly not appended, otherwise `Unknown`.
     fn append(&self, record: &[u8]) -> Result<Offset, AppendError>;
 
-    /// Reads at most `max` records from offset `from`; waits up to `wait` for the first.
+    /// Reads at most `max` records from offset `from`; waits at most `wait` for the first.
     ///
     /// # Errors
     ///
-    /// Fails when there is no valid answer; a read can be repeated.
+    /// Fails without a valid response; a read is safe to retry.
     fn read(&self, from: Offset, max: usize, wait: Duration) -> Result<Batch, ReadError>;
 
-    /// Drops the records below an offset, which a snapshot covers.
+    /// Drops the records below an offset that a snapshot covers.
     ///
-    /// A service that drops old records by itself does nothing.
+    /// Does nothing by default, for services that drop old records by themselves.
     fn trim(&self, _before: Offset) {}
 }
 
@@ -116,7 +116,7 @@
     }
 }
 
-/// Client of the log service; clones share their connections.
+/// Client of the log service; clones share a connection pool.
 #[derive(Clone)]
 pub struct LogClient {
     agent: Agent,
@@ -126,7 +126,7 @@
 }
 
 impl LogClient {
-    /// Returns a client without connections.
+    /// Creates a client, which connects on first use.
     #[must_use]
     pub fn new(address: SocketAddr, timeouts: LogTimeouts) -> Self {
         let config = Agent::config_builder()
@@ -143,7 +143,7 @@
         Self { agent, address, timeouts, metrics: Metrics::none() }
     }
 
-    /// Returns this client with metrics of its requests.
+    /// Returns this client with metrics for its requests.
     #[must_use]
     pub fn metered(self, metrics: Metrics) -> Self {
         Self { metrics, ..self }
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// `Refused` when the record was surely not appended, otherwise `Unknown`.
+    /// `Refused` if the record was certainly not appended, otherwise `Unknown`.
     pub fn append(&self, record: &[u8]) -> Result<Offset, AppendError> {
         let start = Instant::now();
         let result = self.post(record);
@@ -184,11 +184,11 @@
         }
     }
 
-    /// Reads at most `max` records from offset `from`; waits up to `wait` for the first.
+    /// Reads at most `max` records from offset `from`; waits at most `wait` for the first.
     ///
     /// # Errors
     ///
-    /// Fails when there is no valid answer; a read can be repeated.
+    /// Fails without a valid response; a read is safe to retry.
     pub fn read(&self, from: Offset, max: usize, wait: Duration) -> Result<Batch, ReadError> {
         let result = self.get(from, max, wait);
         if result.is_err() {
@@ -220,7 +220,7 @@
 
 type Response = ureq::http::Response<ureq::Body>;
 
-/// Reads an answer to its end, so that a body that was cut off is an error.
+/// Reads the whole response, so that a truncated body is an error.
 fn read_response(response: Result<Response, ureq::Error>) -> Result<(u16, Vec<u8>), ureq::Error> {
     let mut response = response?;
     let body = response.body_mut().with_config().limit(MAX_ANSWER).read_to_vec()?;
@@ -237,7 +237,7 @@
     }
 }
 
-/// Reads the offset; without it the record is appended, but it is not known where.
+/// Decodes the offset of an append; without one the record is appended at an unknown offset.
 fn offset(body: &[u8]) -> Result<Offset, AppendError> {
     match Appended::decode(body) {
         Ok(Appended { offset }) if offset > 0 => Ok(offset),
