--- a/acaciaringd/src/config/rules.rs
+++ b/acaciaringd/src/config/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that join several settings.
+//! Validation rules that span several settings.
 
 use acaciaring_core::Name;
 use acaciaring_core::route::{DocumentField, Fault};
@@ -6,15 +6,15 @@
 
 use super::line_of;
 
-/// A rule that the settings break, at the key that an operator would change.
-pub(super) struct Broken {
+/// Violated rule, reported at the key that an operator would change.
+pub(super) struct Violation {
     section: &'static str,
     key: &'static str,
     message: &'static str,
 }
 
-impl Broken {
-    /// Returns the fault with the line of its key.
+impl Violation {
+    /// Returns the violation as a fault, with the line of its key.
     pub(super) fn fault(&self, file: &Name, fields: &[DocumentField]) -> Fault {
         Fault {
             document: Name::clone(file),
@@ -26,38 +26,40 @@
     }
 }
 
-/// Lists the rules that the settings break.
-pub(super) fn broken(settings: &Settings) -> Vec<Broken> {
+/// Returns the rules that the settings violate.
+pub(super) fn violations(settings: &Settings) -> Vec<Violation> {
     let lease = lease(&settings.lease).into_iter();
     lease.chain(listen(&settings.listen)).collect()
 }
 
-fn lease(lease: &Lease) -> Vec<Broken> {
-    let rule =
-        |holds: bool, key, message| (!holds).then_some(Broken { section: "lease", key, message });
+fn lease(lease: &Lease) -> Vec<Violation> {
+    let rule = |holds: bool, key, message| {
+        (!holds).then_some(Violation { section: "lease", key, message })
+    };
     let needed = lease.interval + lease.resend + lease.margin;
     let rules = [
         rule(lease.resend <= lease.interval, "resend", "must be at most lease.interval"),
-        // With less, one lost renewal ends the lease: callers of the member's keys see
-        // `no-lease` although nothing has failed.
+        // A shorter term lets one lost renewal end the lease, and callers get `no-lease` although
+        // no process has failed.
         rule(needed < lease.term, "term", "must be above interval + resend + margin"),
-        // With less, a member gives up its identity over a pause that a renewal would mend.
+        // A shorter time makes a member give up its identity after a pause that a renewal ends.
         rule(lease.abandon >= lease.term * 2, "abandon", "must be at least twice lease.term"),
     ];
     rules.into_iter().flatten().collect()
 }
 
-fn listen(listen: &Listen) -> Vec<Broken> {
-    let rule =
-        |holds: bool, key, message| (!holds).then_some(Broken { section: "listen", key, message });
+fn listen(listen: &Listen) -> Vec<Violation> {
+    let rule = |holds: bool, key, message| {
+        (!holds).then_some(Violation { section: "listen", key, message })
+    };
     let same = listen.http == listen.admin && listen.http.port() != 0;
     let specific = "must be a specific address, other members are told it";
-    let told = listen.advertised.is_some() || !listen.peer.ip().is_unspecified();
+    let peer_specific = listen.advertised.is_some() || !listen.peer.ip().is_unspecified();
     let advertised = listen.advertised.is_none_or(|address| !address.ip().is_unspecified());
     let rules = [
         rule(!same, "admin", "must differ from listen.http"),
         rule(!listen.http.ip().is_unspecified(), "http", specific),
-        rule(told, "peer", "must be a specific address unless listen.advertised is set"),
+        rule(peer_specific, "peer", "must be a specific address unless listen.advertised is set"),
         rule(advertised, "advertised", specific),
     ];
     rules.into_iter().flatten().collect()
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -57,6 +57,7 @@
 use crate::announce::Announcement;
 use crate::appender::Appender;
 use crate::clock;
+use crate::critical_thread;
 use crate::declared::{Declarations, Declared};
 use crate::gate::Gate;
 use crate::metrics::Metrics;
@@ -64,10 +65,9 @@
 use crate::peer::Transport;
 use crate::platform::LogService;
 use crate::read_scheduler::ReadScheduler;
-use crate::recent::Recent;
+use crate::recent_records::RecentRecords;
 use crate::upstream::Outlet;
 use crate::view::{Shared, UpstreamEndpoint, View};
-use crate::vital;
 
 /// Longest time between two rounds of the control loop.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(50);
@@ -110,7 +110,7 @@
     pub(crate) transport: Transport,
     pub(crate) outbox: Outbox,
     pub(crate) appender: Appender,
-    pub(crate) recent: Arc<Recent>,
+    pub(crate) recent: Arc<RecentRecords>,
     pub(crate) read_scheduler: Arc<ReadScheduler>,
     pub(crate) events: Sender<Event>,
     pub(crate) metrics: Metrics,
@@ -181,7 +181,7 @@
         context: ControlContext,
         events: Receiver<Event>,
     ) -> thread::JoinHandle<()> {
-        vital::spawn("control", move || Self::new(context).run(&events))
+        critical_thread::spawn("control", move || Self::new(context).run(&events))
     }
 
     fn new(context: ControlContext) -> Self {
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -1,9 +1,9 @@
 //! Start and graceful stop of the daemon.
 
-mod edges;
-mod late;
+mod adapters;
+mod builtin;
+mod deferred;
 mod options;
-mod own;
 mod relay;
 
 use std::net::SocketAddr;
@@ -18,9 +18,9 @@
 use snafu::{ResultExt, Snafu};
 use tracing::info;
 
-pub use self::edges::{Doors, EdgeError, Edges, Front, Inside};
-use self::late::LateHandler;
-use self::own::OwnEdges;
+pub use self::adapters::{AdapterError, Adapters, Frontend, ListenerContext, Listeners};
+use self::builtin::BuiltinAdapters;
+use self::deferred::DeferredHandler;
 use crate::admin::MemberAdmin;
 use crate::appender::Appender;
 use crate::clock;
@@ -30,38 +30,37 @@
 use crate::gauges;
 use crate::handler::PeerHandler;
 use crate::heartbeat::Heartbeats;
+use crate::lag_monitor::LagMonitor;
+use crate::log_limiter::LogLimiter;
 use crate::metrics::{Metrics, MetricsError, MetricsSite};
 use crate::outbox::Outbox;
 use crate::peer::{PeerError, Transport};
-use crate::pulse::Pulse;
-use crate::ration::Ration;
 use crate::read_scheduler::ReadScheduler;
 use crate::reader;
-use crate::recent::Recent;
+use crate::recent_records::RecentRecords;
 use crate::router::{Outages, Router, Suspects, TimeoutHistory, TrafficSplits, WaitLimit};
 use crate::view::Shared;
 use crate::web::{self, WebError};
 
-/// One in this many requests in hand may wait for a takeover.
-const LINGERERS: usize = 4;
+/// Part of the entry workers whose requests may wait for a takeover: one in this many.
+const WAITER_DIVISOR: usize = 4;
 
-/// Lines a second about requests without an answer: enough to see reasons and members, far below the
-/// requests that a machine refuses in an overload.
-const LINES: u32 = 20;
+/// Limit on log lines per second about requests without an answer.
+const MAX_LOG_LINES: u32 = 20;
 
-/// Lines a second about requests that were answered late, which cost their callers less.
-const LATE_LINES: u32 = 10;
+/// Limit on log lines per second about requests that were answered late.
+const MAX_LATE_LOG_LINES: u32 = 10;
 
-/// Longest wait until peers have the last answers, well below a lease.
-const LAST_ANSWERS: Duration = Duration::from_secs(1);
+/// Longest wait for peers to acknowledge the last answers at a stop; must be below a lease term.
+const FINAL_ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Part of the time of a stop in which callers are still taken; the rest is for their requests.
-const TAKING: u32 = 2;
+/// Part of the drain time in which callers are still accepted: one in this many.
+const ACCEPT_DIVISOR: u32 = 2;
 
 /// Failure to start the daemon.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// The metrics cannot be sent.
+    /// The metrics cannot be set up.
     #[snafu(display("cannot start the metrics"))]
     Metrics {
         /// Cause.
@@ -73,17 +72,17 @@
         /// Cause.
         source: PeerError,
     },
-    /// The page of the metrics cannot be served.
-    #[snafu(display("cannot serve the metrics"))]
+    /// The metrics listener cannot start.
+    #[snafu(display("cannot start the metrics listener"))]
     Page {
         /// Cause.
         source: WebError,
     },
     /// A listener cannot start.
     #[snafu(display("cannot open the listeners"))]
-    Edge {
+    Listener {
         /// Cause.
-        source: EdgeError,
+        source: AdapterError,
     },
 }
 
@@ -91,54 +90,54 @@
 pub struct Daemon {
     events: Sender<Event>,
     control: JoinHandle<()>,
-    /// Tells that control has nothing left to hand over.
+    /// Receives a message once control has handed over all units.
     released: Receiver<()>,
-    /// Bound on a stop.
+    /// Longest duration of a stop.
     drain: Duration,
-    doors: Box<dyn Doors>,
+    listeners: Box<dyn Listeners>,
     transport: Transport,
-    /// Page of the metrics; ends with the daemon.
+    /// Metrics listener; stops when dropped.
     _page: Option<web::Server>,
 }
 
 impl Daemon {
-    /// Starts all threads of the daemon with the project's own edges.
+    /// Starts the daemon with the built-in adapters.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on or the TLS files are not usable.
+    /// Fails if an address cannot be bound or the TLS files are not usable.
     pub fn start(settings: &Settings) -> Result<Self, StartError> {
         let metrics = Metrics::new(&settings.metrics).context(MetricsSnafu)?;
-        let edges = OwnEdges { settings, metrics: metrics.clone() };
-        Self::start_with(settings, metrics, &edges)
+        let adapters = BuiltinAdapters { settings, metrics: metrics.clone() };
+        Self::start_with(settings, metrics, &adapters)
     }
 
-    /// Starts all threads of the daemon with other edges.
+    /// Starts the daemon with the given adapters.
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be listened on or the TLS files are not usable.
+    /// Fails if an address cannot be bound or the TLS files are not usable.
     pub fn start_with(
         settings: &Settings,
         metrics: Metrics,
-        edges: &dyn Edges,
+        adapters: &dyn Adapters,
     ) -> Result<Self, StartError> {
         let address = settings.listen.metrics;
         let metrics = if address.is_some() { metrics.readable() } else { metrics };
-        let decoder = edges.decoder();
+        let decoder = adapters.decoder();
         let shared = Arc::new(Shared::new(decoder.is_some()));
-        let recent = Arc::new(Recent::default());
+        let recent = Arc::new(RecentRecords::default());
         let (events, inbox) = unbounded();
         let declarations = Arc::new(Declarations::new(decoder, events.clone()));
 
-        let late = Arc::new(LateHandler::default());
+        let deferred = Arc::new(DeferredHandler::default());
         let transport =
-            Transport::metered(options::peer_settings(settings), late.clone(), metrics.clone())
+            Transport::metered(options::peer_settings(settings), deferred.clone(), metrics.clone())
                 .context(PeerSnafu)?;
         let page = address.map(|address| page(address, &metrics, &transport)).transpose()?;
-        let log = edges.log(transport.runtime());
+        let log = adapters.log(transport.runtime());
         let outbox = Outbox::new(&transport);
-        let outlet = edges.outlet();
+        let outlet = adapters.outlet();
         let gate = Arc::new(Gate::new(
             Arc::clone(&shared),
             Arc::clone(&outlet),
@@ -148,7 +147,7 @@
             metrics.clone(),
             events.clone(),
         ));
-        late.set(PeerHandler {
+        deferred.set(PeerHandler {
             events: events.clone(),
             gate: Arc::clone(&gate),
             shared: Arc::clone(&shared),
@@ -162,18 +161,18 @@
             gate: Arc::clone(&gate),
             transport: transport.clone(),
             choice: Mutex::new(Selector::new(SelectorSettings::default())),
-            budgets: options::budgets(settings),
+            budgets: options::retry_budgets(settings),
             suspects: Suspects::default(),
             full_queues: Mutex::default(),
             outages: Outages::default(),
             metrics: metrics.clone(),
-            wait_limit: WaitLimit::new(settings.entry.workers as usize / LINGERERS),
+            wait_limit: WaitLimit::new(settings.entry.workers as usize / WAITER_DIVISOR),
             splits: TrafficSplits::default(),
             timeouts: TimeoutHistory::default(),
             declarations: Arc::clone(&declarations),
-            log_limit: Ration::new(LINES),
-            late_limit: Ration::new(LATE_LINES),
-            pulse: Pulse::start(transport.runtime()),
+            log_limit: LogLimiter::new(MAX_LOG_LINES),
+            late_limit: LogLimiter::new(MAX_LATE_LOG_LINES),
+            lag_monitor: LagMonitor::start(transport.runtime()),
         };
         let admin = MemberAdmin {
             events: events.clone(),
@@ -181,14 +180,14 @@
             gate: Arc::clone(&gate),
             transport: transport.clone(),
         };
-        let inside = Inside {
+        let listener_context = ListenerContext {
             runtime: transport.runtime().clone(),
-            front: Front { router: Arc::new(router), declarations: Arc::clone(&declarations) },
+            front: Frontend { router: Arc::new(router), declarations: Arc::clone(&declarations) },
             heartbeats: Heartbeats::new(events.clone()),
             declarations: Arc::clone(&declarations),
             admin: Arc::new(admin),
         };
-        let doors = edges.open(inside).context(EdgeSnafu)?;
+        let listeners = adapters.open(listener_context).context(ListenerSnafu)?;
 
         let read_scheduler = read_scheduler(settings, &transport);
         let (reads, appends) = relay::relays(&shared, &transport);
@@ -197,7 +196,7 @@
             location: options::location(
                 settings,
                 settings.listen.advertised.unwrap_or(transport.local_addr()),
-                doors.callers(),
+                listeners.callers(),
             ),
             lease: options::lease_settings(&settings.lease, settings.upstream.grants),
             drain_timeout: settings.limits.drain,
@@ -222,18 +221,19 @@
         gauges::start(&context.shared, &context.gate, metrics);
         reader::start(log, settings.log.wait, reads, read_scheduler, events.clone());
         let control = Control::start(context, inbox);
-        info!(http = %doors.callers(), peer = %transport.local_addr(), admin = %doors.admin(), "started");
+        info!(http = %listeners.callers(), peer = %transport.local_addr(),
+            admin = %listeners.admin(), "daemon started");
         let drain = settings.limits.drain;
-        Ok(Self { events, control, released, drain, doors, transport, _page: page })
+        Ok(Self { events, control, released, drain, listeners, transport, _page: page })
     }
 
-    /// Returns the address for callers.
+    /// Returns the address that callers connect to.
     #[must_use]
     pub fn http(&self) -> SocketAddr {
-        self.doors.callers()
+        self.listeners.callers()
     }
 
-    /// Returns the address for other members.
+    /// Returns the address that other members connect to.
     #[must_use]
     pub fn peer(&self) -> SocketAddr {
         self.transport.local_addr()
@@ -242,32 +242,33 @@
     /// Returns the address for announcements and the command-line tool.
     #[must_use]
     pub fn admin(&self) -> SocketAddr {
-        self.doors.admin()
+        self.listeners.admin()
     }
 
-    /// Hands everything over, finishes what is in flight and ends; returns how many requests were cut off.
+    /// Hands over all units, drains the requests in flight and stops; returns how many requests
+    /// were cut off.
     ///
-    /// All of it shares one bound, counted from here.
+    /// All steps share the drain timeout, which starts with this call.
     #[must_use]
     pub fn stop(self) -> usize {
         let start = clock::now();
-        // Control ends by itself only after a stop.
+        // Control is still running: it ends only after this event.
         let _ = self.events.send(Event::Stop(start));
-        // Control has ended, or callers have had their part of the time.
-        let _ = self.released.recv_timeout(self.drain / TAKING);
-        let left = || self.drain.saturating_sub(clock::now().since(start));
-        let cut = self.doors.drain(left());
-        // Control may have ended.
+        // Waits for the handover or until callers must no longer be accepted.
+        let _ = self.released.recv_timeout(self.drain / ACCEPT_DIVISOR);
+        let remaining = || self.drain.saturating_sub(clock::now().since(start));
+        let cut = self.listeners.drain(remaining());
+        // Fails only if control has already ended.
         let _ = self.events.send(Event::CallersGone);
         let _ = self.control.join();
-        // Nothing renews the lease from here on.
-        let due = self.transport.stop_within(left().min(LAST_ANSWERS));
-        info!(cut, due, "stopped");
+        // The lease is no longer renewed, so this wait must end before it expires.
+        let due = self.transport.stop_within(remaining().min(FINAL_ACK_TIMEOUT));
+        info!(cut, due, "daemon stopped");
         cut
     }
 }
 
-/// Serves the page of the metrics.
+/// Starts the metrics listener.
 fn page(
     address: SocketAddr,
     metrics: &Metrics,
@@ -277,11 +278,11 @@
     web::Server::start(transport.runtime(), address, site).context(PageSnafu)
 }
 
-/// Returns what is wanted of the log, with the pace of reads.
+/// Returns the scheduler of log reads, limited to the configured rate.
 fn read_scheduler(settings: &Settings, transport: &Transport) -> Arc<ReadScheduler> {
-    let pacer = Arc::new(ReadScheduler::new(settings.log.rate.min(settings.log.reads)));
-    // Who is refused may have joined by a record that was not read here yet.
-    let asked = Arc::clone(&pacer);
-    transport.on_untrusted(move || asked.request_read());
-    pacer
+    let scheduler = Arc::new(ReadScheduler::new(settings.log.rate.min(settings.log.reads)));
+    // An untrusted peer may have joined by a record that this process has not read yet.
+    let trigger = Arc::clone(&scheduler);
+    transport.on_untrusted(move || trigger.request_read());
+    scheduler
 }
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon's parts, from the settings file.
+//! Conversion of the settings file to the settings of each component.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use crate::platform::{LogClient, LogTimeouts};
 use crate::router::{ClusterBudget, RetryBudgets};
 
-/// Room for headers and the like in a message between members, in bytes.
-const ENVELOPE: u64 = 256 << 10;
+/// Allowance for headers and metadata in a message between members, in bytes.
+const ENVELOPE_BYTES: u64 = 256 << 10;
 
-/// Longest term of a lease where upstreams are told by calls what to hold.
+/// Longest term of a lease when grants are sent to the upstream by calls.
 ///
-/// Calls renew a hold several times within it; a report every second or so may not.
-const CALLED_TERM: Duration = Duration::from_secs(2);
+/// Calls renew a grant several times within this term; heartbeats may be too rare for that.
+const MAX_CALL_TERM: Duration = Duration::from_secs(2);
 
 /// Returns the client of the log service.
 pub(super) fn log_client(settings: &Settings) -> LogClient {
@@ -49,9 +49,9 @@
     }
 }
 
-/// Returns the largest message between members: a body with its headers.
+/// Returns the largest message between members in bytes: a body and its headers.
 fn message_limit(settings: &Settings) -> usize {
-    usize::try_from(settings.limits.body + ENVELOPE).unwrap_or(usize::MAX)
+    usize::try_from(settings.limits.body + ENVELOPE_BYTES).unwrap_or(usize::MAX)
 }
 
 /// Returns the settings of the entry for callers.
@@ -66,10 +66,10 @@
 
 /// Returns the limits of the gate.
 pub(super) fn gate_settings(settings: &Settings) -> GateSettings {
-    GateSettings { admission: admission_settings(settings), warmth: heat_settings(settings) }
+    GateSettings { admission: admission_settings(settings), warmth: rate_settings(settings) }
 }
 
-/// Returns the settings of admission beside the upstream.
+/// Returns the settings of admission to the upstream.
 fn admission_settings(settings: &Settings) -> AdmissionSettings {
     AdmissionSettings {
         slots: settings.limits.slots,
@@ -78,20 +78,20 @@
     }
 }
 
-/// Returns the budgets of retries: of each class, and of all members together.
-pub(super) fn budgets(settings: &Settings) -> RetryBudgets {
+/// Returns the retry budgets: one for each class, and one shared by the whole cluster.
+pub(super) fn retry_budgets(settings: &Settings) -> RetryBudgets {
     let limits = &settings.limits;
     let retries = RetrySettings { ratio: limits.retry_ratio, ..RetrySettings::default() };
-    let common = ClusterBudget { burst: limits.retry_burst.into(), window: limits.retry_window };
-    RetryBudgets::new(retries, common)
+    let cluster = ClusterBudget { burst: limits.retry_burst.into(), window: limits.retry_window };
+    RetryBudgets::new(retries, cluster)
 }
 
-/// Returns how heat is measured.
-fn heat_settings(settings: &Settings) -> RateSettings {
+/// Returns the settings of the request rate estimate.
+fn rate_settings(settings: &Settings) -> RateSettings {
     RateSettings { half_life: settings.balance.heat, ..RateSettings::default() }
 }
 
-/// Returns the settings of balance.
+/// Returns the settings of load balancing.
 pub(super) fn balance_settings(settings: &Settings) -> BalanceSettings {
     let balance = &settings.balance;
     BalanceSettings {
@@ -104,10 +104,10 @@
     }
 }
 
-/// Returns the times that govern leases.
+/// Returns the timing of leases.
 ///
-/// A term has to outlast a late report where reports renew what an upstream holds. Where calls do, a
-/// shorter one costs nothing, and the keys of a lost member are served sooner.
+/// With heartbeats, the term must outlast a late one, or the upstream loses its grants. With calls,
+/// a shorter term is safe, and the keys of a lost member are served sooner.
 pub(super) fn lease_settings(lease: &Lease, grants: UpstreamGrants) -> LeaseSettings {
     let settings = LeaseSettings {
         interval: lease.interval,
@@ -119,15 +119,15 @@
     match grants {
         UpstreamGrants::Heartbeat => settings,
         UpstreamGrants::Call => LeaseSettings {
-            interval: settings.interval.min(CALLED_TERM / 4),
-            term: settings.term.min(CALLED_TERM),
-            abandon: settings.abandon.min(CALLED_TERM * 2),
+            interval: settings.interval.min(MAX_CALL_TERM / 4),
+            term: settings.term.min(MAX_CALL_TERM),
+            abandon: settings.abandon.min(MAX_CALL_TERM * 2),
             ..settings
         },
     }
 }
 
-/// Returns where this process runs, as other members are told.
+/// Returns the location of this process that is published to other members.
 pub(super) fn location(settings: &Settings, peer: SocketAddr, http: SocketAddr) -> Location {
     let member = &settings.member;
     Location {
--- a/acaciaringd/src/daemon/relay.rs
+++ b/acaciaringd/src/daemon/relay.rs
@@ -1,4 +1,4 @@
-//! Access to the log through another member, when the log service cannot be reached.
+//! Access to the log through another member while the log service cannot be reached.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::view::{Shared, View, peer_address};
 use crate::wire;
 
-/// Returns what reads and what appends through another member.
+/// Returns the functions that read and append through another live member.
 pub(super) fn relays(
     shared: &Arc<Shared>,
     transport: &Transport,
@@ -21,13 +21,15 @@
     (read_relay(shared, transport), append_relay(shared, transport))
 }
 
-/// Appends through another member that is alive.
+/// Returns a function that appends a record through another live member.
 fn append_relay(shared: &Arc<Shared>, transport: &Transport) -> appender::Relay {
     let (shared, transport) = (Arc::clone(shared), transport.clone());
     Box::new(move |record| {
-        let Some(to) = shared.view().other(clock::now()) else { return AppendOutcome::NotAppended };
+        let Some(to) = shared.view().relay_address(clock::now()) else {
+            return AppendOutcome::NotAppended;
+        };
         let append = call::Body::Append(Append { record: record.to_vec() });
-        match transport.blocking_call(to, append, wire::CALL) {
+        match transport.blocking_call(to, append, wire::CALL_TIMEOUT) {
             Ok(reply::Body::Appended(appended)) if appended.offset > 0 => {
                 AppendOutcome::Appended(appended.offset)
             }
@@ -38,13 +40,13 @@
     })
 }
 
-/// Reads records from another member that is alive.
+/// Returns a function that reads records from another live member.
 fn read_relay(shared: &Arc<Shared>, transport: &Transport) -> reader::Relay {
     let (shared, transport) = (Arc::clone(shared), transport.clone());
     Box::new(move |from, max| {
-        let to = shared.view().other(clock::now())?;
+        let to = shared.view().relay_address(clock::now())?;
         let records = call::Body::Records(Records { from, max });
-        match transport.blocking_call(to, records, wire::CALL) {
+        match transport.blocking_call(to, records, wire::CALL_TIMEOUT) {
             Ok(reply::Body::Records(batch)) if !batch.entries.is_empty() => Some(batch),
             _ => None,
         }
@@ -52,15 +54,15 @@
 }
 
 impl View {
-    /// Returns the address of another live member, a different one with time.
-    fn other(&self, now: Time) -> Option<SocketAddr> {
+    /// Returns the address of another live member; the choice rotates with time.
+    fn relay_address(&self, now: Time) -> Option<SocketAddr> {
         let others: Vec<SocketAddr> = self
             .state
             .members()
             .filter(|member| member.alive() && Some(member.id) != self.me)
             .filter_map(peer_address)
             .collect();
-        let turn = usize::try_from(now.since_start().as_millis() / 100).unwrap_or(0);
-        others.get(turn % others.len().max(1)).copied()
+        let index = usize::try_from(now.since_start().as_millis() / 100).unwrap_or(0);
+        others.get(index % others.len().max(1)).copied()
     }
 }
--- a/acaciaringd/src/handler.rs
+++ b/acaciaringd/src/handler.rs
@@ -1,4 +1,4 @@
-//! Handling of what other members send.
+//! Handler of messages from other members.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use crate::gate::Gate;
 use crate::peer::{BoxFuture, CancelFlag, Handler};
 use crate::platform::{AppendError, LogService};
-use crate::recent::Recent;
+use crate::recent_records::RecentRecords;
 use crate::status;
 use crate::view::Shared;
 
-/// What serves the messages of other members.
+/// Dispatches messages from other members to the components that serve them.
 pub(crate) struct PeerHandler {
     pub(crate) events: Sender<Event>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) shared: Arc<Shared>,
-    pub(crate) recent: Arc<Recent>,
+    pub(crate) recent: Arc<RecentRecords>,
     pub(crate) log: Arc<dyn LogService>,
     pub(crate) declarations: Arc<Declarations>,
 }
@@ -53,7 +53,7 @@
 
     async fn serve(&self, call: call::Body) -> reply::Body {
         match call {
-            call::Body::Vote(vote) => self.tell(Event::Vote(vote)),
+            call::Body::Vote(vote) => self.notify_control(Event::Vote(vote)),
             call::Body::Release(release) => self.release(release),
             call::Body::Sync(sync) => self.sync(&sync),
             call::Body::Intent(intent) => self.intent(&intent),
@@ -65,7 +65,7 @@
             call::Body::Append(append) => self.append(append).await,
             call::Body::Declaration(_) => reply::Body::Declaration(self.declarations.newest()),
             call::Body::Status(_) => reply::Body::Status(self.status()),
-            // The transport answers these itself.
+            // Answered by the transport, which does not pass them on.
             call::Body::Request(_)
             | call::Body::Probe(_)
             | call::Body::Fetch(_)
@@ -73,14 +73,14 @@
         }
     }
 
-    fn tell(&self, event: Event) -> reply::Body {
+    fn notify_control(&self, event: Event) -> reply::Body {
         // Control has ended only when the process is about to exit.
         let _ = self.events.send(event);
         done(true)
     }
 
     fn release(&self, release: Release) -> reply::Body {
-        self.tell(Event::Released(release))
+        self.notify_control(Event::Released(release))
     }
 
     fn sync(&self, sync: &Sync) -> reply::Body {
@@ -104,9 +104,9 @@
         };
         match appended {
             Ok(offset) => reply::Body::Appended(Appended { offset }),
-            // Offset 0 tells that the append was not confirmed here either.
+            // Offset 0 means that the append is unconfirmed.
             Err(AppendError::Unknown { .. }) => reply::Body::Appended(Appended { offset: 0 }),
-            // Surely not appended.
+            // The record was not appended.
             Err(AppendError::Refused { .. }) => done(false),
         }
     }
--- a/acaciaringd/src/lib.rs
+++ b/acaciaringd/src/lib.rs
@@ -1,4 +1,4 @@
-//! Daemon of acaciaring as a library, so that its parts can be tested alone.
+//! Daemon of acaciaring as a library, so that tests and other binaries can use its modules.
 
 mod admin;
 pub mod announce;
@@ -8,6 +8,7 @@
 pub mod clock;
 pub mod config;
 mod control;
+mod critical_thread;
 mod daemon;
 pub mod declared;
 pub mod entry;
@@ -17,24 +18,25 @@
 mod header;
 pub mod heartbeat;
 mod inflight;
+mod lag_monitor;
+mod log_limiter;
 mod outbox;
 pub mod peer;
 pub mod platform;
-mod pulse;
-mod ration;
 mod read_scheduler;
 mod reader;
-mod recent;
+mod recent_records;
 mod router;
 mod status;
 pub mod trace;
 pub mod upstream;
 mod view;
-mod vital;
 pub mod web;
 mod wire;
 
-pub use crate::daemon::{Daemon, Doors, EdgeError, Edges, Front, Inside, StartError};
+pub use crate::daemon::{
+    AdapterError, Adapters, Daemon, Frontend, ListenerContext, Listeners, StartError,
+};
 pub use crate::header::Headers;
 pub mod logging;
 pub mod metrics;
