--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -263,7 +263,7 @@
             };
             balance::plan(now, &view, settings, history)
         };
-        Some(gate.with_heat(workspace, decide))
+        Some(gate.with_rates(workspace, decide))
     }
 
     #[expect(clippy::cast_precision_loss, reason = "a rate is far below the exact range")]
--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -65,7 +65,7 @@
 use crate::platform::LogService;
 use crate::read_scheduler::ReadScheduler;
 use crate::recent::Recent;
-use crate::upstream::Outlet;
+use crate::upstream::UpstreamClient;
 use crate::view::{Shared, UpstreamEndpoint, View};
 use crate::vital;
 
@@ -118,7 +118,7 @@
     pub(crate) log: Arc<dyn LogService>,
     pub(crate) declarations: Arc<Declarations>,
     /// Client that sends orders to the upstream.
-    pub(crate) outlet: Arc<dyn Outlet>,
+    pub(crate) upstream_client: Arc<dyn UpstreamClient>,
     /// Settings of the upstream: heartbeats and grants.
     pub(crate) upstream: Upstream,
 }
--- a/acaciaringd/src/control/orders.rs
+++ b/acaciaringd/src/control/orders.rs
@@ -60,18 +60,19 @@
         let busy = LazyCell::new(|| inflight.keys(&endpoint.workspace));
         let idle = |first, last| busy.range(u64::from(first)..=u64::from(last)).next().is_none();
         let issued = orders.decide(now, lease, idle);
-        for Issued { number, order, deadline: reach, may_connect: connects } in issued {
+        for Issued { number, order, deadline, may_connect } in issued {
             let call = OrderCall {
                 address: endpoint.address,
                 order,
-                reach,
-                connects,
+                deadline,
+                may_connect,
                 instance: Arc::clone(&endpoint.instance),
             };
             debug!(number, order = ?call.order, "sending an order to the upstream");
-            let (outlet, events) = (Arc::clone(&self.context.outlet), self.context.events.clone());
+            let (client, events) =
+                (Arc::clone(&self.context.upstream_client), self.context.events.clone());
             self.context.transport.runtime().spawn(async move {
-                let answer = outlet.order(call).await;
+                let answer = client.order(call).await;
                 // The control thread may have ended.
                 let _ = events.send(Event::OrderAnswered(number, answer));
             });
--- a/acaciaringd/src/control/roles.rs
+++ b/acaciaringd/src/control/roles.rs
@@ -109,14 +109,14 @@
     ) {
         let role = match role_here {
             UnitRole::Standby(version) => Role::Standby(version),
-            UnitRole::Server if self.roles.founded.remove(&unit_key) => Role::Founder,
+            UnitRole::Server if self.roles.founded.remove(&unit_key) => Role::FirstOwner,
             UnitRole::Server if self.is_split(&unit_key) => Role::Split,
             UnitRole::Server => self.succession(&unit_key, assignment),
         };
         match role {
-            Role::Heir(_) => self.context.metrics.count(Counter::UnitsSwitched, 1),
-            Role::Successor => self.context.metrics.count(Counter::UnitsTakenOver, 1),
-            Role::Founder | Role::Split | Role::Merge | Role::Standby(_) | Role::Nothing => {}
+            Role::Handover(_) => self.context.metrics.count(Counter::UnitsSwitched, 1),
+            Role::Takeover => self.context.metrics.count(Counter::UnitsTakenOver, 1),
+            Role::FirstOwner | Role::Split | Role::Merge | Role::Standby(_) | Role::Nothing => {}
         }
         self.context.gate.dedup.take_up(now, &unit_key.0, unit_key.1, role);
         self.roles.current.insert(unit_key, role_here);
@@ -146,9 +146,9 @@
     fn succession(&mut self, unit_key: &(Name, UnitId), assignment: &Assignment) -> Role {
         match self.roles.inheritances.remove(unit_key) {
             Some(received) if received.version >= least_version(assignment, received.from) => {
-                Role::Heir(received.inheritance)
+                Role::Handover(received.inheritance)
             }
-            _ => Role::Successor,
+            _ => Role::Takeover,
         }
     }
 
--- a/acaciaringd/src/daemon/edges.rs
+++ b/acaciaringd/src/daemon/edges.rs
@@ -13,7 +13,7 @@
 use crate::heartbeat::Heartbeats;
 use crate::platform::LogService;
 use crate::router::Router;
-use crate::upstream::Outlet;
+use crate::upstream::UpstreamClient;
 
 /// Any failure of an edge.
 pub type EdgeError = Box<dyn Error + Send + Sync>;
@@ -24,7 +24,7 @@
     fn log(&self, runtime: &Handle) -> Arc<dyn LogService>;
 
     /// Returns the client of the upstream.
-    fn outlet(&self) -> Arc<dyn Outlet>;
+    fn upstream_client(&self) -> Arc<dyn UpstreamClient>;
 
     /// Returns what reads declared configurations, `None` where the log holds the configuration.
     fn decoder(&self) -> Option<Box<dyn Decoder>>;
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -138,10 +138,10 @@
         let page = address.map(|address| page(address, &metrics, &transport)).transpose()?;
         let log = edges.log(transport.runtime());
         let outbox = Outbox::new(&transport);
-        let outlet = edges.outlet();
+        let upstream_client = edges.upstream_client();
         let gate = Arc::new(Gate::new(
             Arc::clone(&shared),
-            Arc::clone(&outlet),
+            Arc::clone(&upstream_client),
             options::gate_settings(settings),
             transport.clone(),
             outbox.clone(),
@@ -216,7 +216,7 @@
             metrics: metrics.clone(),
             log: Arc::clone(&log),
             declarations,
-            outlet,
+            upstream_client,
             upstream: settings.upstream.clone(),
         };
         gauges::start(&context.shared, &context.gate, metrics);
--- a/acaciaringd/src/daemon/own.rs
+++ b/acaciaringd/src/daemon/own.rs
@@ -15,7 +15,7 @@
 use crate::entry::{Entry, EntryAnswer, EntryRequest, Service};
 use crate::metrics::Metrics;
 use crate::platform::LogService;
-use crate::upstream::{Direct, Outlet, Upstream, UpstreamSettings};
+use crate::upstream::{ThreadedClient, Upstream, UpstreamClient, UpstreamSettings};
 
 /// Edges by the settings alone.
 pub(super) struct OwnEdges<'a> {
@@ -28,9 +28,9 @@
         Arc::new(options::log_client(self.settings).metered(self.metrics.clone()))
     }
 
-    fn outlet(&self) -> Arc<dyn Outlet> {
+    fn upstream_client(&self) -> Arc<dyn UpstreamClient> {
         let limits = &self.settings.limits;
-        Arc::new(Direct::new(Upstream::new(UpstreamSettings {
+        Arc::new(ThreadedClient::new(Upstream::new(UpstreamSettings {
             connections: limits.connections as usize,
             body: limits.body,
             ..UpstreamSettings::default()
@@ -81,7 +81,7 @@
         self.runtime.block_on(self.front.handle(request))
     }
 
-    fn told(&self, verdict: Verdict) {
+    fn record_verdict(&self, verdict: Verdict) {
         self.front.told(verdict);
     }
 }
--- a/acaciaringd/src/entry/mod.rs
+++ b/acaciaringd/src/entry/mod.rs
@@ -106,7 +106,7 @@
     fn handle(&self, request: EntryRequest) -> EntryAnswer;
 
     /// Learns the verdict of each request, also of those that the entry refuses itself.
-    fn told(&self, _verdict: Verdict) {}
+    fn record_verdict(&self, _verdict: Verdict) {}
 }
 
 /// Running entry.
--- a/acaciaringd/src/entry/refuse.rs
+++ b/acaciaringd/src/entry/refuse.rs
@@ -72,7 +72,7 @@
     /// `tiny_http` reads the rest of the body when it drops the request, as
     /// slowly as the caller sends it; no worker may wait for that.
     pub(super) fn abandon(&self, raw: Request, answer: EntryAnswer, recovery: Recovery) {
-        self.service.0.told(answer.verdict);
+        self.service.0.record_verdict(answer.verdict);
         let Some(remote) = raw.remote_addr().copied() else {
             return;
         };
--- a/acaciaringd/src/entry/worker.rs
+++ b/acaciaringd/src/entry/worker.rs
@@ -178,7 +178,7 @@
 
     /// Writes an answer; the body of the request has been read.
     pub(super) fn answer(&self, raw: Request, answer: &EntryAnswer) {
-        self.service.0.told(answer.verdict);
+        self.service.0.record_verdict(answer.verdict);
         let remote = raw.remote_addr().copied();
         let head = *raw.method() == tiny_http::Method::Head;
         let bytes = answer.encode(head, self.draining.load(Ordering::SeqCst));
--- a/acaciaringd/src/gate/dedup.rs
+++ b/acaciaringd/src/gate/dedup.rs
@@ -18,11 +18,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Role {
     /// Serves a unit that never had a server before.
-    Founder,
+    FirstOwner,
     /// Serves after the former server has released the unit, with what that one remembers.
-    Heir(Inheritance),
+    Handover(Inheritance),
     /// Serves after the former server was lost.
-    Successor,
+    Takeover,
     /// Serves a hot key that was split out of a slot that this member serves.
     Split,
     /// Serves or stands by for a slot to which the hot key has returned.
@@ -63,12 +63,12 @@
     /// Takes up a role for a unit.
     pub(crate) fn take_up(&self, now: Time, workspace: &Name, unit: UnitId, role: Role) {
         self.with(workspace, |table| match role {
-            Role::Founder => table.become_first_owner(unit),
-            Role::Heir(inheritance) => {
+            Role::FirstOwner => table.become_first_owner(unit),
+            Role::Handover(inheritance) => {
                 let entries = entries(&inheritance.entries, unit);
                 table.become_owner(now, unit, entries, inheritance.blind);
             }
-            Role::Successor => table.take_over(now, unit),
+            Role::Takeover => table.take_over(now, unit),
             Role::Split => table.split(unit),
             Role::Merge => table.merge(unit),
             Role::Standby(version) => table.become_standby(unit, version),
--- a/acaciaringd/src/gate/forward.rs
+++ b/acaciaringd/src/gate/forward.rs
@@ -11,7 +11,7 @@
 use super::{Gate, Grant, Job, MOVING, request_id};
 use crate::clock;
 use crate::metrics::{Counter, Timer};
-use crate::upstream::{Fence, OutletCall};
+use crate::upstream::{Fence, UpstreamRequest};
 use crate::view::{Shared, UpstreamEndpoint};
 use crate::wire;
 
@@ -72,7 +72,7 @@
             return Err(Refusal::not_run(Reason::Expired));
         }
         let request = job.request;
-        let call = OutletCall {
+        let call = UpstreamRequest {
             address: endpoint.address,
             method: request.method.clone(),
             path: request.path.clone(),
@@ -86,7 +86,7 @@
             instance: Arc::clone(&endpoint.instance),
         };
         let start = clock::now();
-        let result = self.outlet.send(call, job.cancelled).await;
+        let result = self.upstream_client.send(call, job.cancelled).await;
         self.metrics.time(Timer::Upstream, clock::now().since(start));
         match &result {
             Err(Refusal { reason: Reason::Busy | Reason::Shed, .. }) => {
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -30,7 +30,7 @@
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::peer::{CancelFlag, Transport};
-use crate::upstream::Outlet;
+use crate::upstream::UpstreamClient;
 use crate::view::{Permit, Shared, View};
 use crate::wire;
 
@@ -63,13 +63,13 @@
 pub(crate) struct GateSettings {
     pub(crate) admission: AdmissionSettings,
     /// How heat is measured.
-    pub(crate) warmth: RateSettings,
+    pub(crate) rates: RateSettings,
 }
 
 /// Gate in front of the upstream.
 pub(crate) struct Gate {
     shared: Arc<Shared>,
-    outlet: Arc<dyn Outlet>,
+    upstream_client: Arc<dyn UpstreamClient>,
     queue: Queue,
     /// Memory of requests that may run once.
     pub(crate) dedup: Dedup,
@@ -77,7 +77,7 @@
     outbox: Outbox,
     heat: Mutex<HashMap<Name, RequestRates>>,
     /// How heat is measured.
-    warmth: RateSettings,
+    rates: RateSettings,
     metrics: Metrics,
     events: Sender<Event>,
 }
@@ -98,24 +98,24 @@
     /// Makes the gate of a process.
     pub(crate) fn new(
         shared: Arc<Shared>,
-        outlet: Arc<dyn Outlet>,
+        upstream_client: Arc<dyn UpstreamClient>,
         settings: GateSettings,
         transport: Transport,
         outbox: Outbox,
         metrics: Metrics,
         events: Sender<Event>,
     ) -> Self {
-        let GateSettings { admission, warmth } = settings;
+        let GateSettings { admission, rates } = settings;
         let queue = Queue::new(admission, metrics.clone());
         Self {
             shared,
-            outlet,
+            upstream_client,
             queue,
             dedup: Dedup::default(),
             transport,
             outbox,
             heat: Mutex::default(),
-            warmth,
+            rates,
             metrics,
             events,
         }
@@ -282,8 +282,8 @@
     }
 
     /// Returns requests at the upstream, and those that wait for it.
-    pub(crate) fn census(&self) -> (usize, usize) {
-        self.queue.census()
+    pub(crate) fn request_counts(&self) -> (usize, usize) {
+        self.queue.request_counts()
     }
 
     /// Returns requests to services divided by key, a second, smoothed, times 1000.
@@ -309,7 +309,7 @@
     }
 
     /// Looks at the heat of a workspace's units.
-    pub(crate) fn with_heat<T>(
+    pub(crate) fn with_rates<T>(
         &self,
         workspace: &Name,
         look: impl FnOnce(&mut RequestRates) -> T,
@@ -318,12 +318,12 @@
         let mut heat = self.heat.lock();
         look(
             heat.entry(Arc::clone(workspace))
-                .or_insert_with(|| RequestRates::new(now, self.warmth.clone())),
+                .or_insert_with(|| RequestRates::new(now, self.rates.clone())),
         )
     }
 
     fn record(&self, workspace: &Name, unit: UnitId, key: KeyHash) {
-        self.with_heat(workspace, |heat| heat.record(clock::now(), unit, key));
+        self.with_rates(workspace, |heat| heat.record(clock::now(), unit, key));
     }
 
     fn owner_hint(&self, request: &Request) -> u64 {
--- a/acaciaringd/src/gate/queue.rs
+++ b/acaciaringd/src/gate/queue.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns requests at the upstream, and those that wait.
-    pub(crate) fn census(&self) -> (usize, usize) {
+    pub(crate) fn request_counts(&self) -> (usize, usize) {
         let admission = self.admission.lock();
         let waiting = admission.waiting();
         (admission.busy().saturating_sub(waiting), waiting)
--- a/acaciaringd/src/gauges.rs
+++ b/acaciaringd/src/gauges.rs
@@ -28,7 +28,7 @@
 
 fn send(shared: &Weak<Shared>, gate: &Weak<Gate>, metrics: &Metrics) -> Option<()> {
     let (shared, gate) = (shared.upgrade()?, gate.upgrade()?);
-    let (busy, waiting) = gate.census();
+    let (busy, waiting) = gate.request_counts();
     metrics.gauge(Gauge::UpstreamBusy, busy as u64);
     metrics.gauge(Gauge::UpstreamQueue, waiting as u64);
     metrics.gauge(Gauge::DedupEntries, gate.dedup.len() as u64);
--- a/acaciaringd/src/metrics/page.rs
+++ b/acaciaringd/src/metrics/page.rs
@@ -6,7 +6,7 @@
 
 use super::Metrics;
 use crate::peer::BoxFuture;
-use crate::web::{Response, Site, text};
+use crate::web::{HttpHandler, Response, text};
 
 /// Path of the page.
 const PATH: &str = "/metrics";
@@ -14,7 +14,7 @@
 /// Answers with the metrics as text.
 pub(crate) struct MetricsSite(pub(crate) Metrics);
 
-impl Site for MetricsSite {
+impl HttpHandler for MetricsSite {
     fn answer(&self, head: Parts, _body: Bytes) -> BoxFuture<'_, Response> {
         let answer = match (head.method, head.uri.path()) {
             (Method::GET, PATH) => text(StatusCode::OK, self.0.text()),
--- a/acaciaringd/src/platform/mod.rs
+++ b/acaciaringd/src/platform/mod.rs
@@ -12,7 +12,7 @@
 use ureq::unversioned::transport::{Connector, TcpConnector};
 
 use crate::metrics::{Counter, Metrics, Timer};
-use crate::upstream::transport::{self, Literal, Marking};
+use crate::upstream::transport::{self, NumericResolver, TrackingConnector};
 
 /// Largest record that the log service takes, bytes.
 pub const MAX_RECORD: usize = 256 << 10;
@@ -138,8 +138,8 @@
             .max_idle_age(timeouts.idle)
             .timeout_connect(Some(timeouts.connect))
             .build();
-        let connector = TcpConnector::default().chain(Marking);
-        let agent = Agent::with_parts(config, connector, Literal);
+        let connector = TcpConnector::default().chain(TrackingConnector);
+        let agent = Agent::with_parts(config, connector, NumericResolver);
         Self { agent, address, timeouts, metrics: Metrics::none() }
     }
 
--- a/acaciaringd/src/upstream/mod.rs
+++ b/acaciaringd/src/upstream/mod.rs
@@ -39,9 +39,9 @@
 use crate::header::{self, Headers};
 use crate::trace::{Hex, TRACEPARENT, TraceContext};
 pub use crate::upstream::answer::UpstreamAnswer;
-pub(crate) use crate::upstream::outlet::Direct;
-pub use crate::upstream::outlet::{OrderCall, Outlet, OutletCall};
-use crate::upstream::transport::{Literal, Marking};
+pub(crate) use crate::upstream::outlet::ThreadedClient;
+pub use crate::upstream::outlet::{OrderCall, UpstreamClient, UpstreamRequest};
+use crate::upstream::transport::{NumericResolver, TrackingConnector};
 
 /// Settings of the client of the upstream.
 #[derive(Debug, Clone)]
@@ -187,8 +187,8 @@
 }
 
 fn agent(settings: &UpstreamSettings) -> Agent {
-    let connector = TcpConnector::default().chain(Marking);
-    Agent::with_parts(config(settings), connector, Literal)
+    let connector = TcpConnector::default().chain(TrackingConnector);
+    Agent::with_parts(config(settings), connector, NumericResolver)
 }
 
 /// Returns a configuration in which `ureq` adds, follows and judges nothing.
--- a/acaciaringd/src/upstream/outlet.rs
+++ b/acaciaringd/src/upstream/outlet.rs
@@ -17,7 +17,7 @@
 
 /// One try of a request at the upstream.
 #[derive(Debug, Clone)]
-pub struct OutletCall {
+pub struct UpstreamRequest {
     /// Address that the upstream has announced.
     pub address: SocketAddr,
     /// HTTP method.
@@ -50,26 +50,26 @@
     /// The order.
     pub order: Order,
     /// Time at which it is given up: its connection is closed before the answer is returned.
-    pub reach: Time,
+    pub deadline: Time,
     /// True when it may go over a new connection.
-    pub connects: bool,
+    pub may_connect: bool,
     /// Start of the upstream that is meant, empty where it names none.
     pub instance: Arc<str>,
 }
 
 /// Client of the upstream.
-pub trait Outlet: Send + Sync + 'static {
+pub trait UpstreamClient: Send + Sync + 'static {
     /// Sends a request once and waits for its whole answer, at most `left`.
     ///
     /// It is `NotRun` only if the upstream never got it or says so. When the request is
     /// cancelled or the future dropped, the upstream is told or its connection closed.
     fn send<'a>(
         &'a self,
-        call: OutletCall,
+        call: UpstreamRequest,
         cancelled: &'a CancelFlag,
     ) -> BoxFuture<'a, Result<UpstreamAnswer, Refusal>>;
 
-    /// Gives an order once and waits for its answer, up to its reach.
+    /// Gives an order once and waits for its answer, up to its deadline.
     ///
     /// An upstream whose protocol knows no orders takes none.
     fn order(&self, _call: OrderCall) -> BoxFuture<'_, Answer> {
@@ -78,12 +78,12 @@
 }
 
 /// Outlet over the project's own protocol, whose client blocks a thread for each call.
-pub(crate) struct Direct {
+pub(crate) struct ThreadedClient {
     upstream: Arc<Upstream>,
     canceller: Canceller,
 }
 
-impl Direct {
+impl ThreadedClient {
     /// Makes an outlet over a client.
     pub(crate) fn new(upstream: Upstream) -> Self {
         let upstream = Arc::new(upstream);
@@ -92,7 +92,7 @@
 
     async fn run(
         &self,
-        call: OutletCall,
+        call: UpstreamRequest,
         cancelled: &CancelFlag,
     ) -> Result<UpstreamAnswer, Refusal> {
         let (address, attempt) = (call.address, call.attempt);
@@ -110,10 +110,10 @@
     }
 }
 
-impl Outlet for Direct {
+impl UpstreamClient for ThreadedClient {
     fn send<'a>(
         &'a self,
-        call: OutletCall,
+        call: UpstreamRequest,
         cancelled: &'a CancelFlag,
     ) -> BoxFuture<'a, Result<UpstreamAnswer, Refusal>> {
         Box::pin(self.run(call, cancelled))
@@ -136,7 +136,7 @@
     }
 }
 
-fn borrow(call: &OutletCall) -> UpstreamCall<'_> {
+fn borrow(call: &UpstreamRequest) -> UpstreamCall<'_> {
     UpstreamCall {
         address: call.address,
         method: &call.method,
--- a/acaciaringd/src/upstream/transport.rs
+++ b/acaciaringd/src/upstream/transport.rs
@@ -35,25 +35,25 @@
 
 /// Wraps each connection, so that it marks the call when it sends.
 #[derive(Debug)]
-pub(crate) struct Marking;
+pub(crate) struct TrackingConnector;
 
-impl<In: Transport> Connector<In> for Marking {
-    type Out = Marked<In>;
+impl<In: Transport> Connector<In> for TrackingConnector {
+    type Out = TrackedConnection<In>;
 
     fn connect(
         &self,
         _details: &ConnectionDetails<'_>,
         chained: Option<In>,
     ) -> Result<Option<Self::Out>, Error> {
-        Ok(chained.map(Marked))
+        Ok(chained.map(TrackedConnection))
     }
 }
 
 /// Connection that marks the call when it sends.
 #[derive(Debug)]
-pub(crate) struct Marked<T>(T);
+pub(crate) struct TrackedConnection<T>(T);
 
-impl<T: Transport> Transport for Marked<T> {
+impl<T: Transport> Transport for TrackedConnection<T> {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.0.buffers()
     }
@@ -76,9 +76,9 @@
 ///
 /// The resolver of `ureq` starts a thread for each call that has a timeout.
 #[derive(Debug)]
-pub(crate) struct Literal;
+pub(crate) struct NumericResolver;
 
-impl Resolver for Literal {
+impl Resolver for NumericResolver {
     fn resolve(
         &self,
         uri: &Uri,
--- a/acaciaringd/src/web/client.rs
+++ b/acaciaringd/src/web/client.rs
@@ -117,11 +117,11 @@
 
 /// What came of a request that may go over a kept connection only.
 #[derive(Debug)]
-pub enum Kept {
+pub enum KeptOutcome {
     /// It was sent.
-    Settled(Result<Exchange, ExchangeError>),
+    Sent(Result<Exchange, ExchangeError>),
     /// No kept connection is usable; the request was not sent.
-    None(hyper::Request<Full<Bytes>>),
+    Unsent(hyper::Request<Full<Bytes>>),
 }
 
 #[derive(Debug)]
@@ -158,8 +158,8 @@
         request: hyper::Request<Full<Bytes>>,
     ) -> Result<Exchange, ExchangeError> {
         let request = match self.exchange_kept(address, request).await {
-            Kept::Settled(settled) => return settled,
-            Kept::None(request) => request,
+            KeptOutcome::Sent(settled) => return settled,
+            KeptOutcome::Unsent(request) => request,
         };
         let (mut sender, reused) = (self.connect(address).await?, false);
         match sender.try_send_request(request).await {
@@ -181,14 +181,14 @@
         &self,
         address: SocketAddr,
         request: hyper::Request<Full<Bytes>>,
-    ) -> Kept {
-        let Some(mut sender) = self.take(address) else { return Kept::None(request) };
+    ) -> KeptOutcome {
+        let Some(mut sender) = self.take(address) else { return KeptOutcome::Unsent(request) };
         match sender.try_send_request(request).await {
-            Ok(response) => Kept::Settled(self.receive(address, sender, true, response).await),
+            Ok(response) => KeptOutcome::Sent(self.receive(address, sender, true, response).await),
             Err(mut error) => match error.take_message() {
                 // Closed while idle, and surely not sent.
-                Some(request) => Kept::None(request),
-                None => Kept::Settled(Err(lost(address, error.into_error()))),
+                Some(request) => KeptOutcome::Unsent(request),
+                None => KeptOutcome::Sent(Err(lost(address, error.into_error()))),
             },
         }
     }
--- a/acaciaringd/src/web/mod.rs
+++ b/acaciaringd/src/web/mod.rs
@@ -5,5 +5,5 @@
 mod io;
 mod server;
 
-pub use self::client::{Client, ClientSettings, Exchange, ExchangeError, Kept};
-pub use self::server::{Fault, Response, Server, Site, WebError, text};
+pub use self::client::{Client, ClientSettings, Exchange, ExchangeError, KeptOutcome};
+pub use self::server::{Fault, HttpHandler, Response, Server, WebError, text};
--- a/acaciaringd/src/web/server.rs
+++ b/acaciaringd/src/web/server.rs
@@ -83,7 +83,7 @@
 }
 
 /// What answers requests.
-pub trait Site: Send + Sync + 'static {
+pub trait HttpHandler: Send + Sync + 'static {
     /// Returns the bounds on callers in force.
     fn limits(&self) -> CallerLimits {
         CallerLimits::default()
@@ -132,7 +132,7 @@
     pub fn start(
         runtime: &Handle,
         address: SocketAddr,
-        site: Arc<dyn Site>,
+        site: Arc<dyn HttpHandler>,
     ) -> Result<Self, WebError> {
         let failed = |source| WebError::Listen { address, source };
         let socket = std::net::TcpListener::bind(address).map_err(failed)?;
@@ -172,7 +172,7 @@
 }
 
 struct Desk {
-    site: Arc<dyn Site>,
+    site: Arc<dyn HttpHandler>,
     requests: Arc<AtomicUsize>,
     connections: Arc<AtomicUsize>,
 }
--- a/acaciaringd/tests/web_stop.rs
+++ b/acaciaringd/tests/web_stop.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use acaciaringd::peer::BoxFuture;
-use acaciaringd::web::{Response, Server, Site, text};
+use acaciaringd::web::{HttpHandler, Response, Server, text};
 use bytes::Bytes;
 use hyper::StatusCode;
 use hyper::http::request::Parts;
@@ -19,10 +19,10 @@
 /// Size of an answer that no socket holds whole.
 const SIZE: usize = 16 << 20;
 
-/// Site whose answers are large.
+/// Handler whose answers are large.
 struct Large;
 
-impl Site for Large {
+impl HttpHandler for Large {
     fn answer(&self, _head: Parts, _body: Bytes) -> BoxFuture<'_, Response> {
         Box::pin(async { text(StatusCode::OK, vec![b'x'; SIZE]) })
     }
