--- a/acaciaringd/src/upstream/mod.rs
+++ b/acaciaringd/src/upstream/mod.rs
@@ -22,7 +22,7 @@
 
 mod answer;
 mod cancel;
-mod outlet;
+mod client;
 pub(crate) mod transport;
 
 use std::fmt::{self, Debug, Formatter};
@@ -39,8 +39,8 @@
 use crate::header::{self, Headers};
 use crate::trace::{Hex, TRACEPARENT, TraceContext};
 pub use crate::upstream::answer::UpstreamAnswer;
-pub(crate) use crate::upstream::outlet::ThreadedClient;
-pub use crate::upstream::outlet::{OrderCall, UpstreamClient, UpstreamRequest};
+pub(crate) use crate::upstream::client::ThreadedClient;
+pub use crate::upstream::client::{OrderCall, UpstreamClient, UpstreamRequest};
 use crate::upstream::transport::{NumericResolver, TrackingConnector};
 
 /// Settings of the client of the upstream.
