--- a/acaciaringd/src/control/roles.rs
+++ b/acaciaringd/src/control/roles.rs
@@ -96,7 +96,7 @@
             self.roles.current.remove(&unit_key);
             self.roles.handovers.remove(&unit_key);
             let role = if self.has_slot(&unit_key) { Role::Merge } else { Role::Nothing };
-            self.context.gate.dedup.take_up(now, &unit_key.0, unit_key.1, role);
+            self.context.gate.dedup.set_role(now, &unit_key.0, unit_key.1, role);
         }
     }
 
@@ -118,7 +118,7 @@
             Role::Takeover => self.context.metrics.count(Counter::UnitsTakenOver, 1),
             Role::FirstOwner | Role::Split | Role::Merge | Role::Standby(_) | Role::Nothing => {}
         }
-        self.context.gate.dedup.take_up(now, &unit_key.0, unit_key.1, role);
+        self.context.gate.dedup.set_role(now, &unit_key.0, unit_key.1, role);
         self.roles.current.insert(unit_key, role_here);
     }
 
@@ -156,7 +156,7 @@
     pub(super) fn forget_roles(&mut self) {
         let now = crate::clock::now();
         for ((workspace, unit), _) in self.roles.current.drain() {
-            self.context.gate.dedup.take_up(now, &workspace, unit, Role::Nothing);
+            self.context.gate.dedup.set_role(now, &workspace, unit, Role::Nothing);
         }
         self.roles.inheritances.clear();
         self.roles.handovers.clear();
--- a/acaciaringd/src/daemon/options.rs
+++ b/acaciaringd/src/daemon/options.rs
@@ -66,7 +66,7 @@
 
 /// Returns the limits of the gate.
 pub(super) fn gate_settings(settings: &Settings) -> GateSettings {
-    GateSettings { admission: admission_settings(settings), rates: heat_settings(settings) }
+    GateSettings { admission: admission_settings(settings), rate_settings: heat_settings(settings) }
 }
 
 /// Returns the settings of admission beside the upstream.
--- a/acaciaringd/src/gate/dedup.rs
+++ b/acaciaringd/src/gate/dedup.rs
@@ -47,12 +47,12 @@
 }
 
 impl Dedup {
-    fn with<T>(&self, workspace: &Name, act: impl FnOnce(&mut Table) -> T) -> T {
+    fn with_table<T>(&self, workspace: &Name, apply: impl FnOnce(&mut Table) -> T) -> T {
         let mut tables = self.tables.lock();
         let table = tables
             .entry(Arc::clone(workspace))
             .or_insert_with(|| Table::new(DedupSettings::default()));
-        act(table)
+        apply(table)
     }
 
     /// Returns the number of requests that are remembered.
@@ -61,8 +61,8 @@
     }
 
     /// Takes up a role for a unit.
-    pub(crate) fn take_up(&self, now: Time, workspace: &Name, unit: UnitId, role: Role) {
-        self.with(workspace, |table| match role {
+    pub(crate) fn set_role(&self, now: Time, workspace: &Name, unit: UnitId, role: Role) {
+        self.with_table(workspace, |table| match role {
             Role::FirstOwner => table.become_first_owner(unit),
             Role::Handover(inheritance) => {
                 let entries = entries(&inheritance.entries, unit);
@@ -84,7 +84,7 @@
         unit: UnitId,
         id: RequestId,
     ) -> Begin<Answer> {
-        self.with(workspace, |table| table.begin(now, id, unit))
+        self.with_table(workspace, |table| table.begin(now, id, unit))
     }
 
     /// Notes the answer of a request.
@@ -97,17 +97,17 @@
         answer: Answer,
     ) {
         let bytes = answer.body.len();
-        self.with(workspace, |table| table.finish(now, id, unit, answer, bytes));
+        self.with_table(workspace, |table| table.finish(now, id, unit, answer, bytes));
     }
 
     /// Notes that a request may have run and has no answer.
     pub(crate) fn unknown(&self, now: Time, workspace: &Name, unit: UnitId, id: RequestId) {
-        self.with(workspace, |table| table.unknown(now, id, unit));
+        self.with_table(workspace, |table| table.unknown(now, id, unit));
     }
 
     /// Notes that a request did not run.
     pub(crate) fn not_run(&self, workspace: &Name, unit: UnitId, id: RequestId) {
-        self.with(workspace, |table| table.not_run(id, unit));
+        self.with_table(workspace, |table| table.not_run(id, unit));
     }
 
     /// Notes what the owner is about to run; false forbids it.
@@ -119,7 +119,7 @@
         id: RequestId,
         version: Offset,
     ) -> bool {
-        self.with(workspace, |table| table.intent(now, id, unit, version))
+        self.with_table(workspace, |table| table.intent(now, id, unit, version))
     }
 
     /// Notes how a request of the owner ended.
@@ -135,7 +135,7 @@
             let bytes = answer.body.len();
             (Arc::new(answer), bytes)
         });
-        self.with(workspace, |table| table.outcome(now, id, unit, answer));
+        self.with_table(workspace, |table| table.outcome(now, id, unit, answer));
     }
 
     /// Returns what is remembered of units, and for how long something else may have run.
@@ -145,7 +145,7 @@
         workspace: &Name,
         units: &[UnitId],
     ) -> (Vec<peer::DedupEntry>, Duration) {
-        self.with(workspace, |table| {
+        self.with_table(workspace, |table| {
             let slots: BTreeSet<_> = units.iter().map(|unit| unit.slot).collect();
             let entries = slots.into_iter().flat_map(|slot| table.export(now, UnitId::slot(slot)));
             let entries = entries.map(|entry| to_wire(&entry)).collect();
@@ -163,7 +163,7 @@
         list: &[peer::DedupEntry],
         blind: Duration,
     ) -> bool {
-        self.with(workspace, |table| {
+        self.with_table(workspace, |table| {
             let mut all = true;
             for unit in units {
                 all &= table.sync(now, *unit, entries(list, *unit), blind);
@@ -198,7 +198,7 @@
 
 fn from_wire(entry: &peer::DedupEntry) -> Option<DedupEntry<Answer>> {
     let id = RequestId(entry.id.as_slice().try_into().ok()?);
-    let memory = match (entry.state(), &entry.answer) {
+    let request_state = match (entry.state(), &entry.answer) {
         (peer::DedupState::Noted, _) => RequestState::Noted,
         (peer::DedupState::Done, Some(answer)) => {
             RequestState::Done { answer: Arc::new(answer.clone()), bytes: answer.body.len() }
@@ -206,5 +206,10 @@
         _ => RequestState::Unknown,
     };
     let unit = UnitId { slot: entry.slot, key: entry.key.map(KeyHash) };
-    Some(DedupEntry { unit, id, state: memory, age: Duration::from_millis(u64::from(entry.age)) })
+    Some(DedupEntry {
+        unit,
+        id,
+        state: request_state,
+        age: Duration::from_millis(u64::from(entry.age)),
+    })
 }
--- a/acaciaringd/src/gate/forward.rs
+++ b/acaciaringd/src/gate/forward.rs
@@ -8,7 +8,7 @@
 use acaciaring_core::{Reason, Refusal, Time};
 use acaciaring_schema::peer::Answer;
 
-use super::{Gate, Grant, Job, MOVING, request_id};
+use super::{Gate, Grant, Job, MOVE_RETRY, request_id};
 use crate::clock;
 use crate::metrics::{Counter, Timer};
 use crate::upstream::{Fence, UpstreamRequest};
@@ -19,10 +19,10 @@
 ///
 /// It covers the way to the upstream, so that a fenced upstream seldom has to
 /// refuse; the fence, not this margin, keeps a late request out.
-const RESERVE: Duration = Duration::from_millis(20);
+const LEASE_MARGIN: Duration = Duration::from_millis(20);
 
 /// Bound of a wait that something else ends.
-const FOREVER: Duration = Duration::from_mins(10);
+const CHANGE_TIMEOUT: Duration = Duration::from_mins(10);
 
 impl Gate {
     /// Waits for a place at the upstream and gives it the request.
@@ -34,7 +34,7 @@
         let attempt = job.request.attempt;
         let ticket = Ticket { rank: job.rank, deadline: job.aim, expiry: job.deadline, attempt };
         let moved = self.moved(job, grant);
-        let place = self.queue.enter(ticket, job.cancelled, moved).await?;
+        let permit = self.queue.enter(ticket, job.cancelled, moved).await?;
         let view = self.shared.view();
         let endpoint = view.endpoint.as_ref().ok_or(Refusal::not_run(Reason::UpstreamDown))?;
         if *endpoint.workspace != *job.workspace {
@@ -45,7 +45,7 @@
             return Err(Refusal::not_run(Reason::Cancelled));
         }
         let result = self.send(job, endpoint, fence).await;
-        place.finish(&result);
+        permit.finish(&result);
         result
     }
 
@@ -56,7 +56,7 @@
     async fn moved(&self, job: &Job<'_>, grant: Option<Grant>) -> Refusal {
         let Some(Grant { unit, .. }) = grant else { return future::pending().await };
         while self.shared.view().permit(&job.workspace, unit).is_some() {
-            self.shared.changed(FOREVER).await;
+            self.shared.changed(CHANGE_TIMEOUT).await;
         }
         Refusal::not_run(Reason::NotOwner)
     }
@@ -67,7 +67,7 @@
         endpoint: &UpstreamEndpoint,
         fence: Option<Fence>,
     ) -> Result<Answer, Refusal> {
-        let left = self.bound(job, endpoint, fence.is_some());
+        let left = self.time_limit(job, endpoint, fence.is_some());
         if left.is_zero() {
             return Err(Refusal::not_run(Reason::Expired));
         }
@@ -109,10 +109,10 @@
     /// An upstream that does not check fences could go on with a request after
     /// the lease has ended and the key has a new server, so its handler is bound
     /// by the lease as it stands.
-    fn bound(&self, job: &Job<'_>, endpoint: &UpstreamEndpoint, owned: bool) -> Duration {
+    fn time_limit(&self, job: &Job<'_>, endpoint: &UpstreamEndpoint, keyed: bool) -> Duration {
         let now = clock::now();
         let left = job.deadline.since(now);
-        if owned && !endpoint.fenced { left.min(self.shared.lease.get().since(now)) } else { left }
+        if keyed && !endpoint.fenced { left.min(self.shared.lease.get().since(now)) } else { left }
     }
 }
 
@@ -135,11 +135,11 @@
 /// whoever reads that lease and then the identity finds the new one.
 fn lease_end(shared: &Shared, now: Time, grant: Grant) -> Result<Time, Refusal> {
     let end = shared.lease.get();
-    let same = shared.view().me == Some(grant.member);
-    if same && now + RESERVE < end {
+    let same_member = shared.view().me == Some(grant.member);
+    if same_member && now + LEASE_MARGIN < end {
         return Ok(end);
     }
-    Err(Refusal::not_run(Reason::NoLease).after(MOVING))
+    Err(Refusal::not_run(Reason::NoLease).after(MOVE_RETRY))
 }
 
 #[cfg(test)]
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -35,18 +35,18 @@
 use crate::wire;
 
 /// Longest wait of a request for a unit that is about to become this member's.
-const HANDOVER: Duration = Duration::from_millis(250);
+const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(250);
 
 /// Part of what is left of its time that a request may wait so; 2 stands for a half.
 ///
 /// Guards against a refusal that comes with the deadline: its caller would have been held for nothing.
-const HANDOVER_PART: u32 = 2;
+const HANDOVER_WAIT_DIVISOR: u32 = 2;
 
 /// Stands for all requests to a service that is not divided by key.
-const POOLED: Slot = Slot::MAX;
+const POOLED_SLOT: Slot = Slot::MAX;
 
 /// Retry hint while a unit changes its server.
-const MOVING: Duration = Duration::from_millis(300);
+const MOVE_RETRY: Duration = Duration::from_millis(300);
 
 /// Right under which a request runs.
 #[derive(Debug, Clone, Copy)]
@@ -63,7 +63,7 @@
 pub(crate) struct GateSettings {
     pub(crate) admission: AdmissionSettings,
     /// How heat is measured.
-    pub(crate) rates: RateSettings,
+    pub(crate) rate_settings: RateSettings,
 }
 
 /// Gate in front of the upstream.
@@ -75,9 +75,9 @@
     pub(crate) dedup: Dedup,
     transport: Transport,
     outbox: Outbox,
-    heat: Mutex<HashMap<Name, RequestRates>>,
+    rates: Mutex<HashMap<Name, RequestRates>>,
     /// How heat is measured.
-    rates: RateSettings,
+    rate_settings: RateSettings,
     metrics: Metrics,
     events: Sender<Event>,
 }
@@ -105,7 +105,7 @@
         metrics: Metrics,
         events: Sender<Event>,
     ) -> Self {
-        let GateSettings { admission, rates } = settings;
+        let GateSettings { admission, rate_settings } = settings;
         let queue = Queue::new(admission, metrics.clone());
         Self {
             shared,
@@ -114,8 +114,8 @@
             dedup: Dedup::default(),
             transport,
             outbox,
-            heat: Mutex::default(),
-            rates,
+            rates: Mutex::default(),
+            rate_settings,
             metrics,
             events,
         }
@@ -149,7 +149,7 @@
         cancelled: &CancelFlag,
     ) -> Result<Answer, Refusal> {
         let view = self.shared.view();
-        let me = view.me.ok_or(Refusal::not_run(Reason::NoLease).after(MOVING))?;
+        let me = view.me.ok_or(Refusal::not_run(Reason::NoLease).after(MOVE_RETRY))?;
         if request.target != me.0 {
             // The caller means an earlier process on this address.
             return Err(Refusal::not_run(Reason::NotOwner));
@@ -163,17 +163,17 @@
         let aim = if request.aim > 0 { deadline.min(aim) } else { deadline };
         let job = Job { request, workspace, rank, repeat, deadline, aim, cancelled };
         if view.closed {
-            return Err(Refusal::not_run(Reason::Draining).after(MOVING));
+            return Err(Refusal::not_run(Reason::Draining).after(MOVE_RETRY));
         }
         if let Some(key) = request.key.filter(|_| keyed) {
-            return self.keyed(&job, KeyHash(key)).await;
+            return self.serve_keyed(&job, KeyHash(key)).await;
         }
         // A member that may be evicted must not act on an old configuration.
         if !self.shared.declares && now >= self.shared.lease.get() {
-            return Err(Refusal::not_run(Reason::NoLease).after(MOVING));
+            return Err(Refusal::not_run(Reason::NoLease).after(MOVE_RETRY));
         }
         // Registered so that a planned stop waits for it.
-        let _guard = self.shared.inflight.enter(&job.workspace, POOLED, KeyHash(0));
+        let _guard = self.shared.inflight.enter(&job.workspace, POOLED_SLOT, KeyHash(0));
         self.forward(&job, None).await
     }
 
@@ -193,17 +193,17 @@
         }
     }
 
-    async fn keyed(&self, job: &Job<'_>, key: KeyHash) -> Result<Answer, Refusal> {
+    async fn serve_keyed(&self, job: &Job<'_>, key: KeyHash) -> Result<Answer, Refusal> {
         let (grant, guard) = self.grant(job, key).await?;
         self.record(&job.workspace, grant.unit, key);
         let answer = match job.repeat {
-            Repeat::Once if !job.request.single => self.once(job, grant).await,
+            Repeat::Once if !job.request.single => self.run_once(job, grant).await,
             Repeat::Once | Repeat::Idempotent => self.forward(job, Some(grant)).await,
         };
         drop(guard);
-        let misplaced = |refusal: &Refusal| refusal.reason == Reason::NotOwner;
-        let mine = || self.shared.view().permit(&job.workspace, grant.unit).is_some();
-        if answer.as_ref().is_err_and(misplaced) && mine() {
+        let not_owner = |refusal: &Refusal| refusal.reason == Reason::NotOwner;
+        let served = || self.shared.view().permit(&job.workspace, grant.unit).is_some();
+        if answer.as_ref().is_err_and(not_owner) && served() {
             // Control has ended only when the process is about to exit.
             let _ = self.events.send(Event::UnitDenied(Arc::clone(&job.workspace), grant.unit));
         }
@@ -213,7 +213,8 @@
     /// Waits until this member may serve the key, within bounds.
     async fn grant(&self, job: &Job<'_>, key: KeyHash) -> Result<(Grant, InflightGuard), Refusal> {
         let start = clock::now();
-        let patience = start + HANDOVER.min(job.deadline.since(start) / HANDOVER_PART);
+        let wait_end =
+            start + MAX_HANDOVER_WAIT.min(job.deadline.since(start) / HANDOVER_WAIT_DIVISOR);
         loop {
             let now = clock::now();
             let unit = self
@@ -235,10 +236,10 @@
                 Some(Permit::Serve { .. } | Permit::Wait) => {}
             }
             drop(guard);
-            if now >= patience {
-                return Err(Refusal::not_run(Reason::NoLease).after(MOVING));
+            if now >= wait_end {
+                return Err(Refusal::not_run(Reason::NoLease).after(MOVE_RETRY));
             }
-            self.shared.changed(patience.since(now).min(Duration::from_millis(50))).await;
+            self.shared.changed(wait_end.since(now).min(Duration::from_millis(50))).await;
         }
     }
 
@@ -294,7 +295,7 @@
     )]
     pub(crate) fn rate(&self) -> u64 {
         let now = clock::now();
-        let total: f64 = self.heat.lock().values().map(|heat| heat.total(now)).sum();
+        let total: f64 = self.rates.lock().values().map(|rates| rates.total(now)).sum();
         (total * 1000.0) as u64
     }
 
@@ -312,18 +313,19 @@
     pub(crate) fn with_rates<T>(
         &self,
         workspace: &Name,
-        look: impl FnOnce(&mut RequestRates) -> T,
+        apply: impl FnOnce(&mut RequestRates) -> T,
     ) -> T {
         let now = clock::now();
-        let mut heat = self.heat.lock();
-        look(
-            heat.entry(Arc::clone(workspace))
-                .or_insert_with(|| RequestRates::new(now, self.rates.clone())),
+        let mut rates = self.rates.lock();
+        apply(
+            rates
+                .entry(Arc::clone(workspace))
+                .or_insert_with(|| RequestRates::new(now, self.rate_settings.clone())),
         )
     }
 
     fn record(&self, workspace: &Name, unit: UnitId, key: KeyHash) {
-        self.with_rates(workspace, |heat| heat.record(clock::now(), unit, key));
+        self.with_rates(workspace, |rates| rates.record(clock::now(), unit, key));
     }
 
     fn owner_hint(&self, request: &Request) -> u64 {
@@ -348,7 +350,7 @@
 /// over. Whoever takes its place later was not told what ran, and answers
 /// `Unknown` for what it does not know. So a lost standby does not hold up its
 /// owner while the log cannot record another one.
-fn replica(view: &View, workspace: &str, grant: Grant) -> Option<MemberId> {
+fn standby_to_notify(view: &View, workspace: &str, grant: Grant) -> Option<MemberId> {
     let assignment = view.assignment(workspace, grant.unit)?;
     let standby = assignment.standby.filter(|standby| Some(*standby) != view.me)?;
     (!view.expired.contains(&standby)).then_some(standby)
--- a/acaciaringd/src/gate/once.rs
+++ b/acaciaringd/src/gate/once.rs
@@ -9,28 +9,28 @@
 
 use tokio::time::sleep;
 
-use super::{Gate, Grant, Job, replica, request_id};
+use super::{Gate, Grant, Job, request_id, standby_to_notify};
 use crate::clock;
 use crate::metrics::Counter;
 use crate::wire;
 
 /// Longest wait for the standby's acknowledgement of an intent.
-const INTENT: Duration = Duration::from_millis(150);
+const INTENT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Interval at which a second try looks whether the first has ended.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// When a caller may come back after the standby could not be told.
-const STANDBY: Duration = Duration::from_millis(300);
+const STANDBY_RETRY: Duration = Duration::from_millis(300);
 
 impl Gate {
     /// Runs a request unless it ran before, or may have run before.
-    pub(super) async fn once(&self, job: &Job<'_>, grant: Grant) -> Result<Answer, Refusal> {
+    pub(super) async fn run_once(&self, job: &Job<'_>, grant: Grant) -> Result<Answer, Refusal> {
         let id = request_id(job.request)?;
         loop {
             let now = clock::now();
             match self.dedup.begin(now, &job.workspace, grant.unit, id) {
-                Begin::Run => return self.first(job, grant, id).await,
+                Begin::Run => return self.run_first(job, grant, id).await,
                 Begin::Done(answer) => {
                     self.metrics.count(Counter::RequestsRepeated, 1);
                     return Ok(Answer::clone(&answer));
@@ -43,7 +43,7 @@
                 Begin::Running if job.cancelled.is_set() => {
                     return Err(Refusal::unknown(Reason::Cancelled));
                 }
-                Begin::Running => sleep(LOOK).await,
+                Begin::Running => sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -54,17 +54,22 @@
     /// and the standby, now the owner, would not know. Nothing runs here before
     /// the standby has acknowledged the identity, and it acknowledges none once
     /// it has taken over.
-    async fn first(&self, job: &Job<'_>, grant: Grant, id: RequestId) -> Result<Answer, Refusal> {
-        let running = Running { gate: self, job, grant, id, ended: false };
-        let result = match self.intend(job, grant, id).await {
+    async fn run_first(
+        &self,
+        job: &Job<'_>,
+        grant: Grant,
+        id: RequestId,
+    ) -> Result<Answer, Refusal> {
+        let running = Running { gate: self, job, grant, id, finished: false };
+        let result = match self.announce_intent(job, grant, id).await {
             Ok(()) => self.forward(job, Some(grant)).await,
             Err(refusal) => Err(refusal),
         };
-        running.end(&result);
+        running.finish(&result);
         result
     }
 
-    fn remember(
+    fn record_result(
         &self,
         job: &Job<'_>,
         grant: Grant,
@@ -75,7 +80,7 @@
         match result {
             Ok(answer) => {
                 self.dedup.finish(now, &job.workspace, grant.unit, id, Arc::new(answer.clone()));
-                self.report(job, grant, id, answer.clone());
+                self.send_outcome(job, grant, id, answer.clone());
             }
             Err(refusal) if refusal.verdict == Verdict::NotRun => {
                 self.dedup.not_run(&job.workspace, grant.unit, id);
@@ -85,12 +90,17 @@
     }
 
     /// Tells the standby what is about to run.
-    async fn intend(&self, job: &Job<'_>, grant: Grant, id: RequestId) -> Result<(), Refusal> {
+    async fn announce_intent(
+        &self,
+        job: &Job<'_>,
+        grant: Grant,
+        id: RequestId,
+    ) -> Result<(), Refusal> {
         let view = self.shared.view();
-        let Some(standby) = replica(&view, &job.workspace, grant) else { return Ok(()) };
-        let lost = Refusal::not_run(Reason::StandbyLost).after(STANDBY);
-        let place = (Arc::clone(&job.workspace), grant.unit);
-        if view.synced.get(&place) != Some(&standby) {
+        let Some(standby) = standby_to_notify(&view, &job.workspace, grant) else { return Ok(()) };
+        let lost = Refusal::not_run(Reason::StandbyLost).after(STANDBY_RETRY);
+        let unit_key = (Arc::clone(&job.workspace), grant.unit);
+        if view.synced.get(&unit_key) != Some(&standby) {
             return Err(lost);
         }
         let address = view.peer(standby).ok_or(lost)?;
@@ -102,7 +112,7 @@
             version: grant.version,
             id: id.0.to_vec(),
         };
-        let timeout = job.deadline.since(clock::now()).min(INTENT);
+        let timeout = job.deadline.since(clock::now()).min(INTENT_TIMEOUT);
         match self.transport.call(address, call::Body::Intent(intent), timeout).await {
             Ok(reply::Body::Intent(reply)) if reply.accepted => Ok(()),
             _ => Err(lost),
@@ -110,9 +120,10 @@
     }
 
     /// Sends the result to the standby in the background.
-    fn report(&self, job: &Job<'_>, grant: Grant, id: RequestId, answer: Answer) {
+    fn send_outcome(&self, job: &Job<'_>, grant: Grant, id: RequestId, answer: Answer) {
         let view = self.shared.view();
-        let standby = replica(&view, &job.workspace, grant).and_then(|standby| view.peer(standby));
+        let standby =
+            standby_to_notify(&view, &job.workspace, grant).and_then(|standby| view.peer(standby));
         let Some(address) = standby else { return };
         let entry = DedupEntry {
             slot: grant.unit.slot,
@@ -136,21 +147,21 @@
     job: &'a Job<'a>,
     grant: Grant,
     id: RequestId,
-    ended: bool,
+    finished: bool,
 }
 
 impl Running<'_> {
-    fn end(mut self, result: &Result<Answer, Refusal>) {
-        self.ended = true;
-        self.gate.remember(self.job, self.grant, self.id, result);
+    fn finish(mut self, result: &Result<Answer, Refusal>) {
+        self.finished = true;
+        self.gate.record_result(self.job, self.grant, self.id, result);
     }
 }
 
 impl Drop for Running<'_> {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.finished {
             let lost = Err(Refusal::unknown(Reason::LostAnswer));
-            self.gate.remember(self.job, self.grant, self.id, &lost);
+            self.gate.record_result(self.job, self.grant, self.id, &lost);
         }
     }
 }
--- a/acaciaringd/src/gate/queue.rs
+++ b/acaciaringd/src/gate/queue.rs
@@ -18,13 +18,13 @@
 use crate::peer::CancelFlag;
 
 /// Interval at which one of the waiting requests looks what can no longer be served.
-const LOOK: Duration = Duration::from_millis(20);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Interval at which the other ones see whether one of them looks, or their own time is over.
 ///
 /// Guards against a flood in which each waiting request wakes up fifty times a second to look
 /// through all others, so that the work grows with the square of their number.
-const TURN: Duration = Duration::from_millis(250);
+const WAIT_INTERVAL: Duration = Duration::from_millis(250);
 
 type Decision = Result<(), Refusal>;
 
@@ -36,7 +36,7 @@
     slots: u32,
     announced: Mutex<Option<Announced>>,
     /// True while a waiting request looks for all of them.
-    looking: AtomicBool,
+    sweeping: AtomicBool,
 }
 
 /// What the upstream last said of itself.
@@ -48,7 +48,7 @@
 }
 
 /// A place at the upstream; it must be finished.
-pub(crate) struct Place<'a> {
+pub(crate) struct ConcurrencyPermit<'a> {
     queue: &'a Queue,
     attempt: u64,
     start: Time,
@@ -60,8 +60,8 @@
     pub(crate) fn new(settings: AdmissionSettings, metrics: Metrics) -> Self {
         let slots = settings.slots;
         let admission = Mutex::new(Admission::new(settings));
-        let looking = AtomicBool::new(false);
-        Self { admission, metrics, slots, announced: Mutex::default(), looking }
+        let sweeping = AtomicBool::new(false);
+        Self { admission, metrics, slots, announced: Mutex::default(), sweeping }
     }
 
     /// Returns requests in flight and waiting, and the bound; 0 while the upstream asks to be left alone.
@@ -121,11 +121,11 @@
         ticket: Ticket,
         cancelled: &CancelFlag,
         moved: impl Future<Output = Refusal>,
-    ) -> Result<Place<'_>, Refusal> {
+    ) -> Result<ConcurrencyPermit<'_>, Refusal> {
         let start = clock::now();
         let result = self.admit(ticket, cancelled, moved).await;
         match &result {
-            Ok(place) => self.metrics.time(Timer::Queue, place.start.since(start)),
+            Ok(permit) => self.metrics.time(Timer::Queue, permit.start.since(start)),
             Err(Refusal { reason: Reason::Expired, .. }) => {
                 self.metrics.count(Counter::QueueExpired, 1);
             }
@@ -140,7 +140,7 @@
         ticket: Ticket,
         cancelled: &CancelFlag,
         moved: impl Future<Output = Refusal>,
-    ) -> Result<Place<'_>, Refusal> {
+    ) -> Result<ConcurrencyPermit<'_>, Refusal> {
         let (sender, decision) = oneshot::channel();
         let attempt = ticket.attempt;
         let now = clock::now();
@@ -152,31 +152,31 @@
                 let waiting = Waiting { queue: self, attempt, done: false };
                 tokio::select! {
                     biased;
-                    decided = waiting.decide(decision, ticket.expiry, cancelled) => decided?,
+                    decided = waiting.wait(decision, ticket.expiry, cancelled) => decided?,
                     refusal = moved => return Err(refusal),
                 }
             }
             Offer::Refused(_, refusal) => return Err(refusal),
         }
-        Ok(Place { queue: self, attempt, start: clock::now(), finished: false })
+        Ok(ConcurrencyPermit { queue: self, attempt, start: clock::now(), finished: false })
     }
 
     /// Tells the waiting requests what expired.
-    fn notify(&self, now: Time) {
+    fn refuse_expired(&self, now: Time) {
         let expired = self.admission.lock().expire(now);
         refuse(expired);
     }
 
-    fn finish(&self, attempt: u64, took: Duration, ending: Completion, shed: Option<Duration>) {
+    fn finish(&self, attempt: u64, took: Duration, completion: Completion, shed: Option<Duration>) {
         let now = clock::now();
         let (refused, started) = {
             let mut admission = self.admission.lock();
             let refused = shed.map(|retry| admission.shed(now, retry));
-            (refused, admission.finish(now, attempt, took, ending))
+            (refused, admission.finish(now, attempt, took, completion))
         };
         refuse(refused.into_iter().flatten());
         start(started);
-        self.notify(now);
+        self.refuse_expired(now);
     }
 }
 
@@ -209,15 +209,15 @@
 
 impl Waiting<'_> {
     /// Waits until the request has a place or is refused.
-    async fn decide(
+    async fn wait(
         mut self,
         mut decision: Receiver<Decision>,
         deadline: Time,
         cancelled: &CancelFlag,
     ) -> Result<(), Refusal> {
         loop {
-            let turn = Turn::take(&self.queue.looking);
-            let pause = if turn.is_some() { LOOK } else { TURN };
+            let sweep = SweepGuard::try_acquire(&self.queue.sweeping);
+            let pause = if sweep.is_some() { SWEEP_INTERVAL } else { WAIT_INTERVAL };
             let pause = pause.min(deadline.since(clock::now()));
             tokio::select! {
                 biased;
@@ -233,7 +233,7 @@
                 (true, _) => Reason::Cancelled,
                 (false, true) => Reason::Expired,
                 (false, false) => {
-                    self.queue.notify(now);
+                    self.queue.refuse_expired(now);
                     continue;
                 }
             };
@@ -259,24 +259,24 @@
 }
 
 /// Duty of the one waiting request that looks for all; free again when dropped.
-struct Turn<'a>(&'a AtomicBool);
+struct SweepGuard<'a>(&'a AtomicBool);
 
-impl<'a> Turn<'a> {
-    fn take(looking: &'a AtomicBool) -> Option<Self> {
-        (!looking.swap(true, Ordering::AcqRel)).then_some(Self(looking))
+impl<'a> SweepGuard<'a> {
+    fn try_acquire(sweeping: &'a AtomicBool) -> Option<Self> {
+        (!sweeping.swap(true, Ordering::AcqRel)).then_some(Self(sweeping))
     }
 }
 
-impl Drop for Turn<'_> {
+impl Drop for SweepGuard<'_> {
     fn drop(&mut self) {
         self.0.store(false, Ordering::Release);
     }
 }
 
-impl Place<'_> {
+impl ConcurrencyPermit<'_> {
     /// Frees the place with what came of the request.
     pub(crate) fn finish(mut self, result: &Result<Answer, Refusal>) {
-        let (ending, shed) = match result {
+        let (completion, shed) = match result {
             Ok(_) => (Completion::Answered, None),
             Err(Refusal { reason: Reason::Busy | Reason::Shed, retry, .. }) => {
                 (Completion::Refused, *retry)
@@ -284,22 +284,22 @@
             Err(Refusal { verdict: Verdict::NotRun, .. }) => (Completion::Refused, None),
             Err(_) => (Completion::Unanswered, None),
         };
-        self.free(ending, shed);
+        self.release(completion, shed);
     }
 
-    fn free(&mut self, ending: Completion, shed: Option<Duration>) {
+    fn release(&mut self, completion: Completion, shed: Option<Duration>) {
         if self.finished {
             return;
         }
         self.finished = true;
         let took = clock::now().since(self.start);
-        self.queue.finish(self.attempt, took, ending, shed);
+        self.queue.finish(self.attempt, took, completion, shed);
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for ConcurrencyPermit<'_> {
     fn drop(&mut self) {
-        self.free(Completion::Unanswered, None);
+        self.release(Completion::Unanswered, None);
     }
 }
 
