--- a/acaciaringd/src/gate/dedup.rs
+++ b/acaciaringd/src/gate/dedup.rs
@@ -1,4 +1,4 @@
-//! Memory of requests that may run at most once, one table per workspace.
+//! Deduplication state of requests that may run at most once, one table per workspace.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,33 +14,34 @@
 type Answer = Arc<peer::Answer>;
 type Table = DedupTable<Answer>;
 
-/// What a member comes to do for a unit.
+/// New role of this member for a unit, with regard to deduplication.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Role {
-    /// Serves a unit that never had a server before.
+    /// Owner of a unit that never had an owner.
     FirstOwner,
-    /// Serves after the former server has released the unit, with what that one remembers.
+    /// Owner after a release by the former owner, with its deduplication state.
     Handover(Inheritance),
-    /// Serves after the former server was lost.
+    /// Owner after the former owner has failed.
     Takeover,
-    /// Serves a hot key that was split out of a slot that this member serves.
+    /// Owner of a hot key that was split from a slot owned by this member.
     Split,
-    /// Serves or stands by for a slot to which the hot key has returned.
+    /// Owner or standby of the slot into which the hot key was merged.
     Merge,
-    /// Stands by under a version.
+    /// Standby under an assignment version.
     Standby(Offset),
-    /// Does nothing for the unit any more.
+    /// No role for the unit.
     Nothing,
 }
 
-/// What the former server of a unit remembers.
+/// Deduplication state of the former owner of a unit.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Inheritance {
     pub(crate) entries: Vec<peer::DedupEntry>,
+    /// Time for which the state is incomplete: other requests may have run.
     pub(crate) blind: Duration,
 }
 
-/// Tables of all workspaces.
+/// Deduplication tables of all workspaces.
 #[derive(Debug, Default)]
 pub(crate) struct Dedup {
     tables: Mutex<HashMap<Name, Table>>,
@@ -55,12 +56,12 @@
         apply(table)
     }
 
-    /// Returns the number of requests that are remembered.
+    /// Returns the number of recorded requests.
     pub(crate) fn len(&self) -> usize {
         self.tables.lock().values().map(Table::len).sum()
     }
 
-    /// Takes up a role for a unit.
+    /// Applies a new role for a unit.
     pub(crate) fn set_role(&self, now: Time, workspace: &Name, unit: UnitId, role: Role) {
         self.with_table(workspace, |table| match role {
             Role::FirstOwner => table.become_first_owner(unit),
@@ -76,7 +77,7 @@
         });
     }
 
-    /// Decides about a request that is about to run.
+    /// Decides whether a request may run, and records it if so.
     pub(crate) fn begin(
         &self,
         now: Time,
@@ -87,7 +88,7 @@
         self.with_table(workspace, |table| table.begin(now, id, unit))
     }
 
-    /// Notes the answer of a request.
+    /// Records the answer of a request.
     pub(crate) fn finish(
         &self,
         now: Time,
@@ -100,17 +101,17 @@
         self.with_table(workspace, |table| table.finish(now, id, unit, answer, bytes));
     }
 
-    /// Notes that a request may have run and has no answer.
+    /// Records that a request may have run and has no answer.
     pub(crate) fn unknown(&self, now: Time, workspace: &Name, unit: UnitId, id: RequestId) {
         self.with_table(workspace, |table| table.unknown(now, id, unit));
     }
 
-    /// Notes that a request did not run.
+    /// Records that a request did not run.
     pub(crate) fn not_run(&self, workspace: &Name, unit: UnitId, id: RequestId) {
         self.with_table(workspace, |table| table.not_run(id, unit));
     }
 
-    /// Notes what the owner is about to run; false forbids it.
+    /// Records a request that the owner is about to run; false if it must not run.
     pub(crate) fn intent(
         &self,
         now: Time,
@@ -122,7 +123,7 @@
         self.with_table(workspace, |table| table.intent(now, id, unit, version))
     }
 
-    /// Notes how a request of the owner ended.
+    /// Records the result of a request that the owner ran.
     pub(crate) fn outcome(
         &self,
         now: Time,
@@ -138,7 +139,7 @@
         self.with_table(workspace, |table| table.outcome(now, id, unit, answer));
     }
 
-    /// Returns what is remembered of units, and for how long something else may have run.
+    /// Returns the state of units, and the time for which it is incomplete.
     pub(crate) fn export(
         &self,
         now: Time,
@@ -154,7 +155,7 @@
         })
     }
 
-    /// Takes in what the owner of units remembers; false when this member does not stand by for all of them yet.
+    /// Stores the owner's state; false if this member is not yet the standby of all the units.
     pub(crate) fn sync(
         &self,
         now: Time,
--- a/acaciaringd/src/gate/forward.rs
+++ b/acaciaringd/src/gate/forward.rs
@@ -1,4 +1,4 @@
-//! The way from the gate to the upstream.
+//! Forwarding of admitted requests to the local upstream.
 
 use std::future;
 use std::sync::Arc;
@@ -15,17 +15,17 @@
 use crate::view::{Shared, UpstreamEndpoint};
 use crate::wire;
 
-/// Time left of the lease below which nothing is given to the upstream.
+/// Remaining lease time below which no request is sent to the upstream.
 ///
-/// It covers the way to the upstream, so that a fenced upstream seldom has to
-/// refuse; the fence, not this margin, keeps a late request out.
+/// Covers the transmission, so that a fenced upstream rarely refuses. Safety rests on the fence,
+/// not on this margin.
 const LEASE_MARGIN: Duration = Duration::from_millis(20);
 
-/// Bound of a wait that something else ends.
+/// Timeout of one wait for a change of the view; the wait is repeated.
 const CHANGE_TIMEOUT: Duration = Duration::from_mins(10);
 
 impl Gate {
-    /// Waits for a place at the upstream and gives it the request.
+    /// Waits for admission and sends the request to the upstream.
     pub(super) async fn forward(
         &self,
         job: &Job<'_>,
@@ -49,10 +49,10 @@
         result
     }
 
-    /// Waits until a unit is no longer served here.
+    /// Completes when the unit is no longer served here.
     ///
-    /// Guards against a move of a busy unit: its waiting requests would run here first, each as
-    /// late as the queue is long, and the next server would have to wait for the last of them.
+    /// Guards against slow handovers of busy units: queued requests leave the queue at once, so the
+    /// next owner does not wait until all of them have run here.
     async fn moved(&self, job: &Job<'_>, grant: Option<Grant>) -> Refusal {
         let Some(Grant { unit, .. }) = grant else { return future::pending().await };
         while self.shared.view().permit(&job.workspace, unit).is_some() {
@@ -92,7 +92,7 @@
             Err(Refusal { reason: Reason::Busy | Reason::Shed, .. }) => {
                 self.metrics.count(Counter::UpstreamShed, 1);
             }
-            // The upstream itself knows of no lease but by the fence.
+            // The upstream refuses for a missing lease only by the fence.
             Err(Refusal { reason: Reason::NoLease, .. }) => {
                 self.metrics.count(Counter::UpstreamFenced, 1);
             }
@@ -106,9 +106,8 @@
 
     /// Returns the time that a request may take.
     ///
-    /// An upstream that does not check fences could go on with a request after
-    /// the lease has ended and the key has a new server, so its handler is bound
-    /// by the lease as it stands.
+    /// An upstream without fencing could still run a request after the lease has expired and the
+    /// key has a new owner, so the remaining lease limits the time.
     fn time_limit(&self, job: &Job<'_>, endpoint: &UpstreamEndpoint, keyed: bool) -> Duration {
         let now = clock::now();
         let left = job.deadline.since(now);
@@ -116,23 +115,21 @@
     }
 }
 
-/// Checks the lease last thing before the request goes to the upstream.
+/// Checks the lease immediately before the request is sent to the upstream.
 ///
-/// Guards against a pause between the first check and the write: the member
-/// wakes up after its lease has ended and the key has a new owner. A fenced
-/// upstream refuses by `until`; for one that does not check, this check
-/// narrows the window and does not close it.
+/// Guards against a process pause after the first check, during which the lease expires and the key
+/// gets a new owner. A fenced upstream refuses by `until`; without fencing this check narrows the
+/// window but does not close it.
 fn fence(shared: &Shared, endpoint: &UpstreamEndpoint, grant: Grant) -> Result<Fence, Refusal> {
     let end = lease_end(shared, clock::now(), grant)?;
     Ok(Fence { unit: grant.unit, token: grant.token, until: endpoint.until(end) })
 }
 
-/// Returns the end of the lease under which a right was found.
+/// Returns the end of the lease of the identity in the grant.
 ///
-/// Guards against a request that waits here while this process is evicted and
-/// joins anew: the lease of the new identity would let it run beside the new
-/// owner of the key. Control publishes an identity before its first lease, so
-/// whoever reads that lease and then the identity finds the new one.
+/// Guards against a request that is queued while this process is evicted and rejoins: under the
+/// lease of the new identity it would run concurrently with the new owner of the key. Control
+/// publishes an identity before its first lease, so the lease must be read before the identity.
 fn lease_end(shared: &Shared, now: Time, grant: Grant) -> Result<Time, Refusal> {
     let end = shared.lease.get();
     let same_member = shared.view().me == Some(grant.member);
--- a/acaciaringd/src/gate/forward/tests.rs
+++ b/acaciaringd/src/gate/forward/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the last check before a request goes to the upstream.
+//! Tests of the lease check before a request is sent to the upstream.
 
 use acaciaring_core::{MemberId, Reason, Time, Token, UnitId};
 
@@ -14,9 +14,8 @@
     shared.lease.set(end);
 }
 
-// A signature waits in the queue beside the upstream. Meanwhile the process is paused, evicted, and
-// joins anew; it has a lease again, and the key has another owner, which runs the signature's
-// retry. The waiting one must not run under the right that it found before the pause.
+// Guards against a queued request that runs after its process was evicted and has rejoined: the new
+// owner of the key may have run a retry of it.
 #[test]
 fn a_right_ends_with_the_identity_that_had_it() {
     let shared = Shared::default();
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -1,4 +1,4 @@
-//! Gate: every request to the upstream beside this member passes through it.
+//! Gate: checks ownership, admission and deduplication of each request to the local upstream.
 
 mod dedup;
 mod forward;
@@ -34,68 +34,68 @@
 use crate::view::{Permit, Shared, View};
 use crate::wire;
 
-/// Longest wait of a request for a unit that is about to become this member's.
+/// Maximum wait of a request for a unit whose handover to this member is in progress.
 const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(250);
 
-/// Part of what is left of its time that a request may wait so; 2 stands for a half.
+/// Divisor of a request's remaining time that gives its maximum wait for a handover.
 ///
-/// Guards against a refusal that comes with the deadline: its caller would have been held for nothing.
+/// Leaves the caller time to retry elsewhere after a refusal.
 const HANDOVER_WAIT_DIVISOR: u32 = 2;
 
-/// Stands for all requests to a service that is not divided by key.
+/// Slot under which requests to services that are not partitioned by key are counted in flight.
 const POOLED_SLOT: Slot = Slot::MAX;
 
-/// Retry hint while a unit changes its server.
+/// Retry hint while this member cannot serve: a unit moves, the lease is missing, or it drains.
 const MOVE_RETRY: Duration = Duration::from_millis(300);
 
-/// Right under which a request runs.
+/// Ownership under which a request runs.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Grant {
-    /// Identity of this process under which the right was found.
+    /// Member identity of this process when ownership was checked.
     member: MemberId,
     unit: UnitId,
     token: Token,
     version: Offset,
 }
 
-/// Limits of a gate.
+/// Settings of a gate.
 #[derive(Debug, Clone)]
 pub(crate) struct GateSettings {
     pub(crate) admission: AdmissionSettings,
-    /// How heat is measured.
+    /// Measurement of request rates.
     pub(crate) rate_settings: RateSettings,
 }
 
-/// Gate in front of the upstream.
+/// Gate in front of the local upstream.
 pub(crate) struct Gate {
     shared: Arc<Shared>,
     upstream_client: Arc<dyn UpstreamClient>,
     queue: Queue,
-    /// Memory of requests that may run once.
+    /// Deduplication state of requests that may run at most once.
     pub(crate) dedup: Dedup,
     transport: Transport,
     outbox: Outbox,
+    /// Request rates by workspace.
     rates: Mutex<HashMap<Name, RequestRates>>,
-    /// How heat is measured.
     rate_settings: RateSettings,
     metrics: Metrics,
     events: Sender<Event>,
 }
 
-/// One request at the gate.
+/// Request that passes through the gate.
 struct Job<'a> {
     request: &'a Request,
     workspace: Name,
     rank: Rank,
     repeat: Repeat,
     deadline: Time,
-    /// Time up to which an answer is in time.
+    /// Target time of the answer, at most the deadline.
     aim: Time,
     cancelled: &'a CancelFlag,
 }
 
 impl Gate {
-    /// Makes the gate of a process.
+    /// Creates a gate.
     pub(crate) fn new(
         shared: Arc<Shared>,
         upstream_client: Arc<dyn UpstreamClient>,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Runs a request, or refuses it with a verdict.
+    /// Runs a request or refuses it; the answer carries load and owner hints for the sender.
     pub(crate) async fn run(&self, request: &Request, cancelled: &CancelFlag) -> Answer {
         let now = clock::now();
         let mut answer = match self.serve(now, request, cancelled).await {
@@ -151,7 +151,7 @@
         let view = self.shared.view();
         let me = view.me.ok_or(Refusal::not_run(Reason::NoLease).after(MOVE_RETRY))?;
         if request.target != me.0 {
-            // The caller means an earlier process on this address.
+            // The request is for an earlier process at this address.
             return Err(Refusal::not_run(Reason::NotOwner));
         }
         let keyed = self.is_keyed(&view, request)?;
@@ -168,19 +168,19 @@
         if let Some(key) = request.key.filter(|_| keyed) {
             return self.serve_keyed(&job, KeyHash(key)).await;
         }
-        // A member that may be evicted must not act on an old configuration.
+        // A member without a lease may be evicted and must not act on a stale configuration.
         if !self.shared.declares && now >= self.shared.lease.get() {
             return Err(Refusal::not_run(Reason::NoLease).after(MOVE_RETRY));
         }
-        // Registered so that a planned stop waits for it.
+        // Counted in flight so that a graceful shutdown waits for it.
         let _guard = self.shared.inflight.enter(&job.workspace, POOLED_SLOT, KeyHash(0));
         self.forward(&job, None).await
     }
 
-    /// Returns true for a request to a service divided by key, by the route in force here.
+    /// Returns true for a request to a service partitioned by key.
     ///
-    /// A declared route is the sender's alone: it reads the configuration as this member does,
-    /// and which of the two has the newer one is not known.
+    /// With declared configuration the sender decides: each member reads the routes by itself, and
+    /// the sender's version may be newer than the local one.
     fn is_keyed(&self, view: &View, request: &Request) -> Result<bool, Refusal> {
         if self.shared.declares {
             return Ok(request.key.is_some());
@@ -204,13 +204,13 @@
         let not_owner = |refusal: &Refusal| refusal.reason == Reason::NotOwner;
         let served = || self.shared.view().permit(&job.workspace, grant.unit).is_some();
         if answer.as_ref().is_err_and(not_owner) && served() {
-            // Control has ended only when the process is about to exit.
+            // Fails only when the control thread has ended, before the process exits.
             let _ = self.events.send(Event::UnitDenied(Arc::clone(&job.workspace), grant.unit));
         }
         answer
     }
 
-    /// Waits until this member may serve the key, within bounds.
+    /// Waits until this member may serve the key, at most [`MAX_HANDOVER_WAIT`].
     async fn grant(&self, job: &Job<'_>, key: KeyHash) -> Result<(Grant, InflightGuard), Refusal> {
         let start = clock::now();
         let wait_end =
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Notes what an owner is about to run; false forbids it.
+    /// Records on the standby a request that the owner is about to run; false if it must not run.
     pub(crate) fn intent(&self, intent: &Intent) -> bool {
         let Ok(id) = <[u8; 16]>::try_from(intent.id.as_slice()) else { return false };
         let workspace = Arc::from(intent.workspace.as_str());
@@ -251,7 +251,7 @@
         self.dedup.intent(clock::now(), &workspace, unit, RequestId(id), intent.version)
     }
 
-    /// Notes how a request of an owner ended.
+    /// Records on the standby the result of a request that the owner ran.
     pub(crate) fn outcome(&self, outcome: &Outcome) {
         let Some(DedupEntry { slot, key, id, answer, .. }) = &outcome.dedup else { return };
         let Ok(id) = <[u8; 16]>::try_from(id.as_slice()) else { return };
@@ -260,7 +260,7 @@
         self.dedup.outcome(clock::now(), &workspace, unit, RequestId(id), answer.clone());
     }
 
-    /// Takes in what the owner of units remembers; false when it has to be sent again.
+    /// Stores the owner's deduplication state on the standby; false if it has to be sent again.
     pub(crate) fn sync(
         &self,
         workspace: &str,
@@ -272,22 +272,22 @@
         self.dedup.sync(clock::now(), &Arc::from(workspace), &units, entries, blind)
     }
 
-    /// Takes in what the upstream announces.
+    /// Applies an announcement of the upstream.
     pub(crate) fn announce(&self, now: Time, announcement: &Announcement) {
         self.queue.announce(now, announcement);
     }
 
-    /// Returns requests at the upstream or waiting, and how many may run at once.
+    /// Returns the number of requests running or queued, and the concurrency limit.
     pub(crate) fn load(&self) -> (u32, u32) {
         self.queue.load()
     }
 
-    /// Returns requests at the upstream, and those that wait for it.
+    /// Returns the number of requests at the upstream and the number in the queue.
     pub(crate) fn request_counts(&self) -> (usize, usize) {
         self.queue.request_counts()
     }
 
-    /// Returns requests to services divided by key, a second, smoothed, times 1000.
+    /// Returns the smoothed rate of keyed requests, in thousandths of a request per second.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -299,17 +299,17 @@
         (total * 1000.0) as u64
     }
 
-    /// Returns the smoothed time that a request takes at the upstream.
+    /// Returns the smoothed service time of interactive requests at the upstream.
     pub(crate) fn service_time(&self) -> Duration {
         self.queue.service_time()
     }
 
-    /// Returns the smoothed time that a request of any rank takes at the upstream.
+    /// Returns the smoothed service time of requests of all ranks at the upstream.
     pub(crate) fn mean_time(&self) -> Duration {
         self.queue.mean_time()
     }
 
-    /// Looks at the heat of a workspace's units.
+    /// Applies a function to the request rates of a workspace.
     pub(crate) fn with_rates<T>(
         &self,
         workspace: &Name,
@@ -338,18 +338,17 @@
     }
 }
 
-/// Returns the identity of a request.
+/// Returns the id of a request.
 pub(crate) fn request_id(request: &Request) -> Result<RequestId, Refusal> {
     let id = <[u8; 16]>::try_from(request.id.as_slice());
     id.map(RequestId).map_err(|_| Refusal::not_run(Reason::BadRequest))
 }
 
-/// Returns the standby that must know of a request before it runs once only.
+/// Returns the standby that must record a request before it may run at most once.
 ///
-/// A standby whose lease is over for good need not know: it can never take
-/// over. Whoever takes its place later was not told what ran, and answers
-/// `Unknown` for what it does not know. So a lost standby does not hold up its
-/// owner while the log cannot record another one.
+/// A standby whose lease has expired for good is left out because it can never take over; waiting
+/// for it would block the owner until the log records another standby. A later standby answers
+/// `Unknown` for requests that it has no record of.
 fn standby_to_notify(view: &View, workspace: &str, grant: Grant) -> Option<MemberId> {
     let assignment = view.assignment(workspace, grant.unit)?;
     let standby = assignment.standby.filter(|standby| Some(*standby) != view.me)?;
--- a/acaciaringd/src/gate/once.rs
+++ b/acaciaringd/src/gate/once.rs
@@ -14,17 +14,17 @@
 use crate::metrics::Counter;
 use crate::wire;
 
-/// Longest wait for the standby's acknowledgement of an intent.
+/// Timeout of the standby's acknowledgement of an intent.
 const INTENT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Interval at which a second try looks whether the first has ended.
+/// Interval at which a repeated request checks whether the first one has finished.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// When a caller may come back after the standby could not be told.
+/// Retry hint after the standby did not acknowledge an intent.
 const STANDBY_RETRY: Duration = Duration::from_millis(300);
 
 impl Gate {
-    /// Runs a request unless it ran before, or may have run before.
+    /// Runs a request at most once; a repeated request gets the recorded result.
     pub(super) async fn run_once(&self, job: &Job<'_>, grant: Grant) -> Result<Answer, Refusal> {
         let id = request_id(job.request)?;
         loop {
@@ -48,12 +48,10 @@
         }
     }
 
-    /// Runs a request whose identity was not seen before.
+    /// Runs a request whose id was not seen before.
     ///
-    /// Guards against a second run after this VM is lost: the caller asks again
-    /// and the standby, now the owner, would not know. Nothing runs here before
-    /// the standby has acknowledged the identity, and it acknowledges none once
-    /// it has taken over.
+    /// Guards against a second run by the standby after this VM has failed: a request runs only
+    /// after the standby has acknowledged its id, and a standby that has taken over acknowledges none.
     async fn run_first(
         &self,
         job: &Job<'_>,
@@ -89,7 +87,7 @@
         }
     }
 
-    /// Tells the standby what is about to run.
+    /// Sends the intent to run a request to the standby and waits for its acknowledgement.
     async fn announce_intent(
         &self,
         job: &Job<'_>,
@@ -138,10 +136,10 @@
     }
 }
 
-/// Request that is being run.
+/// Request that is running; recorded as unknown if dropped without a result.
 ///
-/// Guards against a panic on the way: the identity would count as running for ever, and each
-/// caller who asks again would wait up to its deadline. It may have run, so it becomes unknown.
+/// Guards against an id that stays in the running state after a panic or a cancellation: each
+/// repeated request would wait until its deadline.
 struct Running<'a> {
     gate: &'a Gate,
     job: &'a Job<'a>,
--- a/acaciaringd/src/gate/queue.rs
+++ b/acaciaringd/src/gate/queue.rs
@@ -1,4 +1,4 @@
-//! Waiting of requests for a place at the upstream.
+//! Admission queue of requests to the local upstream.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,29 +17,28 @@
 use crate::metrics::{Counter, Metrics, Timer};
 use crate::peer::CancelFlag;
 
-/// Interval at which one of the waiting requests looks what can no longer be served.
+/// Interval at which one queued request removes expired requests from the queue.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Interval at which the other ones see whether one of them looks, or their own time is over.
+/// Interval at which other queued requests check their own deadline and whether one of them sweeps.
 ///
-/// Guards against a flood in which each waiting request wakes up fifty times a second to look
-/// through all others, so that the work grows with the square of their number.
+/// Guards against quadratic work in overload, when each queued request would scan all the others.
 const WAIT_INTERVAL: Duration = Duration::from_millis(250);
 
 type Decision = Result<(), Refusal>;
 
-/// Admission shared by all requests.
+/// Admission queue shared by all requests.
 pub(crate) struct Queue {
     admission: Mutex<Admission<Sender<Decision>>>,
     metrics: Metrics,
-    /// Bound of the settings on what runs at once.
+    /// Configured limit of concurrent requests.
     slots: u32,
     announced: Mutex<Option<Announced>>,
-    /// True while a waiting request looks for all of them.
+    /// True while a queued request sweeps the queue.
     sweeping: AtomicBool,
 }
 
-/// What the upstream last said of itself.
+/// Last announcement of the upstream, as far as it concerns the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Announced {
     address: SocketAddr,
@@ -47,7 +46,7 @@
     cold: bool,
 }
 
-/// A place at the upstream; it must be finished.
+/// Permit to run one request at the upstream; released when finished or dropped.
 pub(crate) struct ConcurrencyPermit<'a> {
     queue: &'a Queue,
     attempt: u64,
@@ -56,7 +55,7 @@
 }
 
 impl Queue {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub(crate) fn new(settings: AdmissionSettings, metrics: Metrics) -> Self {
         let slots = settings.slots;
         let admission = Mutex::new(Admission::new(settings));
@@ -64,7 +63,9 @@
         Self { admission, metrics, slots, announced: Mutex::default(), sweeping }
     }
 
-    /// Returns requests in flight and waiting, and the bound; 0 while the upstream asks to be left alone.
+    /// Returns the number of requests running or queued, and the concurrency limit.
+    ///
+    /// The limit is 0 while the upstream sheds load.
     pub(crate) fn load(&self) -> (u32, u32) {
         let now = clock::now();
         let admission = self.admission.lock();
@@ -72,28 +73,28 @@
         (count(admission.busy()), capacity)
     }
 
-    /// Returns requests at the upstream, and those that wait.
+    /// Returns the number of requests at the upstream and the number in the queue.
     pub(crate) fn request_counts(&self) -> (usize, usize) {
         let admission = self.admission.lock();
         let waiting = admission.waiting();
         (admission.busy().saturating_sub(waiting), waiting)
     }
 
-    /// Returns the smoothed time that an interactive request takes.
+    /// Returns the smoothed service time of interactive requests.
     pub(crate) fn service_time(&self) -> Duration {
         self.admission.lock().service_time(Rank::Interactive)
     }
 
-    /// Returns the smoothed time that any request takes.
+    /// Returns the smoothed service time of requests of all ranks.
     pub(crate) fn mean_time(&self) -> Duration {
         self.admission.lock().mean_time()
     }
 
-    /// Takes in what the upstream announces, twice a second.
+    /// Applies a periodic announcement of the upstream; only a change has an effect.
     ///
-    /// Only a change has an effect. Guards against an upstream that sheds load and announces
-    /// itself all the same: each announcement would open the queue again long before the time
-    /// that it asked for, and begin the ramp of a cold one anew, so that it stays at its start.
+    /// Guards against an upstream that keeps announcing itself while it sheds load: each
+    /// announcement would reopen the queue before the requested delay, and restart the ramp of a
+    /// cold upstream.
     pub(crate) fn announce(&self, now: Time, announcement: &Announcement) {
         let cold = announcement.phase == Phase::Cold;
         let slots = announcement.slots.min(self.slots);
@@ -103,19 +104,19 @@
             let started = self.admission.lock().resize(now, slots);
             start(started);
         }
-        // A cold upstream that becomes ready goes on with its ramp.
+        // A cold upstream that becomes ready continues its ramp.
         if known.is_none_or(|known| known.address != latest.address || (cold && !known.cold)) {
             let started = self.admission.lock().ready(now, cold);
             start(started);
         }
     }
 
-    /// Waits for a place, as long as `moved` does not say that another member is to serve the request.
+    /// Waits for admission until `moved` completes.
     ///
     /// # Errors
     ///
-    /// A refusal as not run: the deadline cannot be met, the queue is full, the
-    /// caller has gone away, or what `moved` says.
+    /// A `NotRun` refusal: the deadline cannot be met, the queue is full, or the request was
+    /// cancelled; otherwise the refusal returned by `moved`.
     pub(crate) async fn enter(
         &self,
         ticket: Ticket,
@@ -161,7 +162,7 @@
         Ok(ConcurrencyPermit { queue: self, attempt, start: clock::now(), finished: false })
     }
 
-    /// Tells the waiting requests what expired.
+    /// Refuses expired requests in the queue.
     fn refuse_expired(&self, now: Time) {
         let expired = self.admission.lock().expire(now);
         refuse(expired);
@@ -180,35 +181,35 @@
     }
 }
 
-/// Tells waiting requests to start.
+/// Starts queued requests.
 fn start(senders: Vec<Sender<Decision>>) {
     for sender in senders {
-        // The request waits until it has a decision or is out of the queue.
+        // The receiver lives until it gets the decision or has left the queue.
         let _ = sender.send(Ok(()));
     }
 }
 
-/// Tells waiting requests that they are refused.
+/// Refuses queued requests.
 fn refuse(refused: impl IntoIterator<Item = (Sender<Decision>, Refusal)>) {
     for (sender, refusal) in refused {
-        // The request waits until it has a decision or is out of the queue.
+        // The receiver lives until it gets the decision or has left the queue.
         let _ = sender.send(Err(refusal));
     }
 }
 
-/// A request that waits; leaves the queue when dropped.
+/// Queued request; leaves the queue when dropped.
 ///
-/// Guards against a caller that leaves while its request waits: the request would be given a
-/// place that nobody frees. A place that was given at that very moment is freed here.
+/// Guards against a leaked concurrency permit when the future of a queued request is dropped; one
+/// that was granted concurrently with the drop is released here.
 struct Waiting<'a> {
     queue: &'a Queue,
     attempt: u64,
-    /// True once it has left the queue, or has a place.
+    /// True once the request has left the queue or was admitted.
     done: bool,
 }
 
 impl Waiting<'_> {
-    /// Waits until the request has a place or is refused.
+    /// Waits until the request is admitted or refused.
     async fn wait(
         mut self,
         mut decision: Receiver<Decision>,
@@ -241,7 +242,7 @@
                 self.done = true;
                 return Err(Refusal::not_run(reason));
             }
-            // No longer waiting: the decision is already on its way.
+            // No longer queued: the decision has already been sent.
         }
     }
 }
@@ -258,7 +259,7 @@
     }
 }
 
-/// Duty of the one waiting request that looks for all; free again when dropped.
+/// Exclusive right of one queued request to sweep the queue; released when dropped.
 struct SweepGuard<'a>(&'a AtomicBool);
 
 impl<'a> SweepGuard<'a> {
@@ -274,7 +275,7 @@
 }
 
 impl ConcurrencyPermit<'_> {
-    /// Frees the place with what came of the request.
+    /// Releases the permit with the result of the request.
     pub(crate) fn finish(mut self, result: &Result<Answer, Refusal>) {
         let (completion, shed) = match result {
             Ok(_) => (Completion::Answered, None),
