--- a/acaciaringd/src/gate/dedup.rs
+++ b/acaciaringd/src/gate/dedup.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Inheritance {
     pub(crate) entries: Vec<peer::DedupEntry>,
-    /// Time for which the state is incomplete: other requests may have run.
+    /// Time for which requests missing from the entries may have run.
     pub(crate) blind: Duration,
 }
 
@@ -139,7 +139,7 @@
         self.with_table(workspace, |table| table.outcome(now, id, unit, answer));
     }
 
-    /// Returns the state of units, and the time for which it is incomplete.
+    /// Returns the state of units, and for how long requests missing from it may have run.
     pub(crate) fn export(
         &self,
         now: Time,
--- a/acaciaringd/src/gate/once.rs
+++ b/acaciaringd/src/gate/once.rs
@@ -51,7 +51,7 @@
     /// Runs a request whose id was not seen before.
     ///
     /// Guards against a second run by the standby after this VM has failed: a request runs only
-    /// after the standby has acknowledged its id, and a standby that has taken over acknowledges none.
+    /// after the standby has acknowledged its id; once it has taken over, it acknowledges none.
     async fn run_first(
         &self,
         job: &Job<'_>,
