--- a/acaciaringd/src/upstream/answer.rs
+++ b/acaciaringd/src/upstream/answer.rs
@@ -46,7 +46,7 @@
     let bodiless = is_bodiless(status, method);
     let body = read_body(&mut response, bodiless, limit);
     // The head says it, and the head is whole, whatever became of the body.
-    if let Some(refusal) = refused(status, &head) {
+    if let Some(refusal) = parse_refusal(status, &head) {
         return Err(refusal);
     }
     // 101 leaves the protocol; it is no answer to a request that did not ask for it.
@@ -67,7 +67,7 @@
     if bodiless {
         return Some(Vec::new());
     }
-    let stated = stated(response.headers());
+    let stated = content_length(response.headers());
     if stated.is_none() && !is_chunked(response.headers()) {
         // A body that ends when its connection does looks the same when it was
         // cut off; `ureq` would take it for whole.
@@ -88,12 +88,12 @@
 }
 
 /// Returns the refusal of a request that the upstream says it has not run.
-fn refused(status: StatusCode, headers: &HeaderMap) -> Option<Refusal> {
+fn parse_refusal(status: StatusCode, headers: &HeaderMap) -> Option<Refusal> {
     let value = headers.get(header::REFUSED)?.to_str().ok()?;
     match (status, value.trim()) {
         (StatusCode::CONFLICT, FENCE) => Some(Refusal::not_run(Reason::NoLease)),
         (StatusCode::SERVICE_UNAVAILABLE, SHED) => {
-            Some(Refusal::not_run(Reason::Busy).after(retry(headers).unwrap_or(SHED_RETRY)))
+            Some(Refusal::not_run(Reason::Busy).after(retry_after(headers).unwrap_or(SHED_RETRY)))
         }
         (StatusCode::GATEWAY_TIMEOUT, DEADLINE) => Some(Refusal::not_run(Reason::Expired)),
         (StatusCode::SERVICE_UNAVAILABLE, CANCELLED) => Some(Refusal::not_run(Reason::Cancelled)),
@@ -101,7 +101,7 @@
     }
 }
 
-fn retry(headers: &HeaderMap) -> Option<Duration> {
+fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let seconds: u32 = headers.get(header::RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     Some(Duration::from_secs(seconds.into()))
 }
@@ -112,7 +112,7 @@
 }
 
 /// Returns the stated length; a transfer coding takes its place.
-fn stated(headers: &HeaderMap) -> Option<u64> {
+fn content_length(headers: &HeaderMap) -> Option<u64> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
         return None;
     }
--- a/acaciaringd/src/upstream/cancel.rs
+++ b/acaciaringd/src/upstream/cancel.rs
@@ -10,7 +10,7 @@
 use crate::upstream::Upstream;
 
 /// Cancellations that may wait; more are dropped, for the deadline ends the try as well.
-const QUEUE: usize = 256;
+const MAX_QUEUED: usize = 256;
 
 /// Thread that tells the upstream.
 ///
@@ -19,33 +19,33 @@
 /// upstream gets more than its slots hold.
 #[derive(Debug)]
 pub(super) struct Canceller {
-    tries: Sender<(SocketAddr, u64)>,
+    attempts: Sender<(SocketAddr, u64)>,
 }
 
 impl Canceller {
     /// Starts the thread; it ends when this value is dropped and no try is watched any more.
     pub(super) fn start(upstream: Arc<Upstream>) -> Self {
-        let (tries, queue) = bounded::<(SocketAddr, u64)>(QUEUE);
+        let (attempts, queue) = bounded::<(SocketAddr, u64)>(MAX_QUEUED);
         let run =
             move || queue.iter().for_each(|(address, attempt)| upstream.cancel(address, attempt));
         thread::Builder::new()
             .name("cancel".into())
             .spawn(run)
             .expect("the operating system starts a thread");
-        Self { tries }
+        Self { attempts }
     }
 
     /// Tells the upstream that a try is given up.
     pub(super) fn cancel(&self, address: SocketAddr, attempt: u64) {
         // A full queue drops it.
-        let _ = self.tries.try_send((address, attempt));
+        let _ = self.attempts.try_send((address, attempt));
     }
 
     /// Tells the upstream when the caller of a try has gone away.
     pub(super) fn watch(&self, cancelled: &CancelFlag, address: SocketAddr, attempt: u64) {
-        let tries = self.tries.clone();
+        let attempts = self.attempts.clone();
         cancelled.on_cancel(move || {
-            let _ = tries.try_send((address, attempt));
+            let _ = attempts.try_send((address, attempt));
         });
     }
 }
--- a/acaciaringd/src/upstream/client.rs
+++ b/acaciaringd/src/upstream/client.rs
@@ -97,14 +97,14 @@
     ) -> Result<UpstreamAnswer, Refusal> {
         let (address, attempt) = (call.address, call.attempt);
         self.canceller.watch(cancelled, address, attempt);
-        let mut left = Left { canceller: &self.canceller, address, attempt, armed: true };
+        let mut guard = CancelOnDrop { canceller: &self.canceller, address, attempt, armed: true };
         let upstream = Arc::clone(&self.upstream);
         let job = spawn_blocking(move || upstream.send(&borrow(&call)));
         let result = job.await.unwrap_or_else(|error| {
             error!(%error, "client of the upstream panicked");
             Err(Refusal::unknown(Reason::LostAnswer))
         });
-        left.armed =
+        guard.armed =
             result.as_ref().is_err_and(|refusal: &Refusal| refusal.verdict == Verdict::Unknown);
         result
     }
@@ -121,14 +121,14 @@
 }
 
 /// Tells the upstream that nobody waits for a try, unless it has ended.
-struct Left<'a> {
+struct CancelOnDrop<'a> {
     canceller: &'a Canceller,
     address: SocketAddr,
     attempt: u64,
     armed: bool,
 }
 
-impl Drop for Left<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if self.armed {
             self.canceller.cancel(self.address, self.attempt);
--- a/acaciaringd/src/upstream/mod.rs
+++ b/acaciaringd/src/upstream/mod.rs
@@ -92,11 +92,11 @@
     #[must_use]
     pub fn parse(value: &str) -> Option<Self> {
         let mut parts = value.split(';');
-        let unit = unit(parts.next()?)?;
-        let token = Token(number(parts.next()?)?);
-        let until = number(parts.next()?)?;
-        let whole = parts.next().is_none();
-        whole.then_some(Self { unit, token, until })
+        let unit = parse_unit(parts.next()?)?;
+        let token = Token(parse_number(parts.next()?)?);
+        let until = parse_number(parts.next()?)?;
+        let complete = parts.next().is_none();
+        complete.then_some(Self { unit, token, until })
     }
 }
 
@@ -222,7 +222,7 @@
     for (name, value) in &headers {
         request = request.header(name, value.as_slice());
     }
-    for (name, value) in own(call, context) {
+    for (name, value) in protocol_headers(call, context) {
         request = request.header(name, value);
     }
     let request = request.body(call.body).ok()?;
@@ -235,20 +235,23 @@
     REPLACED.iter().any(|other| header::same(other, name))
 }
 
-fn own(call: &UpstreamCall<'_>, context: &TraceContext) -> Vec<(&'static str, String)> {
-    let mut own = vec![
+fn protocol_headers(
+    call: &UpstreamCall<'_>,
+    context: &TraceContext,
+) -> Vec<(&'static str, String)> {
+    let mut headers = vec![
         (header::REQUEST, Hex(&call.id.0).to_string()),
         (header::ATTEMPT, call.attempt.to_string()),
         (header::DEADLINE, call.left.as_millis().to_string()),
         (TRACEPARENT, context.to_string()),
     ];
     if let Some(fence) = call.fence {
-        own.push((header::FENCE, fence.to_string()));
+        headers.push((header::FENCE, fence.to_string()));
     }
     if !call.body.is_empty() {
-        own.push((header::CONTENT_LENGTH, call.body.len().to_string()));
+        headers.push((header::CONTENT_LENGTH, call.body.len().to_string()));
     }
-    own
+    headers
 }
 
 /// Tells a request that was never given to the upstream from one that may have run.
@@ -265,22 +268,22 @@
 }
 
 /// Reads `SLOT` or `SLOT.KEY`, the key hash as 16 hexadecimal digits.
-fn unit(text: &str) -> Option<UnitId> {
+fn parse_unit(text: &str) -> Option<UnitId> {
     let (slot, key) = match text.split_once('.') {
-        Some((slot, key)) => (slot, Some(key_hash(key)?)),
+        Some((slot, key)) => (slot, Some(parse_key_hash(key)?)),
         None => (text, None),
     };
-    Some(UnitId { slot: Slot::try_from(number(slot)?).ok()?, key })
+    Some(UnitId { slot: Slot::try_from(parse_number(slot)?).ok()?, key })
 }
 
-fn key_hash(text: &str) -> Option<KeyHash> {
+fn parse_key_hash(text: &str) -> Option<KeyHash> {
     let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let value = u64::from_str_radix(text, 16).ok().filter(|_| digits)?;
     Some(KeyHash(value))
 }
 
 /// Reads a decimal number without sign.
-fn number(text: &str) -> Option<u64> {
+fn parse_number(text: &str) -> Option<u64> {
     let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     if digits { text.parse().ok() } else { None }
 }
