--- a/acaciaringd/src/upstream/answer.rs
+++ b/acaciaringd/src/upstream/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the upstream: whole, refused as not run, or lost.
+//! Reads responses of the upstream: complete answers, `NotRun` refusals, or lost answers.
 
 use std::time::Duration;
 
@@ -12,30 +12,32 @@
 /// Value of the header by which a fenced upstream refuses.
 const FENCE: &str = "fence";
 
-/// Value of the header by which an upstream sheds load.
+/// Value of the header by which an upstream that sheds load refuses.
 const SHED: &str = "shed";
 
 /// Value of the header by which an upstream refuses a request whose deadline has passed.
 const DEADLINE: &str = "deadline";
+
+/// Value of the header by which an upstream refuses a cancelled request.
 const CANCELLED: &str = "cancelled";
 
-/// When to come back to an upstream that sheds load and does not say it.
+/// Retry delay after load shedding without `Retry-After`.
 const SHED_RETRY: Duration = Duration::from_secs(1);
 
-/// Whole answer of the upstream.
+/// Complete answer of the upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Headers, without those of one connection and of this project.
+    /// Headers without hop-by-hop headers and those of the acaciaring protocol.
     pub headers: Headers,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// Length of the body as the upstream framed it.
+    /// Length of the body, bytes.
     pub length: u64,
 }
 
-/// Reads an answer to its end.
+/// Reads a response to the end of its body, at most `limit` bytes.
 pub(super) fn receive(
     mut response: Response<Body>,
     method: &str,
@@ -45,11 +47,11 @@
     let head = response.headers().clone();
     let bodiless = is_bodiless(status, method);
     let body = read_body(&mut response, bodiless, limit);
-    // The head says it, and the head is whole, whatever became of the body.
+    // A refusal in the head is valid even if the body was truncated.
     if let Some(refusal) = parse_refusal(status, &head) {
         return Err(refusal);
     }
-    // 101 leaves the protocol; it is no answer to a request that did not ask for it.
+    // Informational statuses, such as 101, are not answers to a plain request.
     let body = body.filter(|_| !status.is_informational());
     let body = body.ok_or(Refusal::unknown(Reason::LostAnswer))?;
     let mut headers = collect(&head);
@@ -62,32 +64,31 @@
     Ok(UpstreamAnswer { status: status.as_u16(), headers, body, length })
 }
 
-/// Reads the body; `None` unless it is whole.
+/// Reads the body; `None` if it is incomplete.
 fn read_body(response: &mut Response<Body>, bodiless: bool, limit: u64) -> Option<Vec<u8>> {
     if bodiless {
         return Some(Vec::new());
     }
     let stated = content_length(response.headers());
     if stated.is_none() && !is_chunked(response.headers()) {
-        // A body that ends when its connection does looks the same when it was
-        // cut off; `ureq` would take it for whole.
-        warn!("answer of the upstream without length");
+        // `ureq` accepts a body delimited by the end of its connection, which may be truncated.
+        warn!("upstream response has neither Content-Length nor chunked coding; answer lost");
         return None;
     }
     match response.body_mut().with_config().limit(limit).read_to_vec() {
         Ok(body) if stated.is_none_or(|length| length == body.len() as u64) => Some(body),
         Ok(body) => {
-            warn!(?stated, length = body.len(), "answer of the upstream is not whole");
+            warn!(?stated, length = body.len(), "upstream response body truncated; answer lost");
             None
         }
         Err(error) => {
-            warn!(%error, "answer of the upstream is not whole");
+            warn!(%error, "cannot read the upstream response body; answer lost");
             None
         }
     }
 }
 
-/// Returns the refusal of a request that the upstream says it has not run.
+/// Parses a refusal by which the upstream states that it has not run the request.
 fn parse_refusal(status: StatusCode, headers: &HeaderMap) -> Option<Refusal> {
     let value = headers.get(header::REFUSED)?.to_str().ok()?;
     match (status, value.trim()) {
@@ -111,7 +112,7 @@
     coding.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"chunked"))
 }
 
-/// Returns the stated length; a transfer coding takes its place.
+/// Returns `Content-Length`; `None` with a transfer coding, which overrides it (RFC 9112).
 fn content_length(headers: &HeaderMap) -> Option<u64> {
     if headers.contains_key(header::TRANSFER_ENCODING) {
         return None;
--- a/acaciaringd/src/upstream/cancel.rs
+++ b/acaciaringd/src/upstream/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancellation of tries at the upstream whose answer nobody waits for.
+//! Cancellation of attempts at the upstream whose answer is no longer needed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,21 +9,20 @@
 use crate::peer::CancelFlag;
 use crate::upstream::Upstream;
 
-/// Cancellations that may wait; more are dropped, for the deadline ends the try as well.
+/// Maximum number of queued cancellations; more are dropped, as the deadline also ends an attempt.
 const MAX_QUEUED: usize = 256;
 
-/// Thread that tells the upstream.
+/// Thread that sends cancellations to the upstream.
 ///
-/// Guards against work that goes on after it was given up: the place at the
-/// upstream counts as free here while it is still taken there, so that the
-/// upstream gets more than its slots hold.
+/// Guards against overload of the upstream by abandoned requests: their concurrency slots are
+/// released here while the upstream still works on them.
 #[derive(Debug)]
 pub(super) struct Canceller {
     attempts: Sender<(SocketAddr, u64)>,
 }
 
 impl Canceller {
-    /// Starts the thread; it ends when this value is dropped and no try is watched any more.
+    /// Starts the thread; it ends when this value and all watches of attempts are dropped.
     pub(super) fn start(upstream: Arc<Upstream>) -> Self {
         let (attempts, queue) = bounded::<(SocketAddr, u64)>(MAX_QUEUED);
         let run =
@@ -35,13 +34,13 @@
         Self { attempts }
     }
 
-    /// Tells the upstream that a try is given up.
+    /// Queues the cancellation of an attempt.
     pub(super) fn cancel(&self, address: SocketAddr, attempt: u64) {
-        // A full queue drops it.
+        // Dropped when the queue is full.
         let _ = self.attempts.try_send((address, attempt));
     }
 
-    /// Tells the upstream when the caller of a try has gone away.
+    /// Queues the cancellation of an attempt when `cancelled` is set.
     pub(super) fn watch(&self, cancelled: &CancelFlag, address: SocketAddr, attempt: u64) {
         let attempts = self.attempts.clone();
         cancelled.on_cancel(move || {
--- a/acaciaringd/src/upstream/client.rs
+++ b/acaciaringd/src/upstream/client.rs
@@ -1,4 +1,4 @@
-//! The way out to the upstream: what the gate asks of a client of the upstream.
+//! Interface of the gate to the local upstream, and its implementation over HTTP/1.1.
 
 use std::future;
 use std::net::SocketAddr;
@@ -15,76 +15,77 @@
 use crate::upstream::cancel::Canceller;
 use crate::upstream::{Fence, Upstream, UpstreamAnswer, UpstreamCall};
 
-/// One try of a request at the upstream.
+/// One attempt of a request at the upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamRequest {
-    /// Address that the upstream has announced.
+    /// Announced address of the upstream.
     pub address: SocketAddr,
     /// HTTP method.
     pub method: String,
     /// Path with the query.
     pub path: String,
-    /// Headers of the caller.
+    /// Request headers of the caller.
     pub headers: Headers,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// Identity of the request.
+    /// Request id.
     pub id: RequestId,
-    /// Number of this try.
+    /// Attempt number.
     pub attempt: u64,
-    /// Time that is left.
+    /// Remaining time until the deadline.
     pub left: Duration,
-    /// Proof of ownership, for services divided by key.
+    /// Proof of ownership, for services partitioned by key.
     pub fence: Option<Fence>,
     /// Trace context of this member, a `traceparent` value.
     pub trace: String,
-    /// Start of the upstream that is meant, empty where it names none.
+    /// Addressed incarnation of the upstream, empty if it states none.
     pub instance: Arc<str>,
 }
 
-/// Order to the upstream to hold keys or to give them back.
+/// Order to the upstream to hold keys or to release them.
 #[derive(Debug, Clone)]
 pub struct OrderCall {
-    /// Address that the upstream has announced.
+    /// Announced address of the upstream.
     pub address: SocketAddr,
     /// The order.
     pub order: Order,
-    /// Time at which it is given up: its connection is closed before the answer is returned.
+    /// Time at which the order is abandoned; its connection is closed before the call returns.
     pub deadline: Time,
-    /// True when it may go over a new connection.
+    /// True if a new connection may be opened for the order.
     pub may_connect: bool,
-    /// Start of the upstream that is meant, empty where it names none.
+    /// Addressed incarnation of the upstream, empty if it states none.
     pub instance: Arc<str>,
 }
 
 /// Client of the upstream.
 pub trait UpstreamClient: Send + Sync + 'static {
-    /// Sends a request once and waits for its whole answer, at most `left`.
+    /// Sends a request once and waits for its complete answer, at most `left`.
     ///
-    /// It is `NotRun` only if the upstream never got it or says so. When the request is
-    /// cancelled or the future dropped, the upstream is told or its connection closed.
+    /// Refuses with `NotRun` only if the upstream never received the request or says so. If the
+    /// request is cancelled or the future dropped, the upstream is notified or its connection is
+    /// closed.
     fn send<'a>(
         &'a self,
         call: UpstreamRequest,
         cancelled: &'a CancelFlag,
     ) -> BoxFuture<'a, Result<UpstreamAnswer, Refusal>>;
 
-    /// Gives an order once and waits for its answer, up to its deadline.
+    /// Sends an order once and waits for its answer until the deadline.
     ///
-    /// An upstream whose protocol knows no orders takes none.
+    /// By default every order is rejected, for protocols without orders.
     fn order(&self, _call: OrderCall) -> BoxFuture<'_, Answer> {
         Box::pin(future::ready(Answer::Rejected))
     }
 }
 
-/// Outlet over the project's own protocol, whose client blocks a thread for each call.
+/// Client for the acaciaring protocol; blocks one thread for each request.
 pub(crate) struct ThreadedClient {
     upstream: Arc<Upstream>,
     canceller: Canceller,
 }
 
 impl ThreadedClient {
-    /// Makes an outlet over a client.
+    /// Creates a client from the blocking one.
     pub(crate) fn new(upstream: Upstream) -> Self {
         let upstream = Arc::new(upstream);
         Self { canceller: Canceller::start(Arc::clone(&upstream)), upstream }
@@ -101,7 +102,7 @@
         let upstream = Arc::clone(&self.upstream);
         let job = spawn_blocking(move || upstream.send(&borrow(&call)));
         let result = job.await.unwrap_or_else(|error| {
-            error!(%error, "client of the upstream panicked");
+            error!(%error, "upstream client panicked; outcome of the request unknown");
             Err(Refusal::unknown(Reason::LostAnswer))
         });
         guard.armed =
@@ -120,7 +121,7 @@
     }
 }
 
-/// Tells the upstream that nobody waits for a try, unless it has ended.
+/// Cancels an attempt at the upstream when dropped, unless disarmed.
 struct CancelOnDrop<'a> {
     canceller: &'a Canceller,
     address: SocketAddr,
--- a/acaciaringd/src/upstream/mod.rs
+++ b/acaciaringd/src/upstream/mod.rs
@@ -1,24 +1,20 @@
-//! Client of the upstream beside this member, over HTTP/1.1.
+//! Client of the local upstream, over HTTP/1.1.
 //!
-//! One call is one request on the wire, or none. `ureq` repeats nothing by
-//! itself once redirects are off: its run loop goes round for redirects only, and
-//! a pooled connection that turns out dead is an error of the call. A status is
-//! an answer, never an error.
+//! A call sends at most one request. With redirects off, `ureq` never repeats a request: a dead
+//! pooled connection is an error of the call. Every HTTP status is an answer, not an error.
 //!
-//! # What did not run
+//! # Verdicts
 //!
-//! A failure before the first byte was given to the socket is `NotRun`; the
-//! connections mark that. Once a byte was given, nothing can be proved but by the
-//! upstream's own word, so everything else is `Unknown`, also a pooled
-//! connection that the upstream had closed at the same moment.
+//! A failure before the first byte was written to the socket is `NotRun`; the connections track
+//! that. After that only a refusal by the upstream proves that the request did not run, and any
+//! other failure is `Unknown`, including a pooled connection that the upstream closed concurrently.
 //!
 //! # Connections
 //!
-//! `ureq` returns a connection to its pool at one place only: after the whole
-//! answer was read by its framing, if no bytes are left over. A call that timed
-//! out, failed or was cut off drops its connection, which closes it, so a late
-//! answer finds no reader. Connections that were idle for longer than `idle`
-//! are not used again; that bound is shorter than the upstream's own.
+//! `ureq` returns a connection to its pool only after the complete answer was read by its framing
+//! with no bytes left over. A call that timed out or failed closes its connection, so a late answer
+//! is never read as the answer of another request. Connections idle for longer than `idle` are not
+//! reused; that must be shorter than the idle timeout of the upstream.
 
 mod answer;
 mod cancel;
@@ -46,15 +42,15 @@
 /// Settings of the client of the upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamSettings {
-    /// Idle connections that are kept.
+    /// Maximum number of idle connections.
     pub connections: usize,
-    /// Time in which a connection has to be made.
+    /// Timeout for connecting.
     pub connect: Duration,
-    /// Age above which an idle connection is not used; below the upstream's own bound.
+    /// Maximum age of an idle connection; must be below the idle timeout of the upstream.
     pub idle: Duration,
-    /// Limit of an answer's body, bytes.
+    /// Maximum size of a response body, bytes.
     pub body: u64,
-    /// Time that a cancellation may take.
+    /// Timeout of a cancellation.
     pub cancel: Duration,
 }
 
@@ -73,9 +69,9 @@
 /// Proof of ownership that a fenced upstream checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fence {
-    /// Slot or hot key; an upstream compares tokens for the same unit only.
+    /// Slot or hot key; tokens are comparable only within one unit.
     pub unit: UnitId,
-    /// Token under which the member serves.
+    /// Fencing token of the owner.
     pub token: Token,
     /// End of the lease on the upstream's clock, milliseconds.
     pub until: u64,
@@ -88,7 +84,7 @@
 }
 
 impl Fence {
-    /// Reads a header value, `None` when it is not valid.
+    /// Parses a header value; `None` if it is invalid.
     #[must_use]
     pub fn parse(value: &str) -> Option<Self> {
         let mut parts = value.split(';');
@@ -100,51 +96,51 @@
     }
 }
 
-/// One try of a request.
+/// One attempt of a request, with borrowed contents.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamCall<'a> {
-    /// Address that the upstream has announced.
+    /// Announced address of the upstream.
     pub address: SocketAddr,
     /// HTTP method.
     pub method: &'a str,
     /// Path with the query.
     pub path: &'a str,
-    /// Headers of the caller.
+    /// Request headers of the caller.
     pub headers: &'a [(String, Vec<u8>)],
-    /// Whole body.
+    /// Complete body.
     pub body: &'a [u8],
-    /// Identity of the request.
+    /// Request id.
     pub id: RequestId,
-    /// Number of this try.
+    /// Attempt number.
     pub attempt: u64,
-    /// Time that is left.
+    /// Remaining time until the deadline.
     pub left: Duration,
-    /// Proof of ownership, for services divided by key.
+    /// Proof of ownership, for services partitioned by key.
     pub fence: Option<Fence>,
     /// Trace context of this member, a `traceparent` value.
     pub trace: &'a str,
 }
 
-/// Client of the upstream.
+/// Blocking client of the upstream.
 pub struct Upstream {
     agent: Agent,
     settings: UpstreamSettings,
 }
 
 impl Upstream {
-    /// Returns a client without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(settings: UpstreamSettings) -> Self {
         let agent = agent(&settings);
         Self { agent, settings }
     }
 
-    /// Sends a request and waits for its whole answer, at most `left`.
+    /// Sends a request and waits for its complete answer, at most `left`.
     ///
     /// # Errors
     ///
-    /// `NotRun` when the upstream never got the request or refused it as not
-    /// run, otherwise `Unknown`.
+    /// `NotRun` if the upstream never received the request or refused it without running it,
+    /// otherwise `Unknown`.
     pub fn send(&self, call: &UpstreamCall<'_>) -> Result<UpstreamAnswer, Refusal> {
         let context = TraceContext::receive(Some(call.trace));
         let span = info_span!(
@@ -170,12 +166,12 @@
         answer::receive(response, call.method, self.settings.body)
     }
 
-    /// Asks the upstream to cancel a try; whether it does so is not known.
+    /// Asks the upstream to cancel an attempt, best effort.
     pub fn cancel(&self, address: SocketAddr, attempt: u64) {
         let url = format!("http://{address}/acaciaring/cancel/{attempt}");
         let request = self.agent.post(url).config().timeout_global(Some(self.settings.cancel));
         if let Err(error) = request.build().send_empty() {
-            debug!(%address, attempt, %error, "cannot cancel");
+            debug!(%address, attempt, %error, "cannot cancel an attempt at the upstream");
         }
     }
 }
@@ -191,7 +187,7 @@
     Agent::with_parts(config(settings), connector, NumericResolver)
 }
 
-/// Returns a configuration in which `ureq` adds, follows and judges nothing.
+/// Returns a configuration in which `ureq` adds no headers, follows no redirects and uses no proxy.
 fn config(settings: &UpstreamSettings) -> Config {
     Agent::config_builder()
         .http_status_as_error(false)
@@ -209,7 +205,7 @@
         .build()
 }
 
-/// Builds the request with the headers of this project; `None` when it is not valid HTTP.
+/// Builds the request with the protocol headers; `None` if it is not valid HTTP.
 fn build<'a>(call: &UpstreamCall<'a>, context: &TraceContext) -> Option<Request<&'a [u8]>> {
     let method = Method::from_bytes(call.method.as_bytes()).ok()?;
     let uri: Uri = format!("http://{}{}", call.address, call.path).parse().ok()?;
@@ -229,7 +225,7 @@
     unchanged.then_some(request)
 }
 
-/// Headers that the client writes itself.
+/// Returns true for a header that the client sets itself.
 fn is_replaced(name: &str) -> bool {
     const REPLACED: [&str; 3] = [header::CONTENT_LENGTH, header::EXPECT, TRACEPARENT];
     REPLACED.iter().any(|other| header::same(other, name))
@@ -254,9 +250,9 @@
     headers
 }
 
-/// Tells a request that was never given to the upstream from one that may have run.
+/// Maps an error to `NotRun` if nothing was sent to the upstream, otherwise to `Unknown`.
 fn failure(error: &ureq::Error) -> Refusal {
-    debug!(%error, "no answer from the upstream");
+    debug!(%error, "request to the upstream failed");
     match (transport::has_sent(), error) {
         (true, _) => Refusal::unknown(Reason::LostAnswer),
         (false, ureq::Error::Timeout(ureq::Timeout::Global)) => Refusal::not_run(Reason::Expired),
@@ -267,7 +263,7 @@
     }
 }
 
-/// Reads `SLOT` or `SLOT.KEY`, the key hash as 16 hexadecimal digits.
+/// Parses `SLOT` or `SLOT.KEY`, the key hash as 16 hexadecimal digits.
 fn parse_unit(text: &str) -> Option<UnitId> {
     let (slot, key) = match text.split_once('.') {
         Some((slot, key)) => (slot, Some(parse_key_hash(key)?)),
@@ -282,7 +278,7 @@
     Some(KeyHash(value))
 }
 
-/// Reads a decimal number without sign.
+/// Parses an unsigned decimal number.
 fn parse_number(text: &str) -> Option<u64> {
     let digits = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     if digits { text.parse().ok() } else { None }
--- a/acaciaringd/src/upstream/transport.rs
+++ b/acaciaringd/src/upstream/transport.rs
@@ -1,4 +1,4 @@
-//! Parts of `ureq` that tell whether a request can have reached the upstream.
+//! Transport and resolver for `ureq` that track whether a request may have reached the upstream.
 
 use std::cell::Cell;
 use std::io;
@@ -11,29 +11,26 @@
 use ureq::unversioned::transport::{Buffers, ConnectionDetails, Connector, NextTimeout, Transport};
 
 thread_local! {
-    /// True when the call that runs on this thread has given bytes to its socket.
+    /// True once the call on this thread has written to its socket.
     ///
-    /// `ureq` runs a call on the thread that makes it, from connecting to the
-    /// last byte of the answer.
+    /// `ureq` runs a whole call on the calling thread.
     static SENT: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Begins a call on this thread.
+/// Resets the tracking at the start of a call on this thread.
 pub(crate) fn begin() {
     SENT.set(false);
 }
 
-/// Returns true when the call on this thread may have reached the upstream.
+/// Returns true if the call on this thread may have reached the upstream.
 ///
-/// An error of `ureq` does not tell: the timeout of a call may pass while it
-/// connects or while the upstream runs it, and a reset may come before or after
-/// the request was read. The mark is set before the first write begins, so
-/// without it nothing of the request has left this process.
+/// Errors of `ureq` do not show this: a timeout or reset may occur before or after the upstream has
+/// read the request. The flag is set before the first write, so while it is unset nothing was sent.
 pub(crate) fn has_sent() -> bool {
     SENT.get()
 }
 
-/// Wraps each connection, so that it marks the call when it sends.
+/// Connector that wraps each connection in a [`TrackedConnection`].
 #[derive(Debug)]
 pub(crate) struct TrackingConnector;
 
@@ -49,7 +46,7 @@
     }
 }
 
-/// Connection that marks the call when it sends.
+/// Connection that records on its thread that the call has sent data.
 #[derive(Debug)]
 pub(crate) struct TrackedConnection<T>(T);
 
@@ -72,9 +69,9 @@
     }
 }
 
-/// Resolver of addresses that are numbers.
+/// Resolver of numeric addresses.
 ///
-/// The resolver of `ureq` starts a thread for each call that has a timeout.
+/// The default resolver of `ureq` starts a thread for each call with a timeout.
 #[derive(Debug)]
 pub(crate) struct NumericResolver;
 
