--- a/acaciaringd/src/upstream/client.rs
+++ b/acaciaringd/src/upstream/client.rs
@@ -38,7 +38,7 @@
     pub fence: Option<Fence>,
     /// Trace context of this member, a `traceparent` value.
     pub trace: String,
-    /// Addressed incarnation of the upstream, empty if it states none.
+    /// Identifier of the addressed instance of the upstream, empty if it has none.
     pub instance: Arc<str>,
 }
 
@@ -53,7 +53,7 @@
     pub deadline: Time,
     /// True if a new connection may be opened for the order.
     pub may_connect: bool,
-    /// Addressed incarnation of the upstream, empty if it states none.
+    /// Identifier of the addressed instance of the upstream, empty if it has none.
     pub instance: Arc<str>,
 }
 
