--- a/acaciaringd/src/entry/acceptor.rs
+++ b/acaciaringd/src/entry/acceptor.rs
@@ -17,18 +17,18 @@
 use crate::entry::listener::Handler;
 
 /// File descriptors that have to be free before a server is replaced.
-const RESERVE: usize = 16;
+const MIN_FREE_DESCRIPTORS: usize = 16;
 
 /// Server of `tiny_http`.
 pub(crate) struct Acceptor {
     server: Server,
     /// Time of the last request; locked from taking a request to [`Handler::enter`].
-    queue: Mutex<Time>,
+    last_request: Mutex<Time>,
     ended: AtomicBool,
     /// Descriptor of the accept thread, in `/proc`.
     descriptor: PathBuf,
     /// What the descriptor refers to while the accept thread runs.
-    target: PathBuf,
+    link_target: PathBuf,
 }
 
 impl Acceptor {
@@ -36,15 +36,16 @@
     pub(crate) fn open(socket: &TcpListener, now: Time) -> io::Result<Self> {
         let socket = socket.try_clone()?;
         let descriptor = PathBuf::from(format!("/proc/self/fd/{}", socket.as_raw_fd()));
-        let target = fs::read_link(&descriptor)?;
+        let link_target = fs::read_link(&descriptor)?;
         let server = Server::from_listener(socket, None).map_err(io::Error::other)?;
-        let queue = Mutex::new(now);
-        Ok(Self { server, queue, ended: AtomicBool::new(false), descriptor, target })
+        let last_request = Mutex::new(now);
+        Ok(Self { server, last_request, ended: AtomicBool::new(false), descriptor, link_target })
     }
 
     /// Fails while file descriptors are so short that accepting would fail again.
-    pub(crate) fn reserve(socket: &TcpListener) -> io::Result<()> {
-        let clones: io::Result<Vec<_>> = (0..RESERVE).map(|_| socket.try_clone()).collect();
+    pub(crate) fn check_descriptors(socket: &TcpListener) -> io::Result<()> {
+        let clones: io::Result<Vec<_>> =
+            (0..MIN_FREE_DESCRIPTORS).map(|_| socket.try_clone()).collect();
         clones.map(drop)
     }
 
@@ -55,7 +56,7 @@
     /// none for its copy, or no thread for it. The thread owns its descriptor of
     /// the listening socket, so that is closed with it either way.
     pub(crate) fn is_accepting(&self) -> bool {
-        fs::read_link(&self.descriptor).is_ok_and(|target| target == self.target)
+        fs::read_link(&self.descriptor).is_ok_and(|link_target| link_target == self.link_target)
     }
 
     /// Notes that the accept thread has ended; returns whether that was known.
@@ -68,11 +69,11 @@
     }
 
     /// Returns when the last request arrived.
-    pub(crate) fn last(&self) -> Time {
-        *self.queue.lock()
+    pub(crate) fn last_request(&self) -> Time {
+        *self.last_request.lock()
     }
 
-    /// Waits for a request that can be served now, at most `bound`, unless it is to `stop`.
+    /// Waits for a request that can be served now, at most `timeout`, unless it is to `stop`.
     ///
     /// Two requests of one connection have to be entered in their order: served
     /// the other way round, the second would wait for the first to be answered.
@@ -80,13 +81,13 @@
         &self,
         handler: &dyn Handler,
         stop: impl Fn() -> bool,
-        bound: Duration,
+        timeout: Duration,
     ) -> Option<Request> {
-        let mut last = self.queue.lock();
+        let mut last = self.last_request.lock();
         if stop() {
             return None;
         }
-        let request = match self.server.recv_timeout(bound) {
+        let request = match self.server.recv_timeout(timeout) {
             Ok(request) => request?,
             Err(error) => {
                 warn!(%error, "accept has failed");
--- a/acaciaringd/src/entry/answer.rs
+++ b/acaciaringd/src/entry/answer.rs
@@ -75,23 +75,23 @@
     /// answer has to reach the caller as the upstream gave it, with its length.
     pub(crate) fn encode(&self, head: bool, close: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.body.len() + 512);
-        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, phrase(self.status));
+        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
             if !header::same(name, header::CONTENT_LENGTH) && !self.replaces(name) {
-                put(&mut out, name, value);
+                write_header(&mut out, name, value);
             }
         }
-        for (name, value) in self.own() {
-            put(&mut out, name, value.as_bytes());
+        for (name, value) in self.protocol_headers() {
+            write_header(&mut out, name, value.as_bytes());
         }
         if let Some(length) = self.length(head) {
-            put(&mut out, header::CONTENT_LENGTH, length.to_string().as_bytes());
+            write_header(&mut out, header::CONTENT_LENGTH, length.to_string().as_bytes());
         }
         if close {
-            put(&mut out, header::CONNECTION, b"close");
+            write_header(&mut out, header::CONNECTION, b"close");
         }
         out.extend_from_slice(b"\r\n");
-        if !head && !self.bodiless() {
+        if !head && !self.is_bodiless() {
             out.extend_from_slice(&self.body);
         }
         out
@@ -103,26 +103,26 @@
     }
 
     /// Returns the headers of this project.
-    fn own(&self) -> Vec<(&'static str, String)> {
-        let mut own = vec![(header::VERDICT, self.verdict.as_str().to_owned())];
+    fn protocol_headers(&self) -> Vec<(&'static str, String)> {
+        let mut headers = vec![(header::VERDICT, self.verdict.as_str().to_owned())];
         if let Some(reason) = self.reason {
-            own.push((header::REASON, reason.as_str().to_owned()));
+            headers.push((header::REASON, reason.as_str().to_owned()));
         }
         if let Some(owner) = &self.owner {
-            own.push((header::OWNER, owner.clone()));
+            headers.push((header::OWNER, owner.clone()));
         }
         if let Some(retry) = self.retry {
             let seconds = retry.as_millis().div_ceil(1000);
-            own.push((header::RETRY_AFTER, seconds.to_string()));
-            own.push((header::RETRY_MS, millis(retry).to_string()));
+            headers.push((header::RETRY_AFTER, seconds.to_string()));
+            headers.push((header::RETRY_MS, millis(retry).to_string()));
         }
-        own
+        headers
     }
 
     /// Returns a refusal for `tiny_http` to write.
     pub(crate) fn response(&self) -> Response<Cursor<Vec<u8>>> {
         let mut response = Response::from_data(self.body.clone()).with_status_code(self.status);
-        let own = self.own();
+        let own = self.protocol_headers();
         let own = own.iter().map(|(name, value)| (*name, value.as_bytes()));
         let headers = self.headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()));
         for (name, value) in headers.chain(own) {
@@ -136,7 +136,7 @@
     /// Returns the length to state; an answer to `HEAD`, or 304, states the upstream's.
     fn length(&self, head: bool) -> Option<u64> {
         let own = Some(self.body.len() as u64);
-        let stated = || number(header::find(&self.headers, header::CONTENT_LENGTH)?);
+        let stated = || parse_number(header::find(&self.headers, header::CONTENT_LENGTH)?);
         match self.status {
             NO_CONTENT => None,
             NOT_MODIFIED => stated(),
@@ -145,7 +145,7 @@
         }
     }
 
-    const fn bodiless(&self) -> bool {
+    const fn is_bodiless(&self) -> bool {
         matches!(self.status, NO_CONTENT | NOT_MODIFIED)
     }
 }
@@ -154,11 +154,11 @@
 const fn status(refusal: Refusal) -> u16 {
     match refusal.verdict {
         Verdict::Unknown | Verdict::Answered => BAD_GATEWAY,
-        Verdict::NotRun => status_of(refusal.reason),
+        Verdict::NotRun => not_run_status(refusal.reason),
     }
 }
 
-const fn status_of(reason: Reason) -> u16 {
+const fn not_run_status(reason: Reason) -> u16 {
     match reason {
         Reason::BadRequest => BAD_REQUEST,
         Reason::NoRoute => NOT_FOUND,
@@ -179,7 +179,7 @@
 }
 
 /// Writes one header; a line break in a value would forge a header, so it is left out.
-fn put(out: &mut Vec<u8>, name: &str, value: &[u8]) {
+fn write_header(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     let breaks = |bytes: &[u8]| bytes.iter().any(|byte| matches!(byte, b'\r' | b'\n' | 0));
     if breaks(name.as_bytes()) || breaks(value) {
         return;
@@ -194,10 +194,10 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn number(value: &[u8]) -> Option<u64> {
+fn parse_number(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-fn phrase(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     tiny_http::StatusCode(status).default_reason_phrase()
 }
--- a/acaciaringd/src/entry/body.rs
+++ b/acaciaringd/src/entry/body.rs
@@ -12,12 +12,12 @@
 ///
 /// `tiny_http` allocates what is left of a body when it drops the request; above
 /// this size that allocation could fail and end the process.
-pub(crate) const DISCARD: u64 = 64 << 20;
+pub(crate) const MAX_DISCARD: u64 = 64 << 20;
 
-const CHUNK: usize = 64 << 10;
+const CHUNK_SIZE: usize = 64 << 10;
 
 /// Most that is reserved on the word of the caller, bytes.
-const RESERVE: u64 = 1 << 20;
+const MAX_RESERVE: u64 = 1 << 20;
 
 /// Bounds of one body.
 #[derive(Debug, Clone, Copy)]
@@ -49,17 +49,17 @@
     start: Time,
 ) -> Result<Vec<u8>, BodyError> {
     let stated = match framing {
-        Framing::Length(length) if length > DISCARD => return Err(BodyError::Huge),
+        Framing::Length(length) if length > MAX_DISCARD => return Err(BodyError::Huge),
         Framing::Length(length) => Some(length),
         Framing::Chunked => None,
     };
-    let mut source = raw.as_reader().take(stated.unwrap_or(DISCARD + 1));
+    let mut source = raw.as_reader().take(stated.unwrap_or(MAX_DISCARD + 1));
     let mut body = Vec::new();
     if let Some(length) = stated.filter(|&length| length <= limits.size) {
-        body.reserve(usize::try_from(length.min(RESERVE)).unwrap_or(0));
+        body.reserve(usize::try_from(length.min(MAX_RESERVE)).unwrap_or(0));
     }
     let size = stated.and_then(|length| usize::try_from(length).ok());
-    let mut chunk = vec![0; size.map_or(CHUNK, |size| size.clamp(1, CHUNK))];
+    let mut chunk = vec![0; size.map_or(CHUNK_SIZE, |size| size.clamp(1, CHUNK_SIZE))];
     let mut size = 0;
     loop {
         let read = match source.read(&mut chunk) {
@@ -78,7 +78,7 @@
     }
     match stated {
         Some(length) if size < length => Err(BodyError::Cut),
-        None if size > DISCARD => Err(BodyError::Huge),
+        None if size > MAX_DISCARD => Err(BodyError::Huge),
         _ if size > limits.size => Err(BodyError::TooLarge),
         _ => Ok(body),
     }
--- a/acaciaringd/src/entry/connection.rs
+++ b/acaciaringd/src/entry/connection.rs
@@ -34,8 +34,8 @@
 /// nothing is written to one whose answer was cut off. A mark outlives its
 /// connection, since that is closed after `idle` without a byte.
 #[derive(Debug)]
-pub(crate) struct Broken {
-    life: Duration,
+pub(crate) struct DesyncedConnections {
+    lifetime: Duration,
     count: AtomicUsize,
     marks: Mutex<HashMap<SocketAddr, Mark>>,
 }
@@ -46,10 +46,10 @@
     fault: Fault,
 }
 
-impl Broken {
-    /// Returns an empty set whose marks last for `life`.
-    pub(crate) fn new(life: Duration) -> Self {
-        Self { life, count: AtomicUsize::new(0), marks: Mutex::default() }
+impl DesyncedConnections {
+    /// Returns an empty set whose marks last for `lifetime`.
+    pub(crate) fn new(lifetime: Duration) -> Self {
+        Self { lifetime, count: AtomicUsize::new(0), marks: Mutex::default() }
     }
 
     pub(crate) fn mark(&self, remote: SocketAddr, fault: Fault, now: Time) {
@@ -70,7 +70,7 @@
             return None;
         }
         let mut marks = self.marks.lock();
-        marks.retain(|_, mark| now.since(mark.since) <= self.life);
+        marks.retain(|_, mark| now.since(mark.since) <= self.lifetime);
         self.count.store(marks.len(), Ordering::SeqCst);
         marks.get(&remote).map(|mark| mark.fault)
     }
@@ -82,9 +82,9 @@
 /// answers at once, and blocks who answers them out of turn. One caller that
 /// does not take its first answer could so block every worker.
 #[derive(Debug, Default)]
-pub(crate) struct Turns(Mutex<HashMap<SocketAddr, VecDeque<Request>>>);
+pub(crate) struct Pipelines(Mutex<HashMap<SocketAddr, VecDeque<Request>>>);
 
-impl Turns {
+impl Pipelines {
     /// Returns the request when it is its turn, else keeps it until [`Self::leave`].
     pub(crate) fn enter(&self, remote: SocketAddr, raw: Request) -> Option<Request> {
         match self.0.lock().entry(remote) {
@@ -101,10 +101,10 @@
 
     /// Ends a turn; returns the next request of the connection, whose turn it is then.
     pub(crate) fn leave(&self, remote: SocketAddr) -> Option<Request> {
-        let mut turns = self.0.lock();
-        let next = turns.get_mut(&remote)?.pop_front();
+        let mut pipelines = self.0.lock();
+        let next = pipelines.get_mut(&remote)?.pop_front();
         if next.is_none() {
-            turns.remove(&remote);
+            pipelines.remove(&remote);
         }
         next
     }
--- a/acaciaringd/src/entry/listener.rs
+++ b/acaciaringd/src/entry/listener.rs
@@ -30,19 +30,19 @@
 }
 
 /// Longest wait for a request before a worker looks whether it is to stop.
-const SLICE: Duration = Duration::from_millis(500);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time between two looks at the accept thread.
-const WATCH: Duration = Duration::from_millis(200);
+const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between two connections to this listener itself while requests come, see [`Shared::watch`].
-const NUDGE: Duration = Duration::from_millis(10);
+const SELF_CONNECT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The same while none come.
-const IDLE_NUDGE: Duration = Duration::from_millis(100);
+const IDLE_SELF_CONNECT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Idle times after which no request can be waiting at a server that accepts no more.
-const RETIRE: u32 = 4;
+const RETIRE_IDLE_TIMES: u32 = 4;
 
 /// Settings of a listener.
 #[derive(Debug, Clone)]
@@ -75,7 +75,7 @@
     pub(crate) fn start(settings: &ListenerSettings, handler: impl Handler) -> io::Result<Self> {
         let socket = TcpListener::bind(settings.address)?;
         let address = socket.local_addr()?;
-        limit(&socket, settings.idle)?;
+        set_timeouts(&socket, settings.idle)?;
         let shared = Arc::new(Shared {
             socket,
             workers: settings.workers,
@@ -128,7 +128,7 @@
         let acceptor = Arc::new(Acceptor::open(&shared.socket, clock::now())?);
         for number in 0..shared.workers {
             let (shared, acceptor) = (Arc::clone(shared), Arc::clone(&acceptor));
-            match spawn("listener-worker", move || shared.work(&acceptor)) {
+            match spawn("listener-worker", move || shared.run_worker(&acceptor)) {
                 Err(error) if number == 0 => return Err(error),
                 Err(error) => warn!(%error, number, "fewer workers than set"),
                 Ok(()) => {}
@@ -141,20 +141,20 @@
     ///
     /// A server that has been replaced is served for as long as one of its
     /// connections may still bring a request.
-    fn work(&self, acceptor: &Acceptor) {
-        while !self.is_over(acceptor, clock::now()) {
+    fn run_worker(&self, acceptor: &Acceptor) {
+        while !self.is_finished(acceptor, clock::now()) {
             let stop = || self.stopped.load(Ordering::SeqCst);
-            if let Some(request) = acceptor.receive(&*self.handler, stop, SLICE) {
+            if let Some(request) = acceptor.receive(&*self.handler, stop, RECEIVE_TIMEOUT) {
                 self.taken.fetch_add(1, Ordering::Relaxed);
                 self.handler.serve(request);
             }
         }
     }
 
-    fn is_over(&self, acceptor: &Acceptor, now: Time) -> bool {
+    fn is_finished(&self, acceptor: &Acceptor, now: Time) -> bool {
         let retired = acceptor.is_ended()
             && !self.closed.load(Ordering::SeqCst)
-            && now.since(acceptor.last()) > self.idle * RETIRE;
+            && now.since(acceptor.last_request()) > self.idle * RETIRE_IDLE_TIMES;
         retired || self.stopped.load(Ordering::SeqCst)
     }
 
@@ -176,21 +176,22 @@
     /// inherit, holds for `accept` as well; it must not pass when no caller
     /// connects.
     fn watch(shared: &Arc<Self>, address: SocketAddr, mut acceptor: Arc<Acceptor>) {
-        let mut looked = clock::now();
+        let mut checked = clock::now();
         let mut taken = 0;
-        let mut pause = NUDGE;
+        let mut pause = SELF_CONNECT_INTERVAL;
         while !shared.closed.load(Ordering::SeqCst) {
             thread::sleep(pause);
             let now = clock::now();
-            if now.since(looked) >= WATCH {
-                looked = now;
+            if now.since(checked) >= WATCH_INTERVAL {
+                checked = now;
                 if !acceptor.is_accepting() {
                     shared.replace(&mut acceptor, || Self::open(shared));
                 }
             }
             let before = std::mem::replace(&mut taken, shared.taken.load(Ordering::Relaxed));
-            pause = if before == taken { IDLE_NUDGE } else { NUDGE };
-            drop(TcpStream::connect_timeout(&address, WATCH));
+            pause =
+                if before == taken { IDLE_SELF_CONNECT_INTERVAL } else { SELF_CONNECT_INTERVAL };
+            drop(TcpStream::connect_timeout(&address, WATCH_INTERVAL));
         }
     }
 
@@ -208,7 +209,7 @@
         }
         // `tiny_http` panics when it cannot start its threads, and this one must go on.
         let open = || panic::catch_unwind(AssertUnwindSafe(open));
-        let opened = Acceptor::reserve(&self.socket)
+        let opened = Acceptor::check_descriptors(&self.socket)
             .and_then(|()| open().unwrap_or_else(|_| Err(io::ErrorKind::WouldBlock.into())));
         match opened {
             Ok(replacement) => *acceptor = replacement,
@@ -227,7 +228,7 @@
 ///
 /// `tiny_http` reads and writes without timeout and does not give out its
 /// sockets. Linux copies the options of a listening socket to the connections.
-fn limit(socket: &TcpListener, idle: Duration) -> io::Result<()> {
+fn set_timeouts(socket: &TcpListener, idle: Duration) -> io::Result<()> {
     sockopt::set_socket_timeout(socket, Timeout::Recv, Some(idle))?;
     sockopt::set_socket_timeout(socket, Timeout::Send, Some(idle))?;
     sockopt::set_tcp_nodelay(socket, true)?;
--- a/acaciaringd/src/entry/refuse.rs
+++ b/acaciaringd/src/entry/refuse.rs
@@ -39,20 +39,20 @@
         info!(remote = ?raw.remote_addr(), ?malformed, "malformed request");
         let answer = bad_request(status);
         if malformed == Malformed::Framing {
-            self.abandon(raw, answer, Recovery::Never);
+            self.refuse_unread(raw, answer, Recovery::Never);
         } else if request::has_unread(&raw) {
-            self.abandon(raw, answer, Recovery::Possible);
+            self.refuse_unread(raw, answer, Recovery::Possible);
         } else {
             self.answer(raw, &answer);
         }
     }
 
     /// Refuses what may be the rest of a body, or what cannot be answered.
-    pub(super) fn refuse_broken(&self, raw: Request, fault: Fault) {
+    pub(super) fn refuse_desynced(&self, raw: Request, fault: Fault) {
         info!(remote = ?raw.remote_addr(), ?fault, "request on a connection that is out of step");
         match fault {
-            Fault::Unread => self.abandon(raw, bad_request(BAD_REQUEST), Recovery::Never),
-            Fault::Unwritten => aside("entry-drop", move || drop(raw.into_writer())),
+            Fault::Unread => self.refuse_unread(raw, bad_request(BAD_REQUEST), Recovery::Never),
+            Fault::Unwritten => run_on_thread("entry-drop", move || drop(raw.into_writer())),
         }
     }
 
@@ -64,33 +64,33 @@
             BodyError::Slow => REQUEST_TIMEOUT,
             BodyError::Malformed | BodyError::Cut => BAD_REQUEST,
         };
-        self.abandon(raw, bad_request(status), Recovery::Possible);
+        self.refuse_unread(raw, bad_request(status), Recovery::Possible);
     }
 
     /// Answers a request whose body has not been read, on a thread of its own.
     ///
     /// `tiny_http` reads the rest of the body when it drops the request, as
     /// slowly as the caller sends it; no worker may wait for that.
-    pub(super) fn abandon(&self, raw: Request, answer: EntryAnswer, recovery: Recovery) {
+    pub(super) fn refuse_unread(&self, raw: Request, answer: EntryAnswer, recovery: Recovery) {
         self.service.0.record_verdict(answer.verdict);
         let Some(remote) = raw.remote_addr().copied() else {
             return;
         };
-        self.broken.mark(remote, Fault::Unread, clock::now());
-        if raw.body_length().is_some_and(|length| length as u64 > body::DISCARD) {
-            forsake(raw, &answer);
+        self.desynced.mark(remote, Fault::Unread, clock::now());
+        if raw.body_length().is_some_and(|length| length as u64 > body::MAX_DISCARD) {
+            answer_and_leak(raw, &answer);
             return;
         }
-        let (broken, idle) = (Arc::clone(&self.broken), self.settings.idle);
+        let (desynced, idle) = (Arc::clone(&self.desynced), self.settings.idle);
         let framed = raw.body_length().is_some() && !request::is_upgrade_of(&raw);
         let start = clock::now();
-        aside("entry-abandon", move || {
+        run_on_thread("entry-abandon", move || {
             let written = raw.respond(answer.response()).is_ok();
             // No read can have timed out in half of `idle`: the rest of the body was
             // read, or the connection has ended. Either way nothing is left over.
-            let whole = framed && written && clock::now().since(start) < idle / 2;
-            if whole && recovery == Recovery::Possible {
-                broken.unmark(remote);
+            let consumed = framed && written && clock::now().since(start) < idle / 2;
+            if consumed && recovery == Recovery::Possible {
+                desynced.unmark(remote);
             }
         });
     }
@@ -101,7 +101,7 @@
 }
 
 /// Runs on a thread of its own what may block for as long as a caller likes.
-fn aside(name: &str, run: impl FnOnce() + Send + 'static) {
+fn run_on_thread(name: &str, run: impl FnOnce() + Send + 'static) {
     if let Err(error) = thread::Builder::new().name(name.into()).spawn(run) {
         error!(%error, name, "cannot start a thread");
     }
@@ -109,9 +109,9 @@
 
 /// Answers a request whose body is too long even to be dropped.
 ///
-/// Dropping it would allocate what is left of the body, see [`body::DISCARD`]. So
+/// Dropping it would allocate what is left of the body, see [`body::MAX_DISCARD`]. So
 /// the stream is never dropped; its connection's thread waits until the process ends.
-fn forsake(raw: Request, answer: &EntryAnswer) {
+fn answer_and_leak(raw: Request, answer: &EntryAnswer) {
     error!(remote = ?raw.remote_addr(), length = ?raw.body_length(), "body beyond all bounds");
     std::mem::forget(raw.upgrade("none", answer.response()));
 }
--- a/acaciaringd/src/entry/request.rs
+++ b/acaciaringd/src/entry/request.rs
@@ -60,7 +60,7 @@
 }
 
 /// Bodies up to this size are read with the head by `tiny_http`, unless the caller waits to be asked.
-const BUFFERED: u64 = 1024;
+const MAX_BUFFERED: u64 = 1024;
 
 /// Value of `connection` at which `tiny_http` gives the body without framing.
 const UPGRADE: &[u8] = b"upgrade";
@@ -74,9 +74,9 @@
     ) -> Result<Self, Malformed> {
         let mut headers = collect(raw, limit)?;
         let framing = framing(&headers)?;
-        let waits = header::find(&headers, header::EXPECT).is_some();
+        let expects_continue = header::find(&headers, header::EXPECT).is_some();
         let upgrade = is_upgrade(&headers);
-        let buffered = matches!(framing, Framing::Length(n) if n <= BUFFERED);
+        let buffered = matches!(framing, Framing::Length(n) if n <= MAX_BUFFERED);
         let request = EntryRequest {
             method: method(raw.method())?,
             path: path(raw.url())?,
@@ -89,15 +89,15 @@
             body: Vec::new(),
             received: now,
         };
-        forward(&mut headers);
+        retain_forwarded(&mut headers);
         let empty = framing == Framing::Length(0);
-        let buffered = empty || (buffered && !waits && !upgrade);
+        let buffered = empty || (buffered && !expects_continue && !upgrade);
         Ok(Self { request: EntryRequest { headers, ..request }, framing, buffered })
     }
 }
 
 /// Keeps the headers that are for the upstream.
-fn forward(headers: &mut Headers) {
+fn retain_forwarded(headers: &mut Headers) {
     const REPLACED: [&str; 3] = [header::CONTENT_LENGTH, header::EXPECT, TRACEPARENT];
     header::strip_hop(headers);
     header::strip_own(headers);
@@ -172,11 +172,12 @@
 
 /// Returns true when bytes of the request may still be on the connection.
 pub(crate) fn has_unread(raw: &tiny_http::Request) -> bool {
-    const SIGNS: [&str; 2] = [header::TRANSFER_ENCODING, header::EXPECT];
-    let stated = raw.body_length().is_some_and(|length| length as u64 > BUFFERED);
+    const BODY_HEADERS: [&str; 2] = [header::TRANSFER_ENCODING, header::EXPECT];
+    let stated = raw.body_length().is_some_and(|length| length as u64 > MAX_BUFFERED);
     let names = raw.headers().iter().map(|found| found.field.as_str().as_str());
-    let signs = |name: &str| SIGNS.iter().any(|sign| header::same(sign, name));
-    stated || is_upgrade_of(raw) || names.into_iter().any(signs)
+    let announces_body =
+        |name: &str| BODY_HEADERS.iter().any(|header_name| header::same(header_name, name));
+    stated || is_upgrade_of(raw) || names.into_iter().any(announces_body)
 }
 
 /// Returns true when `tiny_http` has not framed the body, because of an upgrade.
--- a/acaciaringd/src/entry/worker.rs
+++ b/acaciaringd/src/entry/worker.rs
@@ -15,7 +15,7 @@
 use crate::clock;
 use crate::entry::answer::EntryAnswer;
 use crate::entry::body::{self, BodyLimits};
-use crate::entry::connection::{self, Broken, Fault, Turns};
+use crate::entry::connection::{self, DesyncedConnections, Fault, Pipelines};
 use crate::entry::listener::Handler;
 use crate::entry::refuse::Recovery;
 use crate::entry::request::{EntryRequest, Framing, Head};
@@ -24,19 +24,19 @@
 const UNAVAILABLE: u16 = 503;
 
 /// When a caller that found the entry busy or draining may come back.
-const RETRY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Idle times for which a connection that is out of step stays marked.
-const MARK_LIFE: u32 = 4;
+const MARK_IDLE_TIMES: u32 = 4;
 
 /// Threads and state that all requests share.
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(super) settings: EntrySettings,
     pub(super) service: ServiceHandle,
-    pub(super) broken: Arc<Broken>,
-    turns: Turns,
-    flights: AtomicUsize,
+    pub(super) desynced: Arc<DesyncedConnections>,
+    pipelines: Pipelines,
+    in_flight: AtomicUsize,
     draining: AtomicBool,
     uploads: Sender<Upload>,
 }
@@ -53,39 +53,39 @@
 struct Upload {
     raw: Request,
     head: Head,
-    flight: Flight,
+    guard: RequestGuard,
 }
 
 /// Counts a request for as long as it is in hand.
-struct Flight {
+struct RequestGuard {
     pool: Arc<Pool>,
     remote: SocketAddr,
 }
 
-impl Flight {
+impl RequestGuard {
     fn new(pool: &Arc<Pool>, remote: SocketAddr) -> Self {
-        pool.flights.fetch_add(1, Ordering::SeqCst);
+        pool.in_flight.fetch_add(1, Ordering::SeqCst);
         Self { pool: Arc::clone(pool), remote }
     }
 
     /// Ends the turn and serves what waited behind it.
-    fn pass(self) {
-        if let Some(next) = self.pool.turns.leave(self.remote) {
+    fn serve_next(self) {
+        if let Some(next) = self.pool.pipelines.leave(self.remote) {
             Pool::serve(&self.pool, next);
         }
     }
 }
 
-impl Drop for Flight {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.pool.flights.fetch_sub(1, Ordering::SeqCst);
+        self.pool.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 impl Handler for Arc<Pool> {
     fn enter(&self, raw: Request) -> Option<Request> {
         let remote = raw.remote_addr().copied()?;
-        self.turns.enter(remote, raw)
+        self.pipelines.enter(remote, raw)
     }
 
     fn serve(&self, raw: Request) {
@@ -98,38 +98,38 @@
         let (uploads, queue) = crossbeam_channel::bounded(settings.uploads);
         for _ in 0..settings.uploads {
             let queue: Receiver<Upload> = queue.clone();
-            let run = move || queue.iter().for_each(Upload::run_turn);
+            let run = move || queue.iter().for_each(Upload::run_and_continue);
             if let Err(error) = thread::Builder::new().name("entry-upload".into()).spawn(run) {
                 error!(%error, "cannot start a thread for uploads");
             }
         }
-        let broken = Arc::new(Broken::new(settings.idle * MARK_LIFE));
+        let desynced = Arc::new(DesyncedConnections::new(settings.idle * MARK_IDLE_TIMES));
         Self {
             settings,
             service: ServiceHandle(service),
-            broken,
-            turns: Turns::default(),
-            flights: AtomicUsize::new(0),
+            desynced,
+            pipelines: Pipelines::default(),
+            in_flight: AtomicUsize::new(0),
             draining: AtomicBool::new(false),
             uploads,
         }
     }
 
     pub(crate) fn in_flight(&self) -> usize {
-        self.flights.load(Ordering::SeqCst)
+        self.in_flight.load(Ordering::SeqCst)
     }
 
     /// Waits until nothing is in flight, at most `bound`; returns what is left.
     pub(crate) fn drain(&self, bound: Duration) -> usize {
-        const STEP: Duration = Duration::from_millis(10);
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
         /// Steps without a request after which none is waiting for a worker either.
-        const QUIET: u32 = 5;
+        const QUIET_POLLS: u32 = 5;
         self.draining.store(true, Ordering::SeqCst);
         let start = clock::now();
-        let mut quiet = 0;
-        while quiet < QUIET && clock::now().since(start) <= bound {
-            thread::sleep(STEP);
-            quiet = if self.in_flight() == 0 { quiet + 1 } else { 0 };
+        let mut quiet_polls = 0;
+        while quiet_polls < QUIET_POLLS && clock::now().since(start) <= bound {
+            thread::sleep(POLL_INTERVAL);
+            quiet_polls = if self.in_flight() == 0 { quiet_polls + 1 } else { 0 };
         }
         self.in_flight()
     }
@@ -141,23 +141,23 @@
         };
         let mut next = Some(raw);
         while let Some(raw) = next {
-            let flight = Flight::new(pool, remote);
-            if let Some(upload) = pool.admit(raw, flight) {
+            let guard = RequestGuard::new(pool, remote);
+            if let Some(upload) = pool.admit(raw, guard) {
                 return pool.queue(upload);
             }
-            next = pool.turns.leave(remote);
+            next = pool.pipelines.leave(remote);
         }
     }
 
     /// Handles a request, or returns it when its body has yet to be read.
-    fn admit(&self, raw: Request, flight: Flight) -> Option<Upload> {
+    fn admit(&self, raw: Request, guard: RequestGuard) -> Option<Upload> {
         let now = clock::now();
-        let fault = self.broken.find(flight.remote, now);
+        let fault = self.desynced.find(guard.remote, now);
         match (fault, Head::read(&raw, self.settings.header, now)) {
-            (Some(fault), _) => self.refuse_broken(raw, fault),
+            (Some(fault), _) => self.refuse_desynced(raw, fault),
             (None, Err(malformed)) => self.refuse_malformed(raw, malformed),
-            (None, Ok(head)) if head.buffered => Upload { raw, head, flight }.run(),
-            (None, Ok(head)) => return Some(Upload { raw, head, flight }),
+            (None, Ok(head)) if head.buffered => Upload { raw, head, guard }.run(),
+            (None, Ok(head)) => return Some(Upload { raw, head, guard }),
         }
         None
     }
@@ -167,11 +167,11 @@
         match self.uploads.try_send(upload) {
             Ok(()) => {}
             Err(TrySendError::Full(upload) | TrySendError::Disconnected(upload)) => {
-                let Upload { raw, flight, .. } = upload;
-                let refusal = Refusal::not_run(Reason::Busy).after(RETRY);
+                let Upload { raw, guard, .. } = upload;
+                let refusal = Refusal::not_run(Reason::Busy).after(RETRY_DELAY);
                 let answer = EntryAnswer::refusal_with(refusal, UNAVAILABLE);
-                self.abandon(raw, answer, Recovery::Possible);
-                flight.pass();
+                self.refuse_unread(raw, answer, Recovery::Possible);
+                guard.serve_next();
             }
         }
     }
@@ -193,7 +193,7 @@
         warn!(?remote, %error, "caller does not take its answer");
         if let Some(remote) = remote {
             // Before the writer is dropped, which lets the next answer follow.
-            self.broken.mark(remote, Fault::Unwritten, clock::now());
+            self.desynced.mark(remote, Fault::Unwritten, clock::now());
         }
         drop(writer);
     }
@@ -202,7 +202,7 @@
 impl Upload {
     /// Reads the body, handles the request and answers it.
     fn run(mut self) {
-        let pool = Arc::clone(&self.flight.pool);
+        let pool = Arc::clone(&self.guard.pool);
         let limits = BodyLimits { size: pool.settings.body, time: pool.settings.read };
         let start: Time = self.head.request.received;
         let body = match self.head.framing {
@@ -219,17 +219,17 @@
     }
 
     /// Reads, handles and answers, and then serves what waited behind it.
-    fn run_turn(self) {
-        let flight = Flight::new(&self.flight.pool, self.flight.remote);
+    fn run_and_continue(self) {
+        let guard = RequestGuard::new(&self.guard.pool, self.guard.remote);
         self.run();
-        flight.pass();
+        guard.serve_next();
     }
 }
 
 impl Pool {
     fn handle(&self, request: EntryRequest) -> EntryAnswer {
         if self.draining.load(Ordering::SeqCst) {
-            return EntryAnswer::refusal(Refusal::not_run(Reason::Draining).after(RETRY));
+            return EntryAnswer::refusal(Refusal::not_run(Reason::Draining).after(RETRY_DELAY));
         }
         let trace = request.trace;
         let span = info_span!(
