--- a/acaciaringd/src/entry/acceptor.rs
+++ b/acaciaringd/src/entry/acceptor.rs
@@ -1,4 +1,4 @@
-//! One server of `tiny_http`, whose accept thread may end.
+//! One `tiny_http` server, whose accept thread may end on errors.
 
 use std::fs;
 use std::io;
@@ -16,18 +16,18 @@
 use crate::clock;
 use crate::entry::listener::Handler;
 
-/// File descriptors that have to be free before a server is replaced.
+/// Number of file descriptors that must be free before a server is replaced.
 const MIN_FREE_DESCRIPTORS: usize = 16;
 
-/// Server of `tiny_http`.
+/// One `tiny_http` server and the state of its accept thread.
 pub(crate) struct Acceptor {
     server: Server,
-    /// Time of the last request; locked from taking a request to [`Handler::enter`].
+    /// Time of the last request; locked while a request is received and [`Handler::enter`] runs.
     last_request: Mutex<Time>,
     ended: AtomicBool,
-    /// Descriptor of the accept thread, in `/proc`.
+    /// Path in `/proc` of the accept thread's descriptor of the listening socket.
     descriptor: PathBuf,
-    /// What the descriptor refers to while the accept thread runs.
+    /// Link target of the path while the accept thread runs.
     link_target: PathBuf,
 }
 
@@ -42,7 +42,7 @@
         Ok(Self { server, last_request, ended: AtomicBool::new(false), descriptor, link_target })
     }
 
-    /// Fails while file descriptors are so short that accepting would fail again.
+    /// Fails if fewer than [`MIN_FREE_DESCRIPTORS`] are free, since accepting would fail again.
     pub(crate) fn check_descriptors(socket: &TcpListener) -> io::Result<()> {
         let clones: io::Result<Vec<_>> =
             (0..MIN_FREE_DESCRIPTORS).map(|_| socket.try_clone()).collect();
@@ -51,15 +51,14 @@
 
     /// Returns true while the accept thread runs.
     ///
-    /// `tiny_http` ends it when `accept` fails, and says so; it also ends by a
-    /// panic, without a word, when there is a descriptor for the connection but
-    /// none for its copy, or no thread for it. The thread owns its descriptor of
-    /// the listening socket, so that is closed with it either way.
+    /// `tiny_http` reports when the thread ends because `accept` failed, but not when it panics for
+    /// lack of descriptors or threads. Either way the thread closes its descriptor of the listening
+    /// socket.
     pub(crate) fn is_accepting(&self) -> bool {
         fs::read_link(&self.descriptor).is_ok_and(|link_target| link_target == self.link_target)
     }
 
-    /// Notes that the accept thread has ended; returns whether that was known.
+    /// Marks the accept thread as ended; returns true if it was already marked.
     pub(crate) fn end(&self) -> bool {
         self.ended.swap(true, Ordering::SeqCst)
     }
@@ -68,15 +67,15 @@
         self.ended.load(Ordering::SeqCst)
     }
 
-    /// Returns when the last request arrived.
+    /// Returns the time at which the last request was received.
     pub(crate) fn last_request(&self) -> Time {
         *self.last_request.lock()
     }
 
-    /// Waits for a request that can be served now, at most `timeout`, unless it is to `stop`.
+    /// Waits at most `timeout` for a request that can be served now; `None` if `stop` returns true.
     ///
-    /// Two requests of one connection have to be entered in their order: served
-    /// the other way round, the second would wait for the first to be answered.
+    /// Pipelined requests must be entered in order: out of order, the second would block its worker
+    /// until the first was answered.
     pub(crate) fn receive(
         &self,
         handler: &dyn Handler,
@@ -90,7 +89,7 @@
         let request = match self.server.recv_timeout(timeout) {
             Ok(request) => request?,
             Err(error) => {
-                warn!(%error, "accept has failed");
+                warn!(%error, "tiny_http failed to accept a connection");
                 return None;
             }
         };
--- a/acaciaringd/src/entry/answer.rs
+++ b/acaciaringd/src/entry/answer.rs
@@ -21,19 +21,19 @@
 /// Answer to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryAnswer {
-    /// Whether the request may have run.
+    /// Verdict on whether the request may have run.
     pub verdict: Verdict,
-    /// Why there is no answer from an upstream.
+    /// Reason of a refusal; `None` for an answer of an upstream.
     pub reason: Option<Reason>,
     /// HTTP status.
     pub status: u16,
-    /// Headers of the upstream, without those that concern one connection only.
+    /// Headers of the upstream without hop-by-hop headers.
     pub headers: Headers,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// When the caller may come back.
+    /// Delay after which the caller may retry.
     pub retry: Option<Duration>,
-    /// Member that owns the key, a hint.
+    /// Hint: the member that owns the key.
     pub owner: Option<String>,
 }
 
@@ -44,13 +44,13 @@
 }
 
 impl EntryAnswer {
-    /// Returns the answer to a request that has no answer from an upstream.
+    /// Creates the answer for a refusal, with the status for its verdict and reason.
     #[must_use]
     pub fn refusal(refusal: Refusal) -> Self {
         Self::refusal_with(refusal, status(refusal))
     }
 
-    /// Returns the same with a status that says more about a malformed request.
+    /// Creates the answer for a refusal with a given status.
     pub(crate) fn refusal_with(refusal: Refusal, status: u16) -> Self {
         let body = json!({
             "verdict": refusal.verdict,
@@ -68,11 +68,10 @@
         }
     }
 
-    /// Writes the answer in the form of HTTP/1.1.
+    /// Encodes the answer as HTTP/1.1.
     ///
-    /// `tiny_http::Response` is not used for it: it takes ASCII values only, joins
-    /// repeated content types, adds headers, and answers in chunks when it likes. An
-    /// answer has to reach the caller as the upstream gave it, with its length.
+    /// `tiny_http::Response` would alter an answer of the upstream: it accepts only ASCII values,
+    /// merges repeated content types, adds headers and may use chunked coding.
     pub(crate) fn encode(&self, head: bool, close: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.body.len() + 512);
         let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
@@ -97,12 +96,12 @@
         out
     }
 
-    /// Headers that this answer states itself when it says when to come back.
+    /// Returns true for an upstream header that is replaced by the answer's own retry delay.
     fn replaces(&self, name: &str) -> bool {
         self.retry.is_some() && header::same(name, header::RETRY_AFTER)
     }
 
-    /// Returns the headers of this project.
+    /// Returns the protocol headers.
     fn protocol_headers(&self) -> Vec<(&'static str, String)> {
         let mut headers = vec![(header::VERDICT, self.verdict.as_str().to_owned())];
         if let Some(reason) = self.reason {
@@ -119,7 +118,7 @@
         headers
     }
 
-    /// Returns a refusal for `tiny_http` to write.
+    /// Converts a refusal to a `tiny_http` response.
     pub(crate) fn response(&self) -> Response<Cursor<Vec<u8>>> {
         let mut response = Response::from_data(self.body.clone()).with_status_code(self.status);
         let own = self.protocol_headers();
@@ -133,7 +132,7 @@
         response
     }
 
-    /// Returns the length to state; an answer to `HEAD`, or 304, states the upstream's.
+    /// Returns the value of `Content-Length`; for `HEAD` and 304 that of the upstream.
     fn length(&self, head: bool) -> Option<u64> {
         let own = Some(self.body.len() as u64);
         let stated = || parse_number(header::find(&self.headers, header::CONTENT_LENGTH)?);
@@ -150,7 +149,7 @@
     }
 }
 
-/// Returns the status of a refusal, as the page of protocols lists them.
+/// Returns the HTTP status of a refusal.
 const fn status(refusal: Refusal) -> u16 {
     match refusal.verdict {
         Verdict::Unknown | Verdict::Answered => BAD_GATEWAY,
@@ -178,7 +177,7 @@
     }
 }
 
-/// Writes one header; a line break in a value would forge a header, so it is left out.
+/// Writes a header; omits one with line breaks, which would allow header injection.
 fn write_header(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     let breaks = |bytes: &[u8]| bytes.iter().any(|byte| matches!(byte, b'\r' | b'\n' | 0));
     if breaks(name.as_bytes()) || breaks(value) {
--- a/acaciaringd/src/entry/body.rs
+++ b/acaciaringd/src/entry/body.rs
@@ -1,4 +1,4 @@
-//! Reading of request bodies within bounds.
+//! Reads request bodies within limits of size and time.
 
 use std::io::{ErrorKind, Read};
 use std::time::Duration;
@@ -8,40 +8,41 @@
 use crate::clock;
 use crate::entry::request::Framing;
 
-/// Longest body that is read to its end only to answer that it is too large, bytes.
+/// Maximum size up to which a body that is too large is still read to its end, bytes.
 ///
-/// `tiny_http` allocates what is left of a body when it drops the request; above
-/// this size that allocation could fail and end the process.
+/// `tiny_http` allocates the rest of a body when it drops the request; above this size a failed
+/// allocation could abort the process.
 pub(crate) const MAX_DISCARD: u64 = 64 << 20;
 
+/// Size of the read buffer, bytes.
 const CHUNK_SIZE: usize = 64 << 10;
 
-/// Most that is reserved on the word of the caller, bytes.
+/// Maximum capacity reserved for the length stated by the caller, bytes.
 const MAX_RESERVE: u64 = 1 << 20;
 
-/// Bounds of one body.
+/// Limits of a body: size in bytes and time to arrive.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BodyLimits {
     pub(crate) size: u64,
     pub(crate) time: Duration,
 }
 
-/// Why there is no whole body.
+/// Error of reading a complete body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BodyError {
-    /// Above the limit; read to its end, so that the connection can be used further.
+    /// Above the size limit; read to its end, so the connection stays usable.
     TooLarge,
-    /// So far above the limit that it was not read to its end.
+    /// Above [`MAX_DISCARD`]; not read to its end.
     Huge,
-    /// Not whole in time.
+    /// Incomplete at the time limit.
     Slow,
-    /// The caller has gone away.
+    /// The caller has closed the connection.
     Cut,
-    /// Chunks that do not parse.
+    /// Invalid chunked coding.
     Malformed,
 }
 
-/// Reads a whole body that began to arrive at `start`.
+/// Reads a complete body that began to arrive at `start`.
 pub(crate) fn read(
     raw: &mut tiny_http::Request,
     framing: Framing,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Tells a timeout of the socket from a lost connection and from chunks that do not parse.
+/// Maps a read error to a socket timeout, invalid chunked coding or a lost connection.
 const fn classify(kind: ErrorKind, stated: Option<u64>) -> BodyError {
     match (kind, stated) {
         (ErrorKind::WouldBlock | ErrorKind::TimedOut, _) => BodyError::Slow,
--- a/acaciaringd/src/entry/connection.rs
+++ b/acaciaringd/src/entry/connection.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: their turns, and those that are out of step.
+//! Connections of callers: pipelined requests, and connections that lost message framing.
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -13,26 +13,24 @@
 
 use crate::clock;
 
-/// Writer of a connection.
+/// Response writer of a connection.
 pub(crate) type Writer = Box<dyn Write + Send>;
 
-/// What is still safe on a connection that is out of step.
+/// Cause of the loss of message framing on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Part of a body is unread; what follows may look like a request and must not run.
+    /// Part of a body is unread; the rest could be parsed as a request and must not run.
     Unread,
-    /// Part of an answer is unwritten; a further answer would be taken for its rest.
+    /// Part of an answer is unwritten; another answer would be read as its rest.
     Unwritten,
 }
 
-/// Connections that are out of step, by the caller's address.
+/// Connections that lost message framing, by the caller's address.
 ///
-/// `tiny_http` gives no way to close a connection. After a body that was given
-/// up, it would read the rest of that body as the next request; after an answer
-/// that was cut off, it would write the next answer behind it, and the caller
-/// would take both for one. Requests from a marked connection are refused, and
-/// nothing is written to one whose answer was cut off. A mark outlives its
-/// connection, since that is closed after `idle` without a byte.
+/// `tiny_http` cannot close a connection: it would parse the rest of an abandoned body as the next
+/// request, and append the next answer to a truncated one. Requests on a marked connection are
+/// refused, and nothing is written after a truncated answer. A mark outlives its connection, which
+/// is closed after `idle` without data.
 #[derive(Debug)]
 pub(crate) struct DesyncedConnections {
     lifetime: Duration,
@@ -64,7 +62,7 @@
         self.count.store(marks.len(), Ordering::SeqCst);
     }
 
-    /// Returns what is wrong with a connection, if anything.
+    /// Returns the fault of a connection, if it is marked.
     pub(crate) fn find(&self, remote: SocketAddr, now: Time) -> Option<Fault> {
         if self.count.load(Ordering::SeqCst) == 0 {
             return None;
@@ -76,16 +74,15 @@
     }
 }
 
-/// Lets the requests of one connection be handled one after the other.
+/// Queues of pipelined requests, so that those of one connection are handled one at a time.
 ///
-/// `tiny_http` gives out requests that a caller sends without waiting for its
-/// answers at once, and blocks who answers them out of turn. One caller that
-/// does not take its first answer could so block every worker.
+/// `tiny_http` delivers pipelined requests concurrently and blocks a worker that answers out of
+/// order, so one caller that does not read its first answer could block all workers.
 #[derive(Debug, Default)]
 pub(crate) struct Pipelines(Mutex<HashMap<SocketAddr, VecDeque<Request>>>);
 
 impl Pipelines {
-    /// Returns the request when it is its turn, else keeps it until [`Self::leave`].
+    /// Returns the request if none of the connection is in progress, otherwise queues it.
     pub(crate) fn enter(&self, remote: SocketAddr, raw: Request) -> Option<Request> {
         match self.0.lock().entry(remote) {
             Entry::Vacant(free) => {
@@ -99,7 +96,7 @@
         }
     }
 
-    /// Ends a turn; returns the next request of the connection, whose turn it is then.
+    /// Finishes a request; returns the next one of the connection, which is then in progress.
     pub(crate) fn leave(&self, remote: SocketAddr) -> Option<Request> {
         let mut pipelines = self.0.lock();
         let next = pipelines.get_mut(&remote)?.pop_front();
@@ -110,7 +107,7 @@
     }
 }
 
-/// Writes all bytes within `bound`.
+/// Writes all bytes; fails with `TimedOut` after `bound`.
 pub(crate) fn send(writer: &mut Writer, bytes: &[u8], bound: Duration) -> io::Result<()> {
     let start = clock::now();
     let mut rest = bytes;
@@ -128,7 +125,7 @@
     writer.flush()
 }
 
-/// Returns true for failures after which the connection is gone for good.
+/// Returns true for errors after which the connection is closed.
 pub(crate) const fn is_gone(kind: ErrorKind) -> bool {
     matches!(
         kind,
--- a/acaciaringd/src/entry/listener.rs
+++ b/acaciaringd/src/entry/listener.rs
@@ -1,4 +1,4 @@
-//! Listening socket whose connections time out, served by `tiny_http`.
+//! Listening socket with connection timeouts, served by `tiny_http`.
 
 use std::fmt::{self, Debug, Formatter};
 use std::io;
@@ -18,33 +18,31 @@
 use crate::clock;
 use crate::entry::acceptor::Acceptor;
 
-/// Handler of requests as `tiny_http` gives them.
+/// Handler of `tiny_http` requests.
 pub(crate) trait Handler: Send + Sync + 'static {
-    /// Takes a request from the queue; called in the order in which they arrived.
-    ///
-    /// Returns it when it can be served now.
+    /// Accepts a request, called in order of arrival; returns it if it can be served now.
     fn enter(&self, raw: Request) -> Option<Request>;
 
-    /// Serves a request; called on many threads at once.
+    /// Serves a request; called concurrently on many threads.
     fn serve(&self, raw: Request);
 }
 
-/// Longest wait for a request before a worker looks whether it is to stop.
+/// Timeout of receiving a request, after which a worker checks whether it must stop.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time between two looks at the accept thread.
+/// Interval of checks of the accept thread, and timeout of a connection to the listener itself.
 const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two connections to this listener itself while requests come, see [`Shared::watch`].
+/// Interval of connections to the listener itself while requests arrive, see [`Shared::watch`].
 const SELF_CONNECT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The same while none come.
+/// Interval of connections to the listener itself while no requests arrive.
 const IDLE_SELF_CONNECT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Idle times after which no request can be waiting at a server that accepts no more.
+/// Multiple of the idle timeout after which a replaced server has no more requests.
 const RETIRE_IDLE_TIMES: u32 = 4;
 
-/// Settings of a listener.
+/// Settings of a listener; `idle` is the timeout of connections without data.
 #[derive(Debug, Clone)]
 pub(crate) struct ListenerSettings {
     pub(crate) address: SocketAddr,
@@ -64,14 +62,14 @@
     workers: usize,
     idle: Duration,
     handler: Box<dyn Handler>,
-    /// Requests taken so far.
+    /// Number of requests taken.
     taken: AtomicU64,
     closed: AtomicBool,
     stopped: AtomicBool,
 }
 
 impl Listener {
-    /// Listens, and serves on threads of its own.
+    /// Binds the address and starts the threads.
     pub(crate) fn start(settings: &ListenerSettings, handler: impl Handler) -> io::Result<Self> {
         let socket = TcpListener::bind(settings.address)?;
         let address = socket.local_addr()?;
@@ -95,21 +93,20 @@
         self.address
     }
 
-    /// Stops to accept; requests on open connections are still served.
+    /// Stops accepting connections; requests on open connections are still served.
     ///
-    /// `Server` closes its socket only when it is dropped, and then it serves no
-    /// more. Linux ends the `accept` of a listening socket that is shut down, and
-    /// refuses further connections.
+    /// `Server` closes its socket only when dropped, and then serves no more requests. On Linux,
+    /// shutting down a listening socket ends `accept` and refuses further connections.
     pub(crate) fn close(&self) {
         if self.shared.closed.swap(true, Ordering::SeqCst) {
             return;
         }
         if let Err(error) = shutdown(&self.shared.socket, Shutdown::Both) {
-            warn!(%error, "cannot close the listening socket");
+            warn!(%error, "cannot shut down the listening socket");
         }
     }
 
-    /// Ends the threads once they have no request in hand.
+    /// Stops the threads; each finishes its current request.
     pub(crate) fn stop(&self) {
         self.close();
         self.shared.stopped.store(true, Ordering::SeqCst);
@@ -123,14 +120,14 @@
 }
 
 impl Shared {
-    /// Accepts connections with a new server and as many workers as can be started.
+    /// Starts a new server and as many of its workers as possible.
     fn open(shared: &Arc<Self>) -> io::Result<Arc<Acceptor>> {
         let acceptor = Arc::new(Acceptor::open(&shared.socket, clock::now())?);
         for number in 0..shared.workers {
             let (shared, acceptor) = (Arc::clone(shared), Arc::clone(&acceptor));
             match spawn("listener-worker", move || shared.run_worker(&acceptor)) {
                 Err(error) if number == 0 => return Err(error),
-                Err(error) => warn!(%error, number, "fewer workers than set"),
+                Err(error) => warn!(%error, number, "cannot start a worker; fewer workers run"),
                 Ok(()) => {}
             }
         }
@@ -139,8 +136,7 @@
 
     /// Serves the requests of one server until the listener stops.
     ///
-    /// A server that has been replaced is served for as long as one of its
-    /// connections may still bring a request.
+    /// A replaced server is served while requests may still arrive on its connections.
     fn run_worker(&self, acceptor: &Acceptor) {
         while !self.is_finished(acceptor, clock::now()) {
             let stop = || self.stopped.load(Ordering::SeqCst);
@@ -160,21 +156,18 @@
 
     /// Keeps an accept thread running until the socket is closed.
     ///
-    /// It ends at the first failure, see [`Acceptor::is_accepting`], and the
-    /// process would look healthy and never accept again. The backlog keeps new
-    /// connections until a replacement accepts them.
-    ///
-    /// This thread also connects to the listener itself, for two reasons.
+    /// The accept thread ends at its first error, see [`Acceptor::is_accepting`]; without a
+    /// replacement the process would never accept again. Until then the backlog holds new
+    /// connections.
     ///
-    /// `tiny_http` counts a thread as free until it wakes. Of connections that
-    /// come together, some are left to a thread that has another one, and are
-    /// not answered before that one ends: callers see a silent connection. Our
-    /// own connection gets a thread of its own when none is free; it ends at
-    /// once, and its thread takes over one that was left.
+    /// This thread also connects to the listener itself, for two reasons:
     ///
-    /// And the receive timeout of the listening socket, which the connections
-    /// inherit, holds for `accept` as well; it must not pass when no caller
-    /// connects.
+    /// - `tiny_http` counts a thread as free until it wakes, so some of several simultaneous
+    ///   connections are queued behind a busy thread and get no answer until its connection ends.
+    ///   A connection from here starts a thread if none is free; it ends at once, and its thread
+    ///   serves a queued connection.
+    /// - The receive timeout that connections inherit from the listening socket also applies to
+    ///   `accept`; it must not expire while no caller connects.
     fn watch(shared: &Arc<Self>, address: SocketAddr, mut acceptor: Arc<Acceptor>) {
         let mut checked = clock::now();
         let mut taken = 0;
@@ -195,7 +188,7 @@
         }
     }
 
-    /// Replaces a server whose accept thread has ended, unless resources are still short.
+    /// Replaces a server whose accept thread has ended, if resources suffice.
     fn replace(
         &self,
         acceptor: &mut Arc<Acceptor>,
@@ -205,15 +198,15 @@
             return;
         }
         if !acceptor.end() {
-            warn!("accepting connections has failed");
+            warn!("accept thread has ended; replacing the server");
         }
-        // `tiny_http` panics when it cannot start its threads, and this one must go on.
+        // `tiny_http` panics if it cannot start its threads; this thread must continue.
         let open = || panic::catch_unwind(AssertUnwindSafe(open));
         let opened = Acceptor::check_descriptors(&self.socket)
             .and_then(|()| open().unwrap_or_else(|_| Err(io::ErrorKind::WouldBlock.into())));
         match opened {
             Ok(replacement) => *acceptor = replacement,
-            Err(error) => error!(%error, "cannot accept connections"),
+            Err(error) => error!(%error, "cannot replace the server; will try again"),
         }
     }
 }
@@ -224,10 +217,9 @@
     }
 }
 
-/// Sets the timeouts that connections inherit from the listening socket.
+/// Sets socket options on the listening socket, which connections inherit on Linux.
 ///
-/// `tiny_http` reads and writes without timeout and does not give out its
-/// sockets. Linux copies the options of a listening socket to the connections.
+/// `tiny_http` reads and writes without timeouts and does not expose its sockets.
 fn set_timeouts(socket: &TcpListener, idle: Duration) -> io::Result<()> {
     sockopt::set_socket_timeout(socket, Timeout::Recv, Some(idle))?;
     sockopt::set_socket_timeout(socket, Timeout::Send, Some(idle))?;
--- a/acaciaringd/src/entry/mod.rs
+++ b/acaciaringd/src/entry/mod.rs
@@ -1,35 +1,33 @@
 //! Entry for callers, over HTTP/1.1.
 //!
-//! Requests are read whole before they are handed on, and answers are written
-//! whole with their length. What a caller does wrong gets its own answer:
+//! Requests are read completely before they are handled, and answers are written with their length.
+//! Invalid requests and failures are answered as follows:
 //!
-//! | what | answer |
+//! | condition | answer |
 //! | --- | --- |
-//! | request line or header that does not parse | 400 without body, by `tiny_http` |
-//! | header that is not ASCII | connection closed, by `tiny_http` |
-//! | unclear framing, bad path, method or deadline | 400, `not-run`, `bad-request` |
+//! | invalid request line or header | 400 without body, by `tiny_http` |
+//! | non-ASCII header | connection closed, by `tiny_http` |
+//! | ambiguous framing, invalid path, method or deadline | 400, `not-run`, `bad-request` |
 //! | head above the limit | 431, `not-run`, `bad-request` |
 //! | body above the limit | 413, `not-run`, `bad-request` |
-//! | body above 1 KiB that is too slow | 408, `not-run`, `bad-request` |
-//! | head or smaller body that stops to arrive | connection closed after `idle` |
-//! | too many bodies being read at once | 503, `not-run`, `busy` |
-//! | caller goes away before its request is whole | none; the request does not run |
-//! | handler fails unexpectedly | 502, `unknown`, `lost-answer` |
+//! | body above 1 KiB not received in time | 408, `not-run`, `bad-request` |
+//! | stalled head or smaller body | connection closed after `idle` |
+//! | too many concurrent uploads | 503, `not-run`, `busy` |
+//! | connection closed before the request is complete | none; the request does not run |
+//! | handler panics | 502, `unknown`, `lost-answer` |
 //!
-//! # Bounds
+//! # Limits
 //!
-//! Bodies above 1 KiB are read by threads of their own (`uploads`), so that slow
-//! ones never keep a worker from the others. A body is given up after `read`,
-//! at the latest `idle` later. A connection on which nothing arrives for `idle`
-//! is closed; a caller that takes no byte of its answer for `idle`, or not all of
-//! it within `read` and `idle`, is given up.
+//! Bodies above 1 KiB are read by separate threads (`uploads`), so slow ones do not block workers.
+//! Reading a body is abandoned after `read`, at the latest `idle` later. A connection without data
+//! for `idle` is closed. Writing an answer is abandoned if the caller reads nothing for `idle`, or
+//! not everything within `read` plus `idle`.
 //!
-//! Not bounded, because `tiny_http` owns the connections: the number of
-//! connections, with one thread each; the time of a head that arrives byte by
-//! byte; and the memory of one header line. None of these holds a worker. When
-//! file descriptors run out, the entry stops to accept until there are some again.
-//! A body stated as longer than 64 MiB is answered by a 413 without a
-//! length and keeps its connection's thread until the process ends.
+//! Not limited, because `tiny_http` owns the connections: the number of connections, with one
+//! thread each; the time of a head that arrives byte by byte; and the memory of one header line.
+//! None of these blocks a worker. When file descriptors run out, the entry stops accepting until
+//! some are free. A body with a stated length above 64 MiB is answered by a 413 without a length
+//! and blocks its connection's thread until the process ends.
 
 mod acceptor;
 pub(crate) mod answer;
@@ -59,17 +57,17 @@
 pub struct EntrySettings {
     /// Address to listen on.
     pub address: SocketAddr,
-    /// Threads that handle requests.
+    /// Number of threads that handle requests.
     pub workers: usize,
-    /// Threads that read and handle requests with bodies above 1 KiB.
+    /// Number of threads that read and handle requests with bodies above 1 KiB.
     pub uploads: usize,
-    /// Limit of a body, bytes.
+    /// Maximum size of a body, bytes.
     pub body: u64,
-    /// Limit of a request line and headers, bytes.
+    /// Maximum size of the request line and headers, bytes.
     pub header: usize,
-    /// Time in which a body has to arrive, and an answer has to be taken.
+    /// Timeout for receiving a body and for writing an answer.
     pub read: Duration,
-    /// Time after which a connection on which nothing moves is closed.
+    /// Timeout of a connection without data.
     pub idle: Duration,
 }
 
@@ -87,29 +85,29 @@
     }
 }
 
-/// Failure to start the entry.
+/// Error of starting the entry.
 #[derive(Debug, Snafu)]
 pub enum EntryError {
-    /// The address cannot be listened on.
+    /// Cannot bind the address.
     #[snafu(display("cannot listen on {address}"))]
     Listen {
-        /// Address of the settings.
+        /// Configured address.
         address: SocketAddr,
         /// Cause.
         source: io::Error,
     },
 }
 
-/// Handler of whole requests.
+/// Handler of complete requests.
 pub trait Service: Send + Sync + 'static {
-    /// Answers a request; called on many threads at once, may block.
+    /// Answers a request; called concurrently on many threads, may block.
     fn handle(&self, request: EntryRequest) -> EntryAnswer;
 
-    /// Learns the verdict of each request, also of those that the entry refuses itself.
+    /// Called with the verdict of each request, including those refused by the entry.
     fn record_verdict(&self, _verdict: Verdict) {}
 }
 
-/// Running entry.
+/// Running HTTP server for callers.
 #[derive(Debug)]
 pub struct Entry {
     listener: Listener,
@@ -117,11 +115,11 @@
 }
 
 impl Entry {
-    /// Starts to listen and to handle requests.
+    /// Binds the address and starts the threads.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be listened on.
+    /// Fails if the address cannot be bound.
     pub fn start(settings: EntrySettings, service: Arc<dyn Service>) -> Result<Self, EntryError> {
         let address = settings.address;
         let listen = ListenerSettings { address, workers: settings.workers, idle: settings.idle };
@@ -142,11 +140,10 @@
         self.pool.in_flight()
     }
 
-    /// Stops to accept connections and waits for the requests in flight, at most `bound`.
+    /// Stops accepting connections and waits for the requests in flight, at most `bound`.
     ///
-    /// Requests that still arrive on open connections are refused as not run.
-    /// Connections that are not accepted yet are reset, and requests on them not read.
-    /// Returns how many requests were cut off.
+    /// Requests that arrive on open connections are refused as `NotRun`; connections not yet
+    /// accepted are reset unread. Returns the number of requests still in flight.
     #[must_use]
     pub fn drain(&self, bound: Duration) -> usize {
         self.listener.close();
--- a/acaciaringd/src/entry/refuse.rs
+++ b/acaciaringd/src/entry/refuse.rs
@@ -1,4 +1,4 @@
-//! Refusals of requests that are malformed or not whole.
+//! Refusals of malformed or incomplete requests.
 
 use std::sync::Arc;
 use std::thread;
@@ -19,12 +19,12 @@
 const TOO_LARGE: u16 = 413;
 const HEADERS_TOO_LARGE: u16 = 431;
 
-/// Whether a connection can be in step again after a request that was not read.
+/// Whether a connection can regain message framing after a request that was not read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Recovery {
-    /// It was in step before, and the length of the body is known.
+    /// Framing was intact before, and the length of the body is known.
     Possible,
-    /// It was out of step before, or where the body ends is not clear.
+    /// Framing was lost before, or the end of the body is ambiguous.
     Never,
 }
 
@@ -36,7 +36,7 @@
                 BAD_REQUEST
             }
         };
-        info!(remote = ?raw.remote_addr(), ?malformed, "malformed request");
+        info!(remote = ?raw.remote_addr(), ?malformed, "request rejected: malformed");
         let answer = bad_request(status);
         if malformed == Malformed::Framing {
             self.refuse_unread(raw, answer, Recovery::Never);
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Refuses what may be the rest of a body, or what cannot be answered.
+    /// Refuses a request on a connection that lost message framing.
     pub(super) fn refuse_desynced(&self, raw: Request, fault: Fault) {
-        info!(remote = ?raw.remote_addr(), ?fault, "request on a connection that is out of step");
+        info!(remote = ?raw.remote_addr(), ?fault, "request rejected: message framing is lost");
         match fault {
             Fault::Unread => self.refuse_unread(raw, bad_request(BAD_REQUEST), Recovery::Never),
             Fault::Unwritten => run_on_thread("entry-drop", move || drop(raw.into_writer())),
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn refuse_body(&self, raw: Request, error: BodyError) {
-        info!(remote = ?raw.remote_addr(), ?error, "request without whole body");
+        info!(remote = ?raw.remote_addr(), ?error, "request rejected: cannot read its body");
         let status = match error {
             BodyError::TooLarge => return self.answer(raw, &bad_request(TOO_LARGE)),
             BodyError::Huge => TOO_LARGE,
@@ -67,10 +67,10 @@
         self.refuse_unread(raw, bad_request(status), Recovery::Possible);
     }
 
-    /// Answers a request whose body has not been read, on a thread of its own.
+    /// Refuses a request with an unread body, on a separate thread.
     ///
-    /// `tiny_http` reads the rest of the body when it drops the request, as
-    /// slowly as the caller sends it; no worker may wait for that.
+    /// `tiny_http` reads the rest of the body when it drops the request, at the speed of the
+    /// caller, which must not block a worker.
     pub(super) fn refuse_unread(&self, raw: Request, answer: EntryAnswer, recovery: Recovery) {
         self.service.0.record_verdict(answer.verdict);
         let Some(remote) = raw.remote_addr().copied() else {
@@ -86,8 +86,8 @@
         let start = clock::now();
         run_on_thread("entry-abandon", move || {
             let written = raw.respond(answer.response()).is_ok();
-            // No read can have timed out in half of `idle`: the rest of the body was
-            // read, or the connection has ended. Either way nothing is left over.
+            // No read times out within half of `idle`, so either the rest of the body was read or
+            // the connection has ended; no unread bytes remain.
             let consumed = framed && written && clock::now().since(start) < idle / 2;
             if consumed && recovery == Recovery::Possible {
                 desynced.unmark(remote);
@@ -100,18 +100,18 @@
     EntryAnswer::refusal_with(Refusal::not_run(Reason::BadRequest), status)
 }
 
-/// Runs on a thread of its own what may block for as long as a caller likes.
+/// Runs work that the caller may block indefinitely on a separate thread.
 fn run_on_thread(name: &str, run: impl FnOnce() + Send + 'static) {
     if let Err(error) = thread::Builder::new().name(name.into()).spawn(run) {
         error!(%error, name, "cannot start a thread");
     }
 }
 
-/// Answers a request whose body is too long even to be dropped.
+/// Answers a request whose body is above [`body::MAX_DISCARD`] and leaks its stream.
 ///
-/// Dropping it would allocate what is left of the body, see [`body::MAX_DISCARD`]. So
-/// the stream is never dropped; its connection's thread waits until the process ends.
+/// Dropping the stream would allocate the rest of the body. The connection's thread is blocked
+/// until the process ends.
 fn answer_and_leak(raw: Request, answer: &EntryAnswer) {
-    error!(remote = ?raw.remote_addr(), length = ?raw.body_length(), "body beyond all bounds");
+    error!(remote = ?raw.remote_addr(), length = ?raw.body_length(), "body too large to discard");
     std::mem::forget(raw.upgrade("none", answer.response()));
 }
--- a/acaciaringd/src/entry/request.rs
+++ b/acaciaringd/src/entry/request.rs
@@ -1,4 +1,4 @@
-//! Requests of callers.
+//! Parses and validates the heads of callers' requests.
 
 use std::time::Duration;
 
@@ -8,39 +8,39 @@
 use crate::header::{self, Headers};
 use crate::trace::{TRACEPARENT, TraceContext};
 
-/// Whole request of a caller.
+/// Complete request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryRequest {
     /// HTTP method.
     pub method: String,
     /// Path with the query.
     pub path: String,
-    /// Host that the caller named, without a change.
+    /// `Host` header, unmodified.
     pub host: Option<String>,
-    /// Headers without those of one connection, of this project and of the trace.
+    /// Headers without hop-by-hop, protocol and trace headers.
     pub headers: Headers,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// Time in which the caller wants its answer.
+    /// Time within which the caller requires an answer.
     pub deadline: Option<Duration>,
-    /// Key by which the caller marks repeats of one request.
+    /// Idempotency key, equal in all repeats of one request.
     pub key: Option<String>,
-    /// Name by which the caller finds the request in logs, empty where it states none.
+    /// Caller's name of the request for logs, empty if it states none.
     pub label: String,
-    /// Trace of the caller, with the span of this hop.
+    /// Trace context of the caller, with the span of this hop.
     pub trace: TraceContext,
-    /// When the request was taken from its connection.
+    /// Time at which the request was received.
     pub received: Time,
 }
 
-/// How the body of a request is framed.
+/// Framing of a request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Framing {
     Length(u64),
     Chunked,
 }
 
-/// Why a request is refused before its body is read.
+/// Invalid part of a request that is refused before its body is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Malformed {
     Path,
@@ -55,18 +55,18 @@
 pub(crate) struct Head {
     pub(crate) request: EntryRequest,
     pub(crate) framing: Framing,
-    /// True when the whole request was read with its head.
+    /// True if the body was read together with the head.
     pub(crate) buffered: bool,
 }
 
-/// Bodies up to this size are read with the head by `tiny_http`, unless the caller waits to be asked.
+/// Size up to which `tiny_http` reads a body with the head, unless the caller sent `Expect`, bytes.
 const MAX_BUFFERED: u64 = 1024;
 
-/// Value of `connection` at which `tiny_http` gives the body without framing.
+/// Value of `Connection` for which `tiny_http` does not frame the body.
 const UPGRADE: &[u8] = b"upgrade";
 
 impl Head {
-    /// Reads the head of a request that is at most `limit` bytes long.
+    /// Parses the head of a request, at most `limit` bytes.
     pub(crate) fn read(
         raw: &tiny_http::Request,
         limit: usize,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Keeps the headers that are for the upstream.
+/// Retains the headers that are forwarded to the upstream.
 fn retain_forwarded(headers: &mut Headers) {
     const REPLACED: [&str; 3] = [header::CONTENT_LENGTH, header::EXPECT, TRACEPARENT];
     header::strip_hop(headers);
@@ -116,10 +116,10 @@
     if size > limit { Err(Malformed::HeaderSize) } else { Ok(headers) }
 }
 
-/// Returns how the body is framed; refuses what two readers could understand in two ways.
+/// Returns the framing of the body; refuses ambiguous framing.
 ///
-/// A length that is stated twice, is not a plain number, or stands beside a
-/// transfer coding makes one party take the rest of the body for a new request.
+/// Guards against request smuggling (RFC 9112): with a repeated or malformed length, or one next to
+/// a transfer coding, another server could parse the rest of the body as a request.
 fn framing(headers: &Headers) -> Result<Framing, Malformed> {
     let values = |name| headers.iter().filter(move |(found, _)| header::same(found, name));
     let mut codings = values(header::TRANSFER_ENCODING);
@@ -152,13 +152,13 @@
     Ok(Some(Duration::from_millis(millis.into())))
 }
 
-/// Returns the path; a fragment would be cut off on the way to the upstream.
+/// Returns the path; refuses fragments, which would be dropped before the upstream.
 fn path(url: &str) -> Result<String, Malformed> {
     let plain = url.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'#');
     if plain && url.starts_with('/') { Ok(url.to_owned()) } else { Err(Malformed::Path) }
 }
 
-/// Returns the method; `CONNECT` asks for a tunnel, which this is not.
+/// Returns the method; refuses `CONNECT`, as tunnels are not supported.
 fn method(method: &Method) -> Result<String, Malformed> {
     let name = method.as_str();
     let token = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_alphabetic());
@@ -170,7 +170,7 @@
     String::from_utf8(value.to_vec()).ok()
 }
 
-/// Returns true when bytes of the request may still be on the connection.
+/// Returns true if bytes of the request may still be unread on the connection.
 pub(crate) fn has_unread(raw: &tiny_http::Request) -> bool {
     const BODY_HEADERS: [&str; 2] = [header::TRANSFER_ENCODING, header::EXPECT];
     let stated = raw.body_length().is_some_and(|length| length as u64 > MAX_BUFFERED);
@@ -180,7 +180,7 @@
     stated || is_upgrade_of(raw) || names.into_iter().any(announces_body)
 }
 
-/// Returns true when `tiny_http` has not framed the body, because of an upgrade.
+/// Returns true if `tiny_http` has not framed the body because the request asks for an upgrade.
 pub(crate) fn is_upgrade_of(raw: &tiny_http::Request) -> bool {
     let connection = |found: &&tiny_http::Header| found.field.equiv(header::CONNECTION);
     let value = raw.headers().iter().find(connection).map(|found| found.value.as_str());
--- a/acaciaringd/src/entry/worker.rs
+++ b/acaciaringd/src/entry/worker.rs
@@ -1,4 +1,4 @@
-//! Path of one request through the entry.
+//! Worker pool of the entry: reads, handles and answers requests.
 
 use std::net::SocketAddr;
 use std::panic::{self, AssertUnwindSafe};
@@ -23,13 +23,13 @@
 
 const UNAVAILABLE: u16 = 503;
 
-/// When a caller that found the entry busy or draining may come back.
+/// Retry delay for callers while the entry is busy or draining.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Idle times for which a connection that is out of step stays marked.
+/// Multiple of the idle timeout for which a connection that lost framing stays marked.
 const MARK_IDLE_TIMES: u32 = 4;
 
-/// Threads and state that all requests share.
+/// Settings, upload threads and state shared by all requests.
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(super) settings: EntrySettings,
@@ -49,14 +49,14 @@
     }
 }
 
-/// Request whose body has yet to be read.
+/// Request whose body has not been read.
 struct Upload {
     raw: Request,
     head: Head,
     guard: RequestGuard,
 }
 
-/// Counts a request for as long as it is in hand.
+/// Counts a request as in flight until dropped.
 struct RequestGuard {
     pool: Arc<Pool>,
     remote: SocketAddr,
@@ -68,7 +68,7 @@
         Self { pool: Arc::clone(pool), remote }
     }
 
-    /// Ends the turn and serves what waited behind it.
+    /// Finishes the request and serves the next one of the connection.
     fn serve_next(self) {
         if let Some(next) = self.pool.pipelines.leave(self.remote) {
             Pool::serve(&self.pool, next);
@@ -100,7 +100,7 @@
             let queue: Receiver<Upload> = queue.clone();
             let run = move || queue.iter().for_each(Upload::run_and_continue);
             if let Err(error) = thread::Builder::new().name("entry-upload".into()).spawn(run) {
-                error!(%error, "cannot start a thread for uploads");
+                error!(%error, "cannot start an upload thread");
             }
         }
         let desynced = Arc::new(DesyncedConnections::new(settings.idle * MARK_IDLE_TIMES));
@@ -119,10 +119,10 @@
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Waits until nothing is in flight, at most `bound`; returns what is left.
+    /// Waits until no request is in flight, at most `bound`; returns the number remaining.
     pub(crate) fn drain(&self, bound: Duration) -> usize {
         const POLL_INTERVAL: Duration = Duration::from_millis(10);
-        /// Steps without a request after which none is waiting for a worker either.
+        /// Consecutive polls without a request after which none is queued for a worker either.
         const QUIET_POLLS: u32 = 5;
         self.draining.store(true, Ordering::SeqCst);
         let start = clock::now();
@@ -134,7 +134,7 @@
         self.in_flight()
     }
 
-    /// Serves a request whose turn it is, and those that waited behind it.
+    /// Serves a request and then the queued ones of its connection.
     fn serve(pool: &Arc<Self>, raw: Request) {
         let Some(remote) = raw.remote_addr().copied() else {
             return;
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Handles a request, or returns it when its body has yet to be read.
+    /// Handles a request, or returns it if its body has not been read.
     fn admit(&self, raw: Request, guard: RequestGuard) -> Option<Upload> {
         let now = clock::now();
         let fault = self.desynced.find(guard.remote, now);
@@ -162,7 +162,7 @@
         None
     }
 
-    /// Gives a request to the threads for uploads, which end its turn.
+    /// Passes a request to the upload threads, or refuses it if all are busy.
     fn queue(&self, upload: Upload) {
         match self.uploads.try_send(upload) {
             Ok(()) => {}
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Writes an answer; the body of the request has been read.
+    /// Writes the answer to a request whose body has been read.
     pub(super) fn answer(&self, raw: Request, answer: &EntryAnswer) {
         self.service.0.record_verdict(answer.verdict);
         let remote = raw.remote_addr().copied();
@@ -187,12 +187,12 @@
             return;
         };
         if connection::is_gone(error.kind()) {
-            debug!(?remote, %error, "caller has gone away before its answer");
+            debug!(?remote, %error, "caller closed the connection before its answer was written");
             return;
         }
-        warn!(?remote, %error, "caller does not take its answer");
+        warn!(?remote, %error, "answer not fully written; connection will not be used again");
         if let Some(remote) = remote {
-            // Before the writer is dropped, which lets the next answer follow.
+            // Marked before the writer is dropped, which allows the next answer to be written.
             self.desynced.mark(remote, Fault::Unwritten, clock::now());
         }
         drop(writer);
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Reads, handles and answers, and then serves what waited behind it.
+    /// Runs the request and then serves the next ones of its connection.
     fn run_and_continue(self) {
         let guard = RequestGuard::new(&self.guard.pool, self.guard.remote);
         self.run();
@@ -241,10 +241,10 @@
         );
         let _entered = span.enter();
         let handle = AssertUnwindSafe(|| self.service.0.handle(request));
-        // A panic would end the worker, and `tiny_http` would answer 500, from
-        // which the caller could not tell whether its request has run.
+        // Otherwise a panic would end the worker, and the 500 by `tiny_http` would not tell the
+        // caller whether its request may have run.
         panic::catch_unwind(handle).unwrap_or_else(|_| {
-            error!("handler has panicked");
+            error!("handler panicked; outcome of the request unknown");
             EntryAnswer::refusal(Refusal::unknown(Reason::LostAnswer))
         })
     }
