--- a/acaciaringd/src/web/client.rs
+++ b/acaciaringd/src/web/client.rs
@@ -25,10 +25,10 @@
 /// Part of the time that the other end keeps an idle connection for which it is used here.
 ///
 /// A request that meets the close of its connection may have run; the rest is for its way.
-const KEEP_PART: u32 = 2;
+const KEEP_ALIVE_DIVISOR: u32 = 2;
 
 /// Time for a connection to be free after its answer was read.
-const RELEASE: Duration = Duration::from_millis(2);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(2);
 
 /// Settings of a client.
 #[derive(Debug, Clone, Copy)]
@@ -112,7 +112,7 @@
     pub body: Bytes,
     /// True when the connection had carried an earlier request.
     pub reused: bool,
-    kept: Option<Idle>,
+    kept: Option<IdleConnection>,
 }
 
 /// What came of a request that may go over a kept connection only.
@@ -125,7 +125,7 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     address: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     until: Instant,
@@ -135,7 +135,7 @@
 #[derive(Debug)]
 pub struct Client {
     settings: ClientSettings,
-    idle: Mutex<Vec<Idle>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
 impl Client {
@@ -158,7 +158,7 @@
         request: hyper::Request<Full<Bytes>>,
     ) -> Result<Exchange, ExchangeError> {
         let request = match self.exchange_kept(address, request).await {
-            KeptOutcome::Sent(settled) => return settled,
+            KeptOutcome::Sent(result) => return result,
             KeptOutcome::Unsent(request) => request,
         };
         let (mut sender, reused) = (self.connect(address).await?, false);
@@ -199,8 +199,8 @@
     pub async fn release(&self, exchange: &mut Exchange) {
         let Some(mut kept) = exchange.kept.take() else { return };
         // An answer that came before the whole request was sent leaves the connection busy.
-        let free = timeout(RELEASE, kept.sender.ready()).await;
-        if !matches!(free, Ok(Ok(()))) {
+        let ready = timeout(RELEASE_TIMEOUT, kept.sender.ready()).await;
+        if !matches!(ready, Ok(Ok(()))) {
             return;
         }
         let mut idle = self.idle.lock();
@@ -229,7 +229,7 @@
         let connected = timeout(self.settings.connect, TcpStream::connect(address)).await;
         let stream = connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
         let stream = stream.context(ConnectSnafu { address })?;
-        self.prepare(&stream).context(ConnectSnafu { address })?;
+        self.set_socket_options(&stream).context(ConnectSnafu { address })?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.context(UnsentSnafu { address })?;
         tokio::spawn(async move {
@@ -244,7 +244,7 @@
     ///
     /// Guards against a connection of which something in between has lost track: it stays open
     /// without a word while new ones work, and whoever waits on it would wait for good.
-    fn prepare(&self, stream: &TcpStream) -> io::Result<()> {
+    fn set_socket_options(&self, stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let Some(probe) = self.settings.probe else { return Ok(()) };
         sockopt::set_socket_keepalive(stream, true)?;
@@ -265,24 +265,24 @@
     ) -> Result<Exchange, ExchangeError> {
         let (head, body) = response.into_parts();
         let body = self.read(address, body).await?;
-        let until = Instant::now() + keep(&head.headers).unwrap_or(self.settings.idle);
-        let kept = (!closes(&head.headers)).then_some(Idle { address, sender, until });
+        let until = Instant::now() + keep_alive(&head.headers).unwrap_or(self.settings.idle);
+        let kept = (!closes(&head.headers)).then_some(IdleConnection { address, sender, until });
         Ok(Exchange { head, body, reused, kept })
     }
 
     async fn read(&self, address: SocketAddr, mut body: Incoming) -> Result<Bytes, ExchangeError> {
         let limit = self.settings.body;
-        let mut whole = BytesMut::new();
+        let mut buffer = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let Ok(data) = frame.map_err(|source| lost(address, source))?.into_data() else {
                 continue;
             };
-            if whole.len() + data.len() > limit {
+            if buffer.len() + data.len() > limit {
                 return TooLargeSnafu { address, limit }.fail();
             }
-            whole.extend_from_slice(&data);
+            buffer.extend_from_slice(&data);
         }
-        Ok(whole.freeze())
+        Ok(buffer.freeze())
     }
 }
 
@@ -291,11 +291,11 @@
 }
 
 /// Returns for how long an idle connection may be used, by the word of the other end.
-fn keep(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let stated = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     let seconds: u32 = stated.parse().ok()?;
-    Some(Duration::from_secs(seconds.into()) / KEEP_PART)
+    Some(Duration::from_secs(seconds.into()) / KEEP_ALIVE_DIVISOR)
 }
 
 fn closes(headers: &HeaderMap) -> bool {
--- a/acaciaringd/src/web/io.rs
+++ b/acaciaringd/src/web/io.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, Sleep, sleep_until};
 
 /// Time for which a caller may take no byte of its answer.
-const WRITE: Duration = Duration::from_secs(10);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What a connection waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,30 +31,39 @@
 ///
 /// A connection without request ends after `idle`, one with half a head after `arrival`. Without
 /// it callers that have gone silent would keep descriptors for good.
-pub(super) struct Watched {
+pub(super) struct TimedConnection {
     stream: TcpStream,
     arrival: Duration,
     idle: Duration,
     /// True while a request is in hand.
     busy: Arc<AtomicBool>,
     /// Set once the caller has closed the connection.
-    left: Arc<AtomicBool>,
+    closed: Arc<AtomicBool>,
     wait: Wait,
-    silence: Pin<Box<Sleep>>,
+    read_timer: Pin<Box<Sleep>>,
     /// End of the time for the caller to take some bytes, while it takes none.
-    stalled: Option<Pin<Box<Sleep>>>,
+    write_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Watched {
+impl TimedConnection {
     pub(super) fn new(
         stream: TcpStream,
         arrival: Duration,
         idle: Duration,
         busy: Arc<AtomicBool>,
-        left: Arc<AtomicBool>,
+        closed: Arc<AtomicBool>,
     ) -> Self {
-        let silence = Box::pin(sleep_until(Instant::now() + idle));
-        Self { stream, arrival, idle, busy, left, wait: Wait::Idle, silence, stalled: None }
+        let read_timer = Box::pin(sleep_until(Instant::now() + idle));
+        Self {
+            stream,
+            arrival,
+            idle,
+            busy,
+            closed,
+            wait: Wait::Idle,
+            read_timer,
+            write_timer: None,
+        }
     }
 
     /// Looks whether the end of the connection stands right behind what was read.
@@ -62,17 +71,17 @@
     /// Guards against work for callers that have left: a process that was late reads their requests and
     /// would hand them on before it reads any further. The socket is asked itself, for the readiness that
     /// the runtime knows is of the time before the read.
-    fn look(&self) {
+    fn detect_close(&self) {
         let mut byte = [0];
         let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
         match recv(&self.stream, &mut byte, flags) {
             Ok((_, 1..)) | Err(Errno::AGAIN | Errno::INTR) => {}
-            Ok(_) | Err(_) => self.left.store(true, Ordering::Release),
+            Ok(_) | Err(_) => self.closed.store(true, Ordering::Release),
         }
     }
 
     /// Follows what the connection waits for, and sets the time for it anew when that changes.
-    fn follow(&mut self, received: bool) {
+    fn update_wait(&mut self, received: bool) {
         let busy = self.busy.load(Ordering::Acquire);
         let next = match (busy, self.wait, received) {
             (true, _, _) => Wait::Busy,
@@ -81,19 +90,20 @@
         };
         if next != self.wait {
             self.wait = next;
-            let span = if next == Wait::Head { self.arrival } else { self.idle };
-            self.silence.as_mut().reset(Instant::now() + span);
+            let timeout = if next == Wait::Head { self.arrival } else { self.idle };
+            self.read_timer.as_mut().reset(Instant::now() + timeout);
         }
     }
 
-    fn stall(&mut self, cx: &mut Context<'_>) -> Poll<io::Error> {
-        let stalled =
-            self.stalled.get_or_insert_with(|| Box::pin(sleep_until(Instant::now() + WRITE)));
-        stalled.as_mut().poll(cx).map(|()| io::ErrorKind::TimedOut.into())
+    fn poll_write_timer(&mut self, cx: &mut Context<'_>) -> Poll<io::Error> {
+        let write_timer = self
+            .write_timer
+            .get_or_insert_with(|| Box::pin(sleep_until(Instant::now() + WRITE_TIMEOUT)));
+        write_timer.as_mut().poll(cx).map(|()| io::ErrorKind::TimedOut.into())
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for TimedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -102,28 +112,28 @@
         let before = buffer.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(cx, buffer);
         let received = buffer.filled().len() > before;
-        self.follow(received);
+        self.update_wait(received);
         if received {
-            self.look();
+            self.detect_close();
         }
         if result.is_ready() || self.wait == Wait::Busy {
             return result;
         }
-        self.silence.as_mut().poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()))
+        self.read_timer.as_mut().poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for TimedConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         if let Poll::Ready(result) = Pin::new(&mut self.stream).poll_write(cx, bytes) {
-            self.stalled = None;
+            self.write_timer = None;
             return Poll::Ready(result);
         }
-        self.stall(cx).map(Err)
+        self.poll_write_timer(cx).map(Err)
     }
 
     fn poll_write_vectored(
@@ -132,10 +142,10 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         if let Poll::Ready(result) = Pin::new(&mut self.stream).poll_write_vectored(cx, slices) {
-            self.stalled = None;
+            self.write_timer = None;
             return Poll::Ready(result);
         }
-        self.stall(cx).map(Err)
+        self.poll_write_timer(cx).map(Err)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/acaciaringd/src/web/server.rs
+++ b/acaciaringd/src/web/server.rs
@@ -28,22 +28,22 @@
 
 use crate::declared::CallerLimits;
 use crate::peer::BoxFuture;
-use crate::web::io::Watched;
+use crate::web::io::TimedConnection;
 
 /// Answer to a caller.
 pub type Response = hyper::Response<Full<Bytes>>;
 
 /// Pause after a connection could not be accepted, for want of descriptors as a rule.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Time in which a body has to arrive.
-const BODY: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Steps in which a stop looks whether requests are still in hand.
-const STEP: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Smallest buffer that the library takes for a head, bytes.
-const HEAD_LEAST: usize = 8192;
+const MIN_HEAD_BUFFER: usize = 8192;
 
 /// Failure to listen.
 #[derive(Debug, Snafu)]
@@ -132,7 +132,7 @@
     pub fn start(
         runtime: &Handle,
         address: SocketAddr,
-        site: Arc<dyn HttpHandler>,
+        handler: Arc<dyn HttpHandler>,
     ) -> Result<Self, WebError> {
         let failed = |source| WebError::Listen { address, source };
         let socket = std::net::TcpListener::bind(address).map_err(failed)?;
@@ -140,11 +140,12 @@
         let address = socket.local_addr().map_err(failed)?;
         let _entered = runtime.enter();
         let listener = TcpListener::from_std(socket).map_err(failed)?;
-        let (phase, watched) = watch::channel(Phase::Open);
+        let (phase, receiver) = watch::channel(Phase::Open);
         let (requests, connections) = (Arc::default(), Arc::default());
         let open = Arc::clone(&connections);
-        let desk = Arc::new(Desk { site, requests: Arc::clone(&requests), connections: open });
-        runtime.spawn(accept(listener, desk, watched));
+        let dispatcher =
+            Arc::new(Dispatcher { handler, requests: Arc::clone(&requests), connections: open });
+        runtime.spawn(accept(listener, dispatcher, receiver));
         Ok(Self { address, phase, requests, connections })
     }
 
@@ -163,7 +164,7 @@
         self.phase.send_replace(Phase::Closing);
         let start = std::time::Instant::now();
         loop {
-            std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL);
             if self.connections.load(Ordering::Acquire) == 0 || start.elapsed() >= bound {
                 return self.requests.load(Ordering::Acquire);
             }
@@ -171,13 +172,17 @@
     }
 }
 
-struct Desk {
-    site: Arc<dyn HttpHandler>,
+struct Dispatcher {
+    handler: Arc<dyn HttpHandler>,
     requests: Arc<AtomicUsize>,
     connections: Arc<AtomicUsize>,
 }
 
-async fn accept(listener: TcpListener, desk: Arc<Desk>, mut phase: watch::Receiver<Phase>) {
+async fn accept(
+    listener: TcpListener,
+    dispatcher: Arc<Dispatcher>,
+    mut phase: watch::Receiver<Phase>,
+) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -186,8 +191,8 @@
         match accepted {
             Ok((stream, _)) => {
                 // Counted before its task runs, so that a stop misses none.
-                let open = Open::new(&desk.connections);
-                let served = serve(stream, Arc::clone(&desk), phase.clone());
+                let open = ConnectionGuard::new(&dispatcher.connections);
+                let served = serve(stream, Arc::clone(&dispatcher), phase.clone());
                 tokio::spawn(async move {
                     served.await;
                     drop(open);
@@ -195,33 +200,33 @@
             }
             Err(error) => {
                 warn!(%error, "cannot accept a connection");
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Serves one connection until it ends.
-async fn serve(stream: TcpStream, desk: Arc<Desk>, mut phase: watch::Receiver<Phase>) {
+async fn serve(stream: TcpStream, dispatcher: Arc<Dispatcher>, mut phase: watch::Receiver<Phase>) {
     if let Err(error) = stream.set_nodelay(true) {
         debug!(%error, "connection has ended before it was served");
         return;
     }
-    let CallerLimits { head, arrival, idle, .. } = desk.site.limits();
-    let (busy, left) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-    let watched = Watched::new(stream, arrival, idle, Arc::clone(&busy), Arc::clone(&left));
-    let io = TokioIo::new(watched);
+    let CallerLimits { head, arrival, idle, .. } = dispatcher.handler.limits();
+    let (busy, closed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+    let timed = TimedConnection::new(stream, arrival, idle, Arc::clone(&busy), Arc::clone(&closed));
+    let io = TokioIo::new(timed);
     let service = service_fn(move |request: hyper::Request<Incoming>| {
-        let turn = Turn::new(&desk.requests, &busy);
-        let (desk, left) = (Arc::clone(&desk), Arc::clone(&left));
+        let guard = RequestGuard::new(&dispatcher.requests, &busy);
+        let (dispatcher, closed) = (Arc::clone(&dispatcher), Arc::clone(&closed));
         async move {
-            let response = desk.answer(request, &left).await;
-            drop(turn);
+            let response = dispatcher.answer(request, &closed).await;
+            drop(guard);
             Ok::<_, Infallible>(response)
         }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(head.max(HEAD_LEAST)).half_close(false);
+    builder.max_buf_size(head.max(MIN_HEAD_BUFFER)).half_close(false);
     let mut connection = std::pin::pin!(builder.serve_connection(io, service));
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
@@ -236,28 +241,28 @@
 }
 
 /// Open connection; ends when dropped.
-struct Open(Arc<AtomicUsize>);
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl Open {
+impl ConnectionGuard {
     fn new(connections: &Arc<AtomicUsize>) -> Self {
         connections.fetch_add(1, Ordering::AcqRel);
         Self(Arc::clone(connections))
     }
 }
 
-impl Drop for Open {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// Request in hand; ends when dropped.
-struct Turn {
+struct RequestGuard {
     requests: Arc<AtomicUsize>,
     busy: Arc<AtomicBool>,
 }
 
-impl Turn {
+impl RequestGuard {
     fn new(requests: &Arc<AtomicUsize>, busy: &Arc<AtomicBool>) -> Self {
         requests.fetch_add(1, Ordering::AcqRel);
         busy.store(true, Ordering::Release);
@@ -265,27 +270,27 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.busy.store(false, Ordering::Release);
         self.requests.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-impl Desk {
+impl Dispatcher {
     /// Answers a request, unless its caller has left by the time at which it is whole.
-    async fn answer(&self, request: hyper::Request<Incoming>, left: &AtomicBool) -> Response {
+    async fn answer(&self, request: hyper::Request<Incoming>, closed: &AtomicBool) -> Response {
         let (head, body) = request.into_parts();
         let body = self.read(body).await;
-        if left.load(Ordering::Acquire) {
+        if closed.load(Ordering::Acquire) {
             // Dropped with the connection, which reads its end next.
             return pending().await;
         }
         match body {
-            Ok(body) => self.site.answer(head, body).await,
+            Ok(body) => self.handler.answer(head, body).await,
             Err(fault) => {
                 debug!(?fault, path = head.uri.path(), "request is not whole");
-                let mut response = self.site.refuse(fault);
+                let mut response = self.handler.refuse(fault);
                 let close = header::HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
                 response
@@ -294,33 +299,33 @@
     }
 
     async fn read(&self, body: Incoming) -> Result<Bytes, Fault> {
-        let limit = self.site.limits().body;
+        let limit = self.handler.limits().body;
         let stated = hyper::body::Body::size_hint(&body).lower();
         if stated > limit as u64 {
             return Err(Fault::TooLarge);
         }
-        timeout(BODY, collect(body, limit)).await.unwrap_or(Err(Fault::Slow))
+        timeout(BODY_TIMEOUT, collect(body, limit)).await.unwrap_or(Err(Fault::Slow))
     }
 }
 
 /// Reads a body of at most `limit` bytes; most come in one piece, which is not copied.
 async fn collect(mut body: Incoming, limit: usize) -> Result<Bytes, Fault> {
     let mut first = Bytes::new();
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| Fault::Malformed)?.into_data() else { continue };
-        if first.len() + whole.len() + data.len() > limit {
+        if first.len() + buffer.len() + data.len() > limit {
             return Err(Fault::TooLarge);
         }
-        if first.is_empty() && whole.is_empty() {
+        if first.is_empty() && buffer.is_empty() {
             first = data;
             continue;
         }
         if !first.is_empty() {
-            whole.extend_from_slice(&first);
+            buffer.extend_from_slice(&first);
             first = Bytes::new();
         }
-        whole.extend_from_slice(&data);
+        buffer.extend_from_slice(&data);
     }
-    Ok(if whole.is_empty() { first } else { whole.freeze() })
+    Ok(if buffer.is_empty() { first } else { buffer.freeze() })
 }
