--- a/acaciaringd/src/web/client.rs
+++ b/acaciaringd/src/web/client.rs
@@ -1,7 +1,7 @@
-//! Client for HTTP/1.1 over kept connections to one address at a time.
+//! HTTP/1.1 client with persistent connections to one address at a time.
 //!
-//! A request is on the wire once or not at all: nothing is repeated here. A connection is kept
-//! only after a whole answer, so a late answer of a request that was given up finds no reader.
+//! A request is sent at most once and never repeated. A connection is reused only after a complete
+//! answer, so a late answer to an abandoned request is never read as the answer to another one.
 
 use std::error::Error;
 use std::io;
@@ -22,27 +22,28 @@
 use tokio::time::{Instant, timeout};
 use tracing::debug;
 
-/// Part of the time that the other end keeps an idle connection for which it is used here.
+/// Divisor of the server's keep-alive timeout that gives the time for which a connection is reused.
 ///
-/// A request that meets the close of its connection may have run; the rest is for its way.
+/// Leaves a margin for transmission: a request that is sent while the server closes the connection
+/// has an unknown outcome.
 const KEEP_ALIVE_DIVISOR: u32 = 2;
 
-/// Time for a connection to be free after its answer was read.
+/// Maximum wait for a connection to become ready after its answer was read.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(2);
 
 /// Settings of a client.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientSettings {
-    /// Idle connections that are kept.
+    /// Maximum number of idle connections.
     pub connections: usize,
-    /// Time in which a connection has to be made.
+    /// Timeout for connecting.
     pub connect: Duration,
-    /// Time for which an idle connection is used where the other end does not state one.
+    /// Time for which an idle connection is reused if the server states no keep-alive timeout.
     pub idle: Duration,
-    /// Largest answer, bytes.
+    /// Maximum size of an answer body, bytes.
     pub body: usize,
-    /// Time without a sign of life after which an open connection is tested, and the same between
-    /// two tests; whole seconds. `None` leaves it to the requests' own time-outs.
+    /// Idle time before the first TCP keep-alive probe and interval of probes, in whole seconds;
+    /// `None` disables them.
     pub probe: Option<Duration>,
 }
 
@@ -58,10 +59,10 @@
     }
 }
 
-/// Failure of an exchange.
+/// Error of an exchange.
 #[derive(Debug, Snafu)]
 pub enum ExchangeError {
-    /// There is no connection; nothing was sent.
+    /// Cannot connect; nothing was sent.
     #[snafu(display("cannot connect to {address}"))]
     Connect {
         /// Address.
@@ -69,7 +70,7 @@
         /// Cause.
         source: io::Error,
     },
-    /// The connection is not usable; nothing was sent.
+    /// The connection is unusable; nothing was sent.
     #[snafu(display("connection to {address} closed before the request was sent"))]
     Unsent {
         /// Address.
@@ -77,16 +78,16 @@
         /// Cause.
         source: hyper::Error,
     },
-    /// The request was sent, and there is no whole answer.
-    #[snafu(display("no whole answer from {address}"))]
+    /// The request may have been sent, and no complete answer was received.
+    #[snafu(display("no complete answer from {address}"))]
     Lost {
         /// Address.
         address: SocketAddr,
         /// Cause.
         source: hyper::Error,
     },
-    /// The answer is above the limit.
-    #[snafu(display("answer of {address} is above {limit} bytes"))]
+    /// The answer body exceeds the limit.
+    #[snafu(display("answer body from {address} exceeds {limit} bytes"))]
     TooLarge {
         /// Address.
         address: SocketAddr,
@@ -96,31 +97,31 @@
 }
 
 impl ExchangeError {
-    /// Returns true when the other end may have got the request.
+    /// Returns true if the server may have received the request.
     #[must_use]
     pub const fn may_have_arrived(&self) -> bool {
         matches!(self, Self::Lost { .. } | Self::TooLarge { .. })
     }
 }
 
-/// Whole answer.
+/// Complete answer.
 #[derive(Debug)]
 pub struct Exchange {
     /// Status and headers.
     pub head: Parts,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// True when the connection had carried an earlier request.
+    /// True if the connection was reused.
     pub reused: bool,
     kept: Option<IdleConnection>,
 }
 
-/// What came of a request that may go over a kept connection only.
+/// Outcome of a request that may use only an existing connection.
 #[derive(Debug)]
 pub enum KeptOutcome {
-    /// It was sent.
+    /// The request was sent over an existing connection.
     Sent(Result<Exchange, ExchangeError>),
-    /// No kept connection is usable; the request was not sent.
+    /// No existing connection is usable; the request was not sent.
     Unsent(hyper::Request<Full<Bytes>>),
 }
 
@@ -131,7 +132,7 @@
     until: Instant,
 }
 
-/// Client; its connections end with it.
+/// HTTP client; its connections close when it is dropped.
 #[derive(Debug)]
 pub struct Client {
     settings: ClientSettings,
@@ -139,19 +140,19 @@
 }
 
 impl Client {
-    /// Makes a client without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub const fn new(settings: ClientSettings) -> Self {
         Self { settings, idle: Mutex::new(Vec::new()) }
     }
 
-    /// Sends a request once, over a kept connection or a new one, and reads its whole answer.
+    /// Sends a request once, over an existing or a new connection, and reads its complete answer.
     ///
-    /// The caller bounds the time and drops the future; that closes the connection.
+    /// The caller limits the time by dropping the future, which closes the connection.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError::may_have_arrived`] tells whether the other end may have got the request.
+    /// [`ExchangeError::may_have_arrived`] tells whether the server may have received the request.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Sends a request once over a kept connection, if there is one, and reads its whole answer.
+    /// Sends a request once over an existing connection, if any, and reads its complete answer.
     pub async fn exchange_kept(
         &self,
         address: SocketAddr,
@@ -186,19 +187,19 @@
         match sender.try_send_request(request).await {
             Ok(response) => KeptOutcome::Sent(self.receive(address, sender, true, response).await),
             Err(mut error) => match error.take_message() {
-                // Closed while idle, and surely not sent.
+                // Closed while idle: the unsent request is returned.
                 Some(request) => KeptOutcome::Unsent(request),
                 None => KeptOutcome::Sent(Err(lost(address, error.into_error()))),
             },
         }
     }
 
-    /// Gives the connection of an exchange back, for the next request.
+    /// Returns the connection of an exchange to the pool.
     ///
-    /// To be called only when the answer is proved to be that of the request.
+    /// Must be called only after the answer was verified to belong to the request.
     pub async fn release(&self, exchange: &mut Exchange) {
         let Some(mut kept) = exchange.kept.take() else { return };
-        // An answer that came before the whole request was sent leaves the connection busy.
+        // The connection is not ready if the answer came before the request was completely sent.
         let ready = timeout(RELEASE_TIMEOUT, kept.sender.ready()).await;
         if !matches!(ready, Ok(Ok(()))) {
             return;
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Takes the connection that was used last.
+    /// Takes the most recently used connection.
     fn take(&self, address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
         let now = Instant::now();
         let mut idle = self.idle.lock();
@@ -234,16 +235,16 @@
         let (sender, connection) = handshake.context(UnsentSnafu { address })?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                debug!(%address, error = &error as &dyn Error, "connection ended");
+                debug!(%address, error = &error as &dyn Error, "client connection failed");
             }
         });
         Ok(sender)
     }
 
-    /// Sets what makes a silent connection end.
+    /// Sets `TCP_NODELAY` and, if configured, TCP keep-alive and the user timeout (RFC 5482).
     ///
-    /// Guards against a connection of which something in between has lost track: it stays open
-    /// without a word while new ones work, and whoever waits on it would wait for good.
+    /// Guards against half-open connections, such as those dropped by a middlebox, on which a
+    /// request would wait forever.
     fn set_socket_options(&self, stream: &TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let Some(probe) = self.settings.probe else { return Ok(()) };
@@ -290,7 +291,7 @@
     ExchangeError::Lost { address, source }
 }
 
-/// Returns for how long an idle connection may be used, by the word of the other end.
+/// Returns how long an idle connection may be reused, from the server's `Keep-Alive` header.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let stated = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/acaciaringd/src/web/io.rs
+++ b/acaciaringd/src/web/io.rs
@@ -1,4 +1,4 @@
-//! Connection of a caller with bounds on its silence.
+//! Server connection with read and write timeouts.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -13,35 +13,35 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Time for which a caller may take no byte of its answer.
+/// Timeout of a write without progress.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a connection waits for.
+/// Read state of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Wait {
-    /// A request; nothing has come yet.
+    /// Waits for a request; nothing received.
     Idle,
-    /// The rest of a head.
+    /// Waits for the rest of a request head.
     Head,
-    /// A request is in hand; the silence of the caller means nothing.
+    /// A request is in progress; no read timeout applies.
     Busy,
 }
 
-/// Connection that ends with an error when its caller is silent for too long.
+/// Connection that fails with `TimedOut` if its caller is inactive.
 ///
-/// A connection without request ends after `idle`, one with half a head after `arrival`. Without
-/// it callers that have gone silent would keep descriptors for good.
+/// The timeout is `idle` without a request and `arrival` within a head. Guards against a leak of
+/// descriptors by dead callers.
 pub(super) struct TimedConnection {
     stream: TcpStream,
     arrival: Duration,
     idle: Duration,
-    /// True while a request is in hand.
+    /// True while a request is in progress.
     busy: Arc<AtomicBool>,
-    /// Set once the caller has closed the connection.
+    /// True once the caller has closed the connection.
     closed: Arc<AtomicBool>,
     wait: Wait,
     read_timer: Pin<Box<Sleep>>,
-    /// End of the time for the caller to take some bytes, while it takes none.
+    /// Timeout of the blocked write, if any.
     write_timer: Option<Pin<Box<Sleep>>>,
 }
 
@@ -66,11 +66,10 @@
         }
     }
 
-    /// Looks whether the end of the connection stands right behind what was read.
+    /// Checks whether the caller closed the connection directly after the data that was read.
     ///
-    /// Guards against work for callers that have left: a process that was late reads their requests and
-    /// would hand them on before it reads any further. The socket is asked itself, for the readiness that
-    /// the runtime knows is of the time before the read.
+    /// Guards against running requests of callers that have left, after this process was delayed.
+    /// The socket is peeked directly because the readiness cached by the runtime predates the read.
     fn detect_close(&self) {
         let mut byte = [0];
         let flags = RecvFlags::PEEK | RecvFlags::DONTWAIT;
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Follows what the connection waits for, and sets the time for it anew when that changes.
+    /// Updates the read state, and resets the read timeout if the state changes.
     fn update_wait(&mut self, received: bool) {
         let busy = self.busy.load(Ordering::Acquire);
         let next = match (busy, self.wait, received) {
--- a/acaciaringd/src/web/mod.rs
+++ b/acaciaringd/src/web/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 on the threads for traffic: listeners whose callers may leave at any moment, and a
-//! client that says whether a request has left this process.
+//! Asynchronous HTTP/1.1: a listener that cancels requests of closed connections, and a client that
+//! reports whether a request may have been sent.
 
 mod client;
 mod io;
--- a/acaciaringd/src/web/server.rs
+++ b/acaciaringd/src/web/server.rs
@@ -1,7 +1,7 @@
-//! Listener for HTTP/1.1.
+//! HTTP/1.1 listener.
 //!
-//! Requests are read whole before they are handed on, and answers are written whole with their
-//! length. When a caller leaves, the future that answers it is dropped.
+//! Requests are read completely before they are handled, and answers are written with their length.
+//! When a caller closes its connection, the future that answers its request is dropped.
 
 use std::convert::Infallible;
 use std::future::pending;
@@ -33,44 +33,44 @@
 /// Answer to a caller.
 pub type Response = hyper::Response<Full<Bytes>>;
 
-/// Pause after a connection could not be accepted, for want of descriptors as a rule.
+/// Delay after a failed accept, which is usually due to a lack of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Time in which a body has to arrive.
+/// Timeout for receiving a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Steps in which a stop looks whether requests are still in hand.
+/// Interval at which a drain checks for open connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Smallest buffer that the library takes for a head, bytes.
+/// Minimum buffer size for a head that `hyper` accepts, bytes.
 const MIN_HEAD_BUFFER: usize = 8192;
 
-/// Failure to listen.
+/// Error of starting a listener.
 #[derive(Debug, Snafu)]
 pub enum WebError {
-    /// The address cannot be listened on.
+    /// Cannot bind the address.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
-        /// Address of the settings.
+        /// Configured address.
         address: SocketAddr,
         /// Cause.
         source: io::Error,
     },
 }
 
-/// Why a request is not whole.
+/// Cause of an incomplete request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Its body is above the limit.
+    /// The body exceeds the limit.
     TooLarge,
-    /// Its body has not arrived in time.
+    /// The body was not received in time.
     Slow,
-    /// Its body is malformed or was cut off.
+    /// The body is malformed or truncated.
     Malformed,
 }
 
 impl Fault {
-    /// Returns the usual answer.
+    /// Returns the default answer.
     #[must_use]
     pub fn answer(self) -> Response {
         let status = match self {
@@ -82,23 +82,23 @@
     }
 }
 
-/// What answers requests.
+/// Handler of HTTP requests.
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Returns the bounds on callers in force.
+    /// Returns the current limits on callers.
     fn limits(&self) -> CallerLimits {
         CallerLimits::default()
     }
 
-    /// Answers a whole request.
+    /// Answers a complete request.
     fn answer(&self, head: Parts, body: Bytes) -> BoxFuture<'_, Response>;
 
-    /// Answers a request that is not whole; it has not run, and its connection ends.
+    /// Answers an incomplete request, which does not run; its connection is closed.
     fn refuse(&self, fault: Fault) -> Response {
         fault.answer()
     }
 }
 
-/// Returns an answer with a status and a text.
+/// Returns a response with a status and a text body.
 #[must_use]
 pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Response {
     let mut response = Response::new(Full::new(body.into()));
@@ -109,8 +109,9 @@
 /// Phase of a listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
+    /// Accepts connections.
     Open,
-    /// Connections end after the request in hand.
+    /// Connections close after the current request.
     Closing,
 }
 
@@ -124,11 +125,11 @@
 }
 
 impl Server {
-    /// Listens and answers on the threads of a runtime.
+    /// Binds the address and serves connections on a runtime.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be listened on.
+    /// Fails if the address cannot be bound.
     pub fn start(
         runtime: &Handle,
         address: SocketAddr,
@@ -149,16 +150,17 @@
         Ok(Self { address, phase, requests, connections })
     }
 
-    /// Returns the address that it listens on.
+    /// Returns the bound address.
     #[must_use]
     pub const fn local_addr(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops to accept and waits for the requests in hand, at most `bound`; returns how many are left.
+    /// Stops accepting and waits for connections to close, at most `bound`.
     ///
-    /// Connections end after the request in hand, at once where there is none. The wait is for their
-    /// end: what is not yet written when the process ends is lost.
+    /// Connections close after the current request, idle ones at once. Waiting for their end
+    /// ensures that answers are written before the process exits. Returns the number of unfinished
+    /// requests.
     #[must_use]
     pub fn drain(&self, bound: Duration) -> usize {
         self.phase.send_replace(Phase::Closing);
@@ -172,6 +174,7 @@
     }
 }
 
+/// Handler with the counters of requests and connections.
 struct Dispatcher {
     handler: Arc<dyn HttpHandler>,
     requests: Arc<AtomicUsize>,
@@ -190,7 +193,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                // Counted before its task runs, so that a stop misses none.
+                // Counted before its task starts, so that a drain misses none.
                 let open = ConnectionGuard::new(&dispatcher.connections);
                 let served = serve(stream, Arc::clone(&dispatcher), phase.clone());
                 tokio::spawn(async move {
@@ -209,7 +212,7 @@
 /// Serves one connection until it ends.
 async fn serve(stream: TcpStream, dispatcher: Arc<Dispatcher>, mut phase: watch::Receiver<Phase>) {
     if let Err(error) = stream.set_nodelay(true) {
-        debug!(%error, "connection has ended before it was served");
+        debug!(%error, "connection closed before it was served");
         return;
     }
     let CallerLimits { head, arrival, idle, .. } = dispatcher.handler.limits();
@@ -236,11 +239,11 @@
         }
     };
     if let Err(error) = ended {
-        debug!(error = &error as &dyn std::error::Error, "connection of a caller ended");
+        debug!(error = &error as &dyn std::error::Error, "caller connection closed with an error");
     }
 }
 
-/// Open connection; ends when dropped.
+/// Counts a connection as open until dropped.
 struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl ConnectionGuard {
@@ -256,7 +259,7 @@
     }
 }
 
-/// Request in hand; ends when dropped.
+/// Counts a request as in progress until dropped.
 struct RequestGuard {
     requests: Arc<AtomicUsize>,
     busy: Arc<AtomicBool>,
@@ -278,18 +281,18 @@
 }
 
 impl Dispatcher {
-    /// Answers a request, unless its caller has left by the time at which it is whole.
+    /// Answers a request unless its caller closed the connection before the body was complete.
     async fn answer(&self, request: hyper::Request<Incoming>, closed: &AtomicBool) -> Response {
         let (head, body) = request.into_parts();
         let body = self.read(body).await;
         if closed.load(Ordering::Acquire) {
-            // Dropped with the connection, which reads its end next.
+            // Dropped with the connection, whose next read returns the end of the stream.
             return pending().await;
         }
         match body {
             Ok(body) => self.handler.answer(head, body).await,
             Err(fault) => {
-                debug!(?fault, path = head.uri.path(), "request is not whole");
+                debug!(?fault, path = head.uri.path(), "request rejected: incomplete body");
                 let mut response = self.handler.refuse(fault);
                 let close = header::HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
@@ -308,7 +311,7 @@
     }
 }
 
-/// Reads a body of at most `limit` bytes; most come in one piece, which is not copied.
+/// Reads a body of at most `limit` bytes; a body in a single frame is not copied.
 async fn collect(mut body: Incoming, limit: usize) -> Result<Bytes, Fault> {
     let mut first = Bytes::new();
     let mut buffer = BytesMut::new();
