--- a/acaciaringd/src/control/mod.rs
+++ b/acaciaringd/src/control/mod.rs
@@ -66,7 +66,7 @@
 use crate::platform::LogService;
 use crate::read_scheduler::ReadScheduler;
 use crate::recent_records::RecentRecords;
-use crate::upstream::Outlet;
+use crate::upstream::UpstreamClient;
 use crate::view::{Shared, UpstreamEndpoint, View};
 
 /// Longest time between two rounds of the control loop.
@@ -118,7 +118,7 @@
     pub(crate) log: Arc<dyn LogService>,
     pub(crate) declarations: Arc<Declarations>,
     /// Client that sends orders to the upstream.
-    pub(crate) outlet: Arc<dyn Outlet>,
+    pub(crate) upstream_client: Arc<dyn UpstreamClient>,
     /// Settings of the upstream: heartbeats and grants.
     pub(crate) upstream: Upstream,
 }
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -137,10 +137,10 @@
         let page = address.map(|address| page(address, &metrics, &transport)).transpose()?;
         let log = adapters.log(transport.runtime());
         let outbox = Outbox::new(&transport);
-        let outlet = adapters.outlet();
+        let upstream_client = adapters.upstream_client();
         let gate = Arc::new(Gate::new(
             Arc::clone(&shared),
-            Arc::clone(&outlet),
+            Arc::clone(&upstream_client),
             options::gate_settings(settings),
             transport.clone(),
             outbox.clone(),
@@ -215,7 +215,7 @@
             metrics: metrics.clone(),
             log: Arc::clone(&log),
             declarations,
-            outlet,
+            upstream_client,
             upstream: settings.upstream.clone(),
         };
         gauges::start(&context.shared, &context.gate, metrics);
--- a/acaciaringd/src/entry/answer.rs
+++ b/acaciaringd/src/entry/answer.rs
@@ -21,19 +21,19 @@
 /// Answer to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryAnswer {
-    /// Whether the request may have run.
+    /// Verdict on whether the request may have run.
     pub verdict: Verdict,
-    /// Why there is no answer from an upstream.
+    /// Reason of a refusal; `None` for an answer of an upstream.
     pub reason: Option<Reason>,
     /// HTTP status.
     pub status: u16,
-    /// Headers of the upstream, without those that concern one connection only.
+    /// Headers of the upstream without hop-by-hop headers.
     pub headers: Headers,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
-    /// When the caller may come back.
+    /// Delay after which the caller may retry.
     pub retry: Option<Duration>,
-    /// Member that owns the key, a hint.
+    /// Hint: the member that owns the key.
     pub owner: Option<String>,
 }
 
@@ -44,13 +44,13 @@
 }
 
 impl EntryAnswer {
-    /// Returns the answer to a request that has no answer from an upstream.
+    /// Creates the answer for a refusal, with the status for its verdict and reason.
     #[must_use]
     pub fn refusal(refusal: Refusal) -> Self {
         Self::refusal_with(refusal, status(refusal))
     }
 
-    /// Returns the same with a status that says more about a malformed request.
+    /// Creates the answer for a refusal with a given status.
     pub(crate) fn refusal_with(refusal: Refusal, status: u16) -> Self {
         let body = json!({
             "verdict": refusal.verdict,
@@ -68,61 +68,60 @@
         }
     }
 
-    /// Writes the answer in the form of HTTP/1.1.
+    /// Encodes the answer as HTTP/1.1.
     ///
-    /// `tiny_http::Response` is not used for it: it takes ASCII values only, joins
-    /// repeated content types, adds headers, and answers in chunks when it likes. An
-    /// answer has to reach the caller as the upstream gave it, with its length.
+    /// `tiny_http::Response` would alter an answer of the upstream: it accepts only ASCII values,
+    /// merges repeated content types, adds headers and may use chunked coding.
     pub(crate) fn encode(&self, head: bool, close: bool) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.body.len() + 512);
-        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, phrase(self.status));
+        let _ = write!(out, "HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
             if !header::same(name, header::CONTENT_LENGTH) && !self.replaces(name) {
-                put(&mut out, name, value);
+                write_header(&mut out, name, value);
             }
         }
-        for (name, value) in self.own() {
-            put(&mut out, name, value.as_bytes());
+        for (name, value) in self.protocol_headers() {
+            write_header(&mut out, name, value.as_bytes());
         }
         if let Some(length) = self.length(head) {
-            put(&mut out, header::CONTENT_LENGTH, length.to_string().as_bytes());
+            write_header(&mut out, header::CONTENT_LENGTH, length.to_string().as_bytes());
         }
         if close {
-            put(&mut out, header::CONNECTION, b"close");
+            write_header(&mut out, header::CONNECTION, b"close");
         }
         out.extend_from_slice(b"\r\n");
-        if !head && !self.bodiless() {
+        if !head && !self.is_bodiless() {
             out.extend_from_slice(&self.body);
         }
         out
     }
 
-    /// Headers that this answer states itself when it says when to come back.
+    /// Returns true for an upstream header that is replaced by the answer's own retry delay.
     fn replaces(&self, name: &str) -> bool {
         self.retry.is_some() && header::same(name, header::RETRY_AFTER)
     }
 
-    /// Returns the headers of this project.
-    fn own(&self) -> Vec<(&'static str, String)> {
-        let mut own = vec![(header::VERDICT, self.verdict.as_str().to_owned())];
+    /// Returns the protocol headers.
+    fn protocol_headers(&self) -> Vec<(&'static str, String)> {
+        let mut headers = vec![(header::VERDICT, self.verdict.as_str().to_owned())];
         if let Some(reason) = self.reason {
-            own.push((header::REASON, reason.as_str().to_owned()));
+            headers.push((header::REASON, reason.as_str().to_owned()));
         }
         if let Some(owner) = &self.owner {
-            own.push((header::OWNER, owner.clone()));
+            headers.push((header::OWNER, owner.clone()));
         }
         if let Some(retry) = self.retry {
             let seconds = retry.as_millis().div_ceil(1000);
-            own.push((header::RETRY_AFTER, seconds.to_string()));
-            own.push((header::RETRY_MS, millis(retry).to_string()));
+            headers.push((header::RETRY_AFTER, seconds.to_string()));
+            headers.push((header::RETRY_MS, millis(retry).to_string()));
         }
-        own
+        headers
     }
 
-    /// Returns a refusal for `tiny_http` to write.
+    /// Converts a refusal to a `tiny_http` response.
     pub(crate) fn response(&self) -> Response<Cursor<Vec<u8>>> {
         let mut response = Response::from_data(self.body.clone()).with_status_code(self.status);
-        let own = self.own();
+        let own = self.protocol_headers();
         let own = own.iter().map(|(name, value)| (*name, value.as_bytes()));
         let headers = self.headers.iter().map(|(name, value)| (name.as_str(), value.as_slice()));
         for (name, value) in headers.chain(own) {
@@ -133,10 +132,10 @@
         response
     }
 
-    /// Returns the length to state; an answer to `HEAD`, or 304, states the upstream's.
+    /// Returns the value of `Content-Length`; for `HEAD` and 304 that of the upstream.
     fn length(&self, head: bool) -> Option<u64> {
         let own = Some(self.body.len() as u64);
-        let stated = || number(header::find(&self.headers, header::CONTENT_LENGTH)?);
+        let stated = || parse_number(header::find(&self.headers, header::CONTENT_LENGTH)?);
         match self.status {
             NO_CONTENT => None,
             NOT_MODIFIED => stated(),
@@ -145,20 +144,20 @@
         }
     }
 
-    const fn bodiless(&self) -> bool {
+    const fn is_bodiless(&self) -> bool {
         matches!(self.status, NO_CONTENT | NOT_MODIFIED)
     }
 }
 
-/// Returns the status of a refusal, as the page of protocols lists them.
+/// Returns the HTTP status of a refusal.
 const fn status(refusal: Refusal) -> u16 {
     match refusal.verdict {
         Verdict::Unknown | Verdict::Answered => BAD_GATEWAY,
-        Verdict::NotRun => status_of(refusal.reason),
+        Verdict::NotRun => not_run_status(refusal.reason),
     }
 }
 
-const fn status_of(reason: Reason) -> u16 {
+const fn not_run_status(reason: Reason) -> u16 {
     match reason {
         Reason::BadRequest => BAD_REQUEST,
         Reason::NoRoute => NOT_FOUND,
@@ -178,8 +177,8 @@
     }
 }
 
-/// Writes one header; a line break in a value would forge a header, so it is left out.
-fn put(out: &mut Vec<u8>, name: &str, value: &[u8]) {
+/// Writes a header; omits one with line breaks, which would allow header injection.
+fn write_header(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     let breaks = |bytes: &[u8]| bytes.iter().any(|byte| matches!(byte, b'\r' | b'\n' | 0));
     if breaks(name.as_bytes()) || breaks(value) {
         return;
@@ -194,10 +193,10 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn number(value: &[u8]) -> Option<u64> {
+fn parse_number(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-fn phrase(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     tiny_http::StatusCode(status).default_reason_phrase()
 }
--- a/acaciaringd/src/gate/dedup.rs
+++ b/acaciaringd/src/gate/dedup.rs
@@ -1,4 +1,4 @@
-//! Memory of requests that may run at most once, one table per workspace.
+//! Deduplication state of requests that may run at most once, one table per workspace.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,61 +14,62 @@
 type Answer = Arc<peer::Answer>;
 type Table = DedupTable<Answer>;
 
-/// What a member comes to do for a unit.
+/// New role of this member for a unit, with regard to deduplication.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Role {
-    /// Serves a unit that never had a server before.
-    Founder,
-    /// Serves after the former server has released the unit, with what that one remembers.
-    Heir(Inheritance),
-    /// Serves after the former server was lost.
-    Successor,
-    /// Serves a hot key that was split out of a slot that this member serves.
+    /// Owner of a unit that never had an owner.
+    FirstOwner,
+    /// Owner after a release by the former owner, with its deduplication state.
+    Handover(Inheritance),
+    /// Owner after the former owner has failed.
+    Takeover,
+    /// Owner of a hot key that was split from a slot owned by this member.
     Split,
-    /// Serves or stands by for a slot to which the hot key has returned.
+    /// Owner or standby of the slot into which the hot key was merged.
     Merge,
-    /// Stands by under a version.
+    /// Standby under an assignment version.
     Standby(Offset),
-    /// Does nothing for the unit any more.
+    /// No role for the unit.
     Nothing,
 }
 
-/// What the former server of a unit remembers.
+/// Deduplication state of the former owner of a unit.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Inheritance {
     pub(crate) entries: Vec<peer::DedupEntry>,
+    /// Time for which requests missing from the entries may have run.
     pub(crate) blind: Duration,
 }
 
-/// Tables of all workspaces.
+/// Deduplication tables of all workspaces.
 #[derive(Debug, Default)]
 pub(crate) struct Dedup {
     tables: Mutex<HashMap<Name, Table>>,
 }
 
 impl Dedup {
-    fn with<T>(&self, workspace: &Name, act: impl FnOnce(&mut Table) -> T) -> T {
+    fn with_table<T>(&self, workspace: &Name, apply: impl FnOnce(&mut Table) -> T) -> T {
         let mut tables = self.tables.lock();
         let table = tables
             .entry(Arc::clone(workspace))
             .or_insert_with(|| Table::new(DedupSettings::default()));
-        act(table)
+        apply(table)
     }
 
-    /// Returns the number of requests that are remembered.
+    /// Returns the number of recorded requests.
     pub(crate) fn len(&self) -> usize {
         self.tables.lock().values().map(Table::len).sum()
     }
 
-    /// Takes up a role for a unit.
-    pub(crate) fn take_up(&self, now: Time, workspace: &Name, unit: UnitId, role: Role) {
-        self.with(workspace, |table| match role {
-            Role::Founder => table.become_first_owner(unit),
-            Role::Heir(inheritance) => {
+    /// Applies a new role for a unit.
+    pub(crate) fn set_role(&self, now: Time, workspace: &Name, unit: UnitId, role: Role) {
+        self.with_table(workspace, |table| match role {
+            Role::FirstOwner => table.become_first_owner(unit),
+            Role::Handover(inheritance) => {
                 let entries = entries(&inheritance.entries, unit);
                 table.become_owner(now, unit, entries, inheritance.blind);
             }
-            Role::Successor => table.take_over(now, unit),
+            Role::Takeover => table.take_over(now, unit),
             Role::Split => table.split(unit),
             Role::Merge => table.merge(unit),
             Role::Standby(version) => table.become_standby(unit, version),
@@ -76,7 +77,7 @@
         });
     }
 
-    /// Decides about a request that is about to run.
+    /// Decides whether a request may run, and records it if so.
     pub(crate) fn begin(
         &self,
         now: Time,
@@ -84,10 +85,10 @@
         unit: UnitId,
         id: RequestId,
     ) -> Begin<Answer> {
-        self.with(workspace, |table| table.begin(now, id, unit))
+        self.with_table(workspace, |table| table.begin(now, id, unit))
     }
 
-    /// Notes the answer of a request.
+    /// Records the answer of a request.
     pub(crate) fn finish(
         &self,
         now: Time,
@@ -97,20 +98,20 @@
         answer: Answer,
     ) {
         let bytes = answer.body.len();
-        self.with(workspace, |table| table.finish(now, id, unit, answer, bytes));
+        self.with_table(workspace, |table| table.finish(now, id, unit, answer, bytes));
     }
 
-    /// Notes that a request may have run and has no answer.
+    /// Records that a request may have run and has no answer.
     pub(crate) fn unknown(&self, now: Time, workspace: &Name, unit: UnitId, id: RequestId) {
-        self.with(workspace, |table| table.unknown(now, id, unit));
+        self.with_table(workspace, |table| table.unknown(now, id, unit));
     }
 
-    /// Notes that a request did not run.
+    /// Records that a request did not run.
     pub(crate) fn not_run(&self, workspace: &Name, unit: UnitId, id: RequestId) {
-        self.with(workspace, |table| table.not_run(id, unit));
+        self.with_table(workspace, |table| table.not_run(id, unit));
     }
 
-    /// Notes what the owner is about to run; false forbids it.
+    /// Records a request that the owner is about to run; false if it must not run.
     pub(crate) fn intent(
         &self,
         now: Time,
@@ -119,10 +120,10 @@
         id: RequestId,
         version: Offset,
     ) -> bool {
-        self.with(workspace, |table| table.intent(now, id, unit, version))
+        self.with_table(workspace, |table| table.intent(now, id, unit, version))
     }
 
-    /// Notes how a request of the owner ended.
+    /// Records the result of a request that the owner ran.
     pub(crate) fn outcome(
         &self,
         now: Time,
@@ -135,17 +136,17 @@
             let bytes = answer.body.len();
             (Arc::new(answer), bytes)
         });
-        self.with(workspace, |table| table.outcome(now, id, unit, answer));
+        self.with_table(workspace, |table| table.outcome(now, id, unit, answer));
     }
 
-    /// Returns what is remembered of units, and for how long something else may have run.
+    /// Returns the state of units, and for how long requests missing from it may have run.
     pub(crate) fn export(
         &self,
         now: Time,
         workspace: &Name,
         units: &[UnitId],
     ) -> (Vec<peer::DedupEntry>, Duration) {
-        self.with(workspace, |table| {
+        self.with_table(workspace, |table| {
             let slots: BTreeSet<_> = units.iter().map(|unit| unit.slot).collect();
             let entries = slots.into_iter().flat_map(|slot| table.export(now, UnitId::slot(slot)));
             let entries = entries.map(|entry| to_wire(&entry)).collect();
@@ -154,7 +155,7 @@
         })
     }
 
-    /// Takes in what the owner of units remembers; false when this member does not stand by for all of them yet.
+    /// Stores the owner's state; false if this member is not yet the standby of all the units.
     pub(crate) fn sync(
         &self,
         now: Time,
@@ -163,7 +164,7 @@
         list: &[peer::DedupEntry],
         blind: Duration,
     ) -> bool {
-        self.with(workspace, |table| {
+        self.with_table(workspace, |table| {
             let mut all = true;
             for unit in units {
                 all &= table.sync(now, *unit, entries(list, *unit), blind);
@@ -198,7 +199,7 @@
 
 fn from_wire(entry: &peer::DedupEntry) -> Option<DedupEntry<Answer>> {
     let id = RequestId(entry.id.as_slice().try_into().ok()?);
-    let memory = match (entry.state(), &entry.answer) {
+    let request_state = match (entry.state(), &entry.answer) {
         (peer::DedupState::Noted, _) => RequestState::Noted,
         (peer::DedupState::Done, Some(answer)) => {
             RequestState::Done { answer: Arc::new(answer.clone()), bytes: answer.body.len() }
@@ -206,5 +207,10 @@
         _ => RequestState::Unknown,
     };
     let unit = UnitId { slot: entry.slot, key: entry.key.map(KeyHash) };
-    Some(DedupEntry { unit, id, state: memory, age: Duration::from_millis(u64::from(entry.age)) })
+    Some(DedupEntry {
+        unit,
+        id,
+        state: request_state,
+        age: Duration::from_millis(u64::from(entry.age)),
+    })
 }
--- a/acaciaringd/src/gate/forward.rs
+++ b/acaciaringd/src/gate/forward.rs
@@ -1,4 +1,4 @@
-//! The way from the gate to the upstream.
+//! Forwarding of admitted requests to the local upstream.
 
 use std::future;
 use std::sync::Arc;
@@ -8,24 +8,24 @@
 use acaciaring_core::{Reason, Refusal, Time};
 use acaciaring_schema::peer::Answer;
 
-use super::{Gate, Grant, Job, MOVING, request_id};
+use super::{Gate, Grant, Job, MOVE_RETRY, request_id};
 use crate::clock;
 use crate::metrics::{Counter, Timer};
-use crate::upstream::{Fence, OutletCall};
+use crate::upstream::{Fence, UpstreamRequest};
 use crate::view::{Shared, UpstreamEndpoint};
 use crate::wire;
 
-/// Time left of the lease below which nothing is given to the upstream.
+/// Remaining lease time below which no request is sent to the upstream.
 ///
-/// It covers the way to the upstream, so that a fenced upstream seldom has to
-/// refuse; the fence, not this margin, keeps a late request out.
-const RESERVE: Duration = Duration::from_millis(20);
+/// Covers the transmission, so that a fenced upstream rarely refuses. Safety rests on the fence,
+/// not on this margin.
+const LEASE_MARGIN: Duration = Duration::from_millis(20);
 
-/// Bound of a wait that something else ends.
-const FOREVER: Duration = Duration::from_mins(10);
+/// Timeout of one wait for a change of the view; the wait is repeated.
+const CHANGE_TIMEOUT: Duration = Duration::from_mins(10);
 
 impl Gate {
-    /// Waits for a place at the upstream and gives it the request.
+    /// Waits for admission and sends the request to the upstream.
     pub(super) async fn forward(
         &self,
         job: &Job<'_>,
@@ -34,7 +34,7 @@
         let attempt = job.request.attempt;
         let ticket = Ticket { rank: job.rank, deadline: job.aim, expiry: job.deadline, attempt };
         let moved = self.moved(job, grant);
-        let place = self.queue.enter(ticket, job.cancelled, moved).await?;
+        let permit = self.queue.enter(ticket, job.cancelled, moved).await?;
         let view = self.shared.view();
         let endpoint = view.endpoint.as_ref().ok_or(Refusal::not_run(Reason::UpstreamDown))?;
         if *endpoint.workspace != *job.workspace {
@@ -45,18 +45,18 @@
             return Err(Refusal::not_run(Reason::Cancelled));
         }
         let result = self.send(job, endpoint, fence).await;
-        place.finish(&result);
+        permit.finish(&result);
         result
     }
 
-    /// Waits until a unit is no longer served here.
+    /// Completes when the unit is no longer served here.
     ///
-    /// Guards against a move of a busy unit: its waiting requests would run here first, each as
-    /// late as the queue is long, and the next server would have to wait for the last of them.
+    /// Guards against slow handovers of busy units: queued requests leave the queue at once, so the
+    /// next owner does not wait until all of them have run here.
     async fn moved(&self, job: &Job<'_>, grant: Option<Grant>) -> Refusal {
         let Some(Grant { unit, .. }) = grant else { return future::pending().await };
         while self.shared.view().permit(&job.workspace, unit).is_some() {
-            self.shared.changed(FOREVER).await;
+            self.shared.changed(CHANGE_TIMEOUT).await;
         }
         Refusal::not_run(Reason::NotOwner)
     }
@@ -67,12 +67,12 @@
         endpoint: &UpstreamEndpoint,
         fence: Option<Fence>,
     ) -> Result<Answer, Refusal> {
-        let left = self.bound(job, endpoint, fence.is_some());
+        let left = self.time_limit(job, endpoint, fence.is_some());
         if left.is_zero() {
             return Err(Refusal::not_run(Reason::Expired));
         }
         let request = job.request;
-        let call = OutletCall {
+        let call = UpstreamRequest {
             address: endpoint.address,
             method: request.method.clone(),
             path: request.path.clone(),
@@ -86,13 +86,13 @@
             instance: Arc::clone(&endpoint.instance),
         };
         let start = clock::now();
-        let result = self.outlet.send(call, job.cancelled).await;
+        let result = self.upstream_client.send(call, job.cancelled).await;
         self.metrics.time(Timer::Upstream, clock::now().since(start));
         match &result {
             Err(Refusal { reason: Reason::Busy | Reason::Shed, .. }) => {
                 self.metrics.count(Counter::UpstreamShed, 1);
             }
-            // The upstream itself knows of no lease but by the fence.
+            // The upstream refuses for a missing lease only by the fence.
             Err(Refusal { reason: Reason::NoLease, .. }) => {
                 self.metrics.count(Counter::UpstreamFenced, 1);
             }
@@ -106,40 +106,37 @@
 
     /// Returns the time that a request may take.
     ///
-    /// An upstream that does not check fences could go on with a request after
-    /// the lease has ended and the key has a new server, so its handler is bound
-    /// by the lease as it stands.
-    fn bound(&self, job: &Job<'_>, endpoint: &UpstreamEndpoint, owned: bool) -> Duration {
+    /// An upstream without fencing could still run a request after the lease has expired and the
+    /// key has a new owner, so the remaining lease limits the time.
+    fn time_limit(&self, job: &Job<'_>, endpoint: &UpstreamEndpoint, keyed: bool) -> Duration {
         let now = clock::now();
         let left = job.deadline.since(now);
-        if owned && !endpoint.fenced { left.min(self.shared.lease.get().since(now)) } else { left }
+        if keyed && !endpoint.fenced { left.min(self.shared.lease.get().since(now)) } else { left }
     }
 }
 
-/// Checks the lease last thing before the request goes to the upstream.
+/// Checks the lease immediately before the request is sent to the upstream.
 ///
-/// Guards against a pause between the first check and the write: the member
-/// wakes up after its lease has ended and the key has a new owner. A fenced
-/// upstream refuses by `until`; for one that does not check, this check
-/// narrows the window and does not close it.
+/// Guards against a process pause after the first check, during which the lease expires and the key
+/// gets a new owner. A fenced upstream refuses by `until`; without fencing this check narrows the
+/// window but does not close it.
 fn fence(shared: &Shared, endpoint: &UpstreamEndpoint, grant: Grant) -> Result<Fence, Refusal> {
     let end = lease_end(shared, clock::now(), grant)?;
     Ok(Fence { unit: grant.unit, token: grant.token, until: endpoint.until(end) })
 }
 
-/// Returns the end of the lease under which a right was found.
+/// Returns the end of the lease of the identity in the grant.
 ///
-/// Guards against a request that waits here while this process is evicted and
-/// joins anew: the lease of the new identity would let it run beside the new
-/// owner of the key. Control publishes an identity before its first lease, so
-/// whoever reads that lease and then the identity finds the new one.
+/// Guards against a request that is queued while this process is evicted and rejoins: under the
+/// lease of the new identity it would run concurrently with the new owner of the key. Control
+/// publishes an identity before its first lease, so the lease must be read before the identity.
 fn lease_end(shared: &Shared, now: Time, grant: Grant) -> Result<Time, Refusal> {
     let end = shared.lease.get();
-    let same = shared.view().me == Some(grant.member);
-    if same && now + RESERVE < end {
+    let same_member = shared.view().me == Some(grant.member);
+    if same_member && now + LEASE_MARGIN < end {
         return Ok(end);
     }
-    Err(Refusal::not_run(Reason::NoLease).after(MOVING))
+    Err(Refusal::not_run(Reason::NoLease).after(MOVE_RETRY))
 }
 
 #[cfg(test)]
--- a/acaciaringd/src/web/mod.rs
+++ b/acaciaringd/src/web/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 on the threads for traffic: listeners whose callers may leave at any moment, and a
-//! client that says whether a request has left this process.
+//! Asynchronous HTTP/1.1: a listener that cancels requests of closed connections, and a client that
+//! reports whether a request may have been sent.
 
 mod client;
 mod io;
 mod server;
 
-pub use self::client::{Client, ClientSettings, Exchange, ExchangeError, Kept};
-pub use self::server::{Fault, Response, Server, Site, WebError, text};
+pub use self::client::{Client, ClientSettings, Exchange, ExchangeError, KeptOutcome};
+pub use self::server::{Fault, HttpHandler, Response, Server, WebError, text};
--- a/acaciaringd/tests/web_stop.rs
+++ b/acaciaringd/tests/web_stop.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use acaciaringd::peer::BoxFuture;
-use acaciaringd::web::{Response, Server, Site, text};
+use acaciaringd::web::{HttpHandler, Response, Server, text};
 use bytes::Bytes;
 use hyper::StatusCode;
 use hyper::http::request::Parts;
@@ -22,7 +22,7 @@
 /// Site with an answer of [`ANSWER_BYTES`] for each request.
 struct Large;
 
-impl Site for Large {
+impl HttpHandler for Large {
     fn answer(&self, _head: Parts, _body: Bytes) -> BoxFuture<'_, Response> {
         Box::pin(async { text(StatusCode::OK, vec![b'x'; ANSWER_BYTES]) })
     }
