--- a/acaciaring_testing/src/cluster.rs
+++ b/acaciaring_testing/src/cluster.rs
@@ -19,10 +19,10 @@
 use crate::upstream::{Run, UpstreamOptions, UpstreamServer};
 
 /// Bound on the start of a daemon.
-const START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Bound on one command to a daemon.
-const COMMAND: Duration = Duration::from_secs(12);
+const HTTP_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// One VM of the system.
 #[derive(Debug, Clone, Default)]
@@ -97,7 +97,7 @@
     dir: TempDir,
     started: usize,
     /// Runs at upstreams of VMs that were replaced.
-    past: Vec<Run>,
+    replaced_runs: Vec<Run>,
 }
 
 impl Cluster {
@@ -110,7 +110,15 @@
         let dir = TempDir::new()?;
         let authority = Authority::new(&dir, "authority")?;
         let log = LogServer::start(options.log)?;
-        Ok(Self { vms: Vec::new(), log, options, authority, dir, started: 0, past: Vec::new() })
+        Ok(Self {
+            vms: Vec::new(),
+            log,
+            options,
+            authority,
+            dir,
+            started: 0,
+            replaced_runs: Vec::new(),
+        })
     }
 
     /// Starts a VM and returns its index.
@@ -119,7 +127,7 @@
     ///
     /// When the daemon or its upstream cannot be started.
     pub fn add(&mut self, options: VmOptions) -> Result<usize> {
-        let vm = self.boot(options)?;
+        let vm = self.start_vm(options)?;
         self.vms.push(vm);
         Ok(self.vms.len() - 1)
     }
@@ -131,8 +139,8 @@
     /// When the daemon or its upstream cannot be started.
     pub fn replace(&mut self, index: usize) -> Result<()> {
         let options = self.vms[index].options.clone();
-        self.past.extend(self.vms[index].runs());
-        self.vms[index] = self.boot(options)?;
+        self.replaced_runs.extend(self.vms[index].runs());
+        self.vms[index] = self.start_vm(options)?;
         Ok(())
     }
 
@@ -148,7 +156,7 @@
     /// Requests that ran at any upstream since the start.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
-        self.past.iter().cloned().chain(self.vms.iter().flat_map(Vm::runs)).collect()
+        self.replaced_runs.iter().cloned().chain(self.vms.iter().flat_map(Vm::runs)).collect()
     }
 
     /// Name of the VM that owns a key, seen from a VM.
@@ -159,9 +167,9 @@
         answer["owner"]["vm"].as_str().map(str::to_owned)
     }
 
-    fn boot(&mut self, options: VmOptions) -> Result<Vm> {
+    fn start_vm(&mut self, options: VmOptions) -> Result<Vm> {
         self.started += 1;
-        let file = self.settings(&options)?;
+        let file = self.write_settings(&options)?;
         let arguments = [OsStr::new("--config"), file.as_os_str()];
         let mut command = Command::new(&self.options.daemon);
         command.args(arguments);
@@ -169,8 +177,8 @@
             command.stderr(File::create(path).context(IoSnafu { what: "create a file" })?);
         }
         let process = Process::spawn_with(&mut command)?;
-        let line = process.line("listening ", START)?;
-        let admin = listed(&line, "admin")?;
+        let line = process.line("listening ", START_TIMEOUT)?;
+        let admin = listed_address(&line, "admin")?;
         let upstream = options.workspace.as_ref().map(|workspace| {
             UpstreamServer::start(UpstreamOptions {
                 name: options.vm.clone(),
@@ -180,11 +188,11 @@
             })
         });
         let upstream = upstream.transpose()?;
-        let (http, peer) = (listed(&line, "http")?, listed(&line, "peer")?);
+        let (http, peer) = (listed_address(&line, "http")?, listed_address(&line, "peer")?);
         Ok(Vm { options, file, process, http, peer, admin, upstream })
     }
 
-    fn settings(&self, options: &VmOptions) -> Result<PathBuf> {
+    fn write_settings(&self, options: &VmOptions) -> Result<PathBuf> {
         let name = format!("{}-{}", options.vm, self.started);
         let identity = self.authority.issue(&self.dir, &name)?;
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -227,8 +235,9 @@
         text: &str,
         base: u64,
     ) -> Result<u64> {
-        let document = route::parse(kind, name, text).map_err(|faults| invalid(&faults))?;
-        let answer = post(self.vms[vm].admin, "/v1/publish", &publication(&document, base))?;
+        let document =
+            route::parse(kind, name, text).map_err(|faults| validation_error(&faults))?;
+        let answer = post(self.vms[vm].admin, "/v1/publish", &publish_body(&document, base))?;
         answer["offset"].as_u64().context(AnswerSnafu { what: answer.to_string() })
     }
 
@@ -239,7 +248,7 @@
     /// When the retirement is refused or not confirmed.
     pub fn retire(&self, vm: usize, kind: DocumentKind, name: &str, base: u64) -> Result<u64> {
         let document = Document { kind, name: name.into(), fields: Vec::new() };
-        let mut body = publication(&document, base);
+        let mut body = publish_body(&document, base);
         body["retired"] = true.into();
         let answer = post(self.vms[vm].admin, "/v1/publish", &body)?;
         answer["offset"].as_u64().context(AnswerSnafu { what: answer.to_string() })
@@ -264,33 +273,35 @@
             vms.iter().all(|vm| {
                 let members = self.admin(*vm, "/v1/members").unwrap_or_default();
                 let status = self.admin(*vm, "/v1/status").unwrap_or_default();
-                let owned: u64 =
-                    rows(&members).filter(|row| row["workspace"] == workspace).map(owned).sum();
+                let owned: u64 = member_rows(&members)
+                    .filter(|row| row["workspace"] == workspace)
+                    .map(owned_slots)
+                    .sum();
                 status["leased"] == true && owned > 0
             })
         })
     }
 }
 
-fn owned(row: &Value) -> u64 {
+fn owned_slots(row: &Value) -> u64 {
     row["owned"].as_u64().unwrap_or(0)
 }
 
-fn rows(value: &Value) -> impl Iterator<Item = &Value> {
+fn member_rows(value: &Value) -> impl Iterator<Item = &Value> {
     value["members"].as_array().into_iter().flatten()
 }
 
-fn invalid(faults: &[route::Fault]) -> Error {
+fn validation_error(faults: &[route::Fault]) -> Error {
     let what = faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
     AnswerSnafu { what }.build()
 }
 
-fn listed(line: &str, name: &str) -> Result<SocketAddr> {
+fn listed_address(line: &str, name: &str) -> Result<SocketAddr> {
     let found = line.split_whitespace().find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
     found.and_then(|address| address.parse().ok()).context(AnswerSnafu { what: line })
 }
 
-fn publication(document: &Document, base: u64) -> Value {
+fn publish_body(document: &Document, base: u64) -> Value {
     let id = format!("{:032x}", rand::random::<u128>());
     let kind = match document.kind {
         DocumentKind::Template => "template",
@@ -304,7 +315,7 @@
 fn agent() -> ureq::Agent {
     ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(COMMAND))
+        .timeout_global(Some(HTTP_TIMEOUT))
         .build()
         .into()
 }
