--- a/acaciaring_testing/src/cluster.rs
+++ b/acaciaring_testing/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole system on this machine: the log stand-in, upstream stand-ins and real daemons.
+//! A cluster on one machine: stand-ins for the log service and the upstreams, and daemon processes.
 
 use std::ffi::OsStr;
 use std::fmt::Write as _;
@@ -18,77 +18,77 @@
 use crate::log::{LogOptions, LogServer};
 use crate::upstream::{Run, UpstreamOptions, UpstreamServer};
 
-/// Bound on the start of a daemon.
+/// Time within which a daemon must print its listening addresses.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bound on one command to a daemon.
+/// Timeout of each HTTP request to a daemon.
 const HTTP_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// One VM of the system.
+/// Options of one VM.
 #[derive(Debug, Clone, Default)]
 pub struct VmOptions {
-    /// Name.
+    /// Name of the VM.
     pub vm: String,
     /// Data centre.
     pub data_centre: String,
     /// Region.
     pub region: String,
-    /// Workspace that its upstream serves; none for a VM without upstream.
+    /// Workspace served by its upstream; `None` for a VM without an upstream.
     pub workspace: Option<String>,
-    /// Address of the log service as this VM sees it, for example a proxy; the log itself when absent.
+    /// Address at which the daemon reaches the log, such as a proxy; the log itself when `None`.
     pub log: Option<SocketAddr>,
-    /// Address for other members as they are told it, for example a proxy.
+    /// Address advertised to other members, such as a proxy; the listening address when `None`.
     pub advertised: Option<SocketAddr>,
-    /// Address to listen on for other members; a free port when absent.
+    /// Listening address for other members; a free port when `None`.
     pub peer: Option<SocketAddr>,
-    /// Lines added to the settings file.
+    /// Lines appended to the settings file.
     pub settings: String,
-    /// File that the daemon's standard error goes to; the test's own when absent.
+    /// File that receives the daemon's standard error; inherited from the test when `None`.
     pub stderr: Option<PathBuf>,
 }
 
-/// Options of a system.
+/// Options of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterOptions {
-    /// Program of the daemon.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
     /// Options of the log stand-in.
     pub log: LogOptions,
-    /// Options of all upstreams; name, workspace and address are set for each.
+    /// Options of all upstreams; name, workspace and announce address are overridden for each.
     pub upstream: UpstreamOptions,
-    /// Level of the daemons' logs.
+    /// Log level of the daemons.
     pub level: String,
 }
 
 /// A VM with its daemon and upstream.
 pub struct Vm {
-    /// Options with which it was started.
+    /// Options with which the VM was started.
     pub options: VmOptions,
-    /// Settings file of the daemon.
+    /// Path of the daemon's settings file.
     pub file: PathBuf,
-    /// Daemon.
+    /// Process of the daemon.
     pub process: Process,
-    /// Address for callers.
+    /// Listening address for callers.
     pub http: SocketAddr,
-    /// Address for other members.
+    /// Listening address for other members.
     pub peer: SocketAddr,
-    /// Address for announcements and the command-line tool.
+    /// Listening address for upstream announcements and the command-line tool.
     pub admin: SocketAddr,
-    /// Upstream beside it.
+    /// Upstream of the daemon, if it has one.
     pub upstream: Option<UpstreamServer>,
 }
 
 impl Vm {
-    /// Requests that ran at its upstream.
+    /// Returns the requests that were executed by its upstream.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.upstream.as_ref().map(|upstream| upstream.handle().records()).unwrap_or_default()
     }
 }
 
-/// A running system; all of it ends when dropped.
+/// A running cluster; dropping it ends all processes and stand-ins.
 pub struct Cluster {
-    /// VMs in order of start.
+    /// VMs in the order in which they were added.
     pub vms: Vec<Vm>,
     /// Log stand-in.
     pub log: LogServer,
@@ -96,7 +96,7 @@
     authority: Authority,
     dir: TempDir,
     started: usize,
-    /// Runs at upstreams of VMs that were replaced.
+    /// Requests executed by the upstreams of replaced VMs.
     replaced_runs: Vec<Run>,
 }
 
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// When a stand-in cannot be started.
+    /// When the certificate authority cannot be created or the log stand-in cannot be started.
     pub fn start(options: ClusterOptions) -> Result<Self> {
         let dir = TempDir::new()?;
         let authority = Authority::new(&dir, "authority")?;
@@ -132,7 +132,7 @@
         Ok(self.vms.len() - 1)
     }
 
-    /// Starts a VM anew in the place of one that has ended, under the same name.
+    /// Restarts a VM that has ended, with the same options and a new upstream.
     ///
     /// # Errors
     ///
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    /// Ends a VM at once: its daemon is killed and its upstream is lost.
+    /// Simulates the loss of a VM: kills the daemon and stops the upstream.
     pub fn kill(&mut self, index: usize) {
         let vm = &mut self.vms[index];
         vm.process.kill();
@@ -153,13 +153,13 @@
         }
     }
 
-    /// Requests that ran at any upstream since the start.
+    /// Returns the requests executed by all upstreams, those of replaced VMs included.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.replaced_runs.iter().cloned().chain(self.vms.iter().flat_map(Vm::runs)).collect()
     }
 
-    /// Name of the VM that owns a key, seen from a VM.
+    /// Returns the name of the VM that owns a key according to the daemon of VM `vm`.
     #[must_use]
     pub fn owner(&self, vm: usize, workspace: &str, key: &str) -> Option<String> {
         let path = format!("/v1/owner?workspace={workspace}&key={key}");
@@ -222,11 +222,11 @@
         self.dir.write(&format!("{name}.ini"), &text)
     }
 
-    /// Publishes a document through a VM; returns the offset of its record.
+    /// Publishes a document through a VM and returns the offset of its log record.
     ///
     /// # Errors
     ///
-    /// When the document is refused or not confirmed.
+    /// When the document is invalid, refused or not confirmed.
     pub fn publish(
         &self,
         vm: usize,
@@ -241,7 +241,7 @@
         answer["offset"].as_u64().context(AnswerSnafu { what: answer.to_string() })
     }
 
-    /// Retires a document through a VM; returns the offset of its record.
+    /// Retires a document through a VM and returns the offset of its log record.
     ///
     /// # Errors
     ///
@@ -254,20 +254,20 @@
         answer["offset"].as_u64().context(AnswerSnafu { what: answer.to_string() })
     }
 
-    /// Reads a path of a VM's admin interface.
+    /// Reads a path of the admin interface of a VM.
     ///
     /// # Errors
     ///
-    /// When there is no answer.
+    /// When the daemon does not answer or the answer is not JSON.
     pub fn admin(&self, vm: usize, path: &str) -> Result<Value> {
         get(self.vms[vm].admin, path)
     }
 
-    /// Waits until every slot of a workspace has an owner that holds its lease, seen from every VM.
+    /// Waits until each VM in `vms` holds its lease and sees an owner of slots of the workspace.
     ///
     /// # Errors
     ///
-    /// When that does not happen within `bound`.
+    /// When this does not happen within `bound`.
     pub fn settle(&self, workspace: &str, vms: &[usize], bound: Duration) -> Result<()> {
         wait_until(&format!("{workspace} is served"), bound, || {
             vms.iter().all(|vm| {
@@ -336,41 +336,41 @@
     serde_json::from_str(&text).ok().context(AnswerSnafu { what: text })
 }
 
-/// Answer to a caller.
+/// Answer of the router to a caller.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Value of the verdict header.
+    /// Value of the header `x-acaciaring-verdict`.
     pub verdict: String,
-    /// Value of the reason header, empty when there is none.
+    /// Value of the header `x-acaciaring-reason`; empty when absent.
     pub reason: String,
     /// Body as text.
     pub body: String,
-    /// Time that the answer took.
+    /// Time from sending the request to the end of the answer.
     pub took: Duration,
 }
 
-/// One request of a caller.
+/// Request of a caller.
 #[derive(Debug, Clone, Default)]
 pub struct Ask<'a> {
-    /// Method, `GET` when empty.
+    /// HTTP method; `GET` when empty.
     pub method: &'a str,
     /// Path with the query.
     pub path: &'a str,
-    /// Host name, none when empty.
+    /// Value of the `Host` header; not set when empty.
     pub host: &'a str,
-    /// Idempotency key, none when empty.
+    /// Value of the `Idempotency-Key` header; not sent when empty.
     pub key: &'a str,
     /// Body.
     pub body: &'a str,
 }
 
-/// Sends a request to an entry and waits for its answer.
+/// Sends a request to an entry member and waits for the answer.
 ///
 /// # Errors
 ///
-/// When the entry gives no answer.
+/// When the entry does not answer within the request timeout.
 pub fn ask(entry: SocketAddr, ask: &Ask<'_>) -> Result<Reply> {
     let start = Instant::now();
     let method = if ask.method.is_empty() { "GET" } else { ask.method };
@@ -394,11 +394,11 @@
     Ok(Reply { status, verdict, reason, body, took: start.elapsed() })
 }
 
-/// Sends a request until it is answered by an upstream or `bound` has passed; returns the last reply.
+/// Repeats a request until an upstream answers it or `bound` has passed; returns the last reply.
 ///
 /// # Errors
 ///
-/// When the entry gives no answer.
+/// When the entry does not answer within the request timeout.
 pub fn ask_until_answered(entry: SocketAddr, request: &Ask<'_>, bound: Duration) -> Result<Reply> {
     let end = Instant::now() + bound;
     loop {
