--- a/acaciaring_testing/src/experiment/trial.rs
+++ b/acaciaring_testing/src/experiment/trial.rs
@@ -1,6 +1,6 @@
 //! One run of one scenario on one deployment.
 
-mod act;
+mod inject;
 mod outcome;
 
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 use super::scenario::Scenario;
 use super::system::{System, SystemOptions};
 
-use self::act::act;
+use self::inject::act;
 use self::outcome::{Measures, outcome, records};
 
 pub use self::outcome::Outcome;
