--- a/acaciaring_testing/src/bin/experiment.rs
+++ b/acaciaring_testing/src/bin/experiment.rs
@@ -55,8 +55,8 @@
     if !flags.json {
         println!("{}", render(&outcomes));
     }
-    let sound = outcomes.iter().all(Outcome::sound);
-    Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let correct = outcomes.iter().all(Outcome::is_correct);
+    Ok(if correct { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 fn trials(
--- a/acaciaring_testing/src/experiment.rs
+++ b/acaciaring_testing/src/experiment.rs
@@ -12,9 +12,9 @@
 
 pub use self::baseline::{BASELINES, Baseline, FULL};
 pub use self::cost::{CostOptions, measure_cost};
-pub use self::deployment::{Deployment, Service, Source};
+pub use self::deployment::{Deployment, DocumentSource, Service};
 pub use self::measure::{
-    Churn, Imbalance, Unavailable, churn, imbalance, longest_gap, unavailable,
+    Churn, Imbalance, Unavailability, churn, imbalance, longest_gap, unavailability,
 };
 pub use self::scenario::Scenario;
 pub use self::system::{System, SystemOptions};
--- a/acaciaring_testing/src/experiment/cost/idle.rs
+++ b/acaciaring_testing/src/experiment/cost/idle.rs
@@ -10,18 +10,18 @@
 use crate::upstream::UpstreamOptions;
 
 use super::CostOptions;
-use super::process::{memory, processor};
+use super::process::{cpu_time, resident_kib};
 
 /// Time between the start of a system and its measurement.
-const REST: Duration = Duration::from_secs(3);
+const WARM_UP_TIME: Duration = Duration::from_secs(3);
 
 /// Length of a measurement.
-const LENGTH: Duration = Duration::from_secs(8);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(8);
 
 /// Reading of a system.
-struct Reading {
+struct Sample {
     taken: Instant,
-    processor: Duration,
+    cpu_time: Duration,
     /// Bytes and datagrams between members.
     bytes: u64,
     datagrams: u64,
@@ -43,7 +43,7 @@
         "log calls, /s a member",
     ]);
     for members in &options.members {
-        table.row(row(options, *members)?);
+        table.add_row(row(options, *members)?);
     }
     Ok(table)
 }
@@ -61,23 +61,24 @@
     }
     system.publish(deployment)?;
     system.settle(deployment)?;
-    thread::sleep(REST);
-    let before = read(&system);
-    thread::sleep(LENGTH);
-    let after = read(&system);
-    let sizes: Vec<u64> = system.cluster.vms.iter().map(|vm| memory(vm.process.id())).collect();
+    thread::sleep(WARM_UP_TIME);
+    let before = take_sample(&system);
+    thread::sleep(MEASUREMENT_TIME);
+    let after = take_sample(&system);
+    let sizes: Vec<u64> =
+        system.cluster.vms.iter().map(|vm| resident_kib(vm.process.id())).collect();
     Ok(cells(members, &sizes, &before, &after))
 }
 
-fn read(system: &System) -> Reading {
+fn take_sample(system: &System) -> Sample {
     let vms = &system.cluster.vms;
     let passed = system.proxies.iter().map(|proxy| proxy.handle().datagrams());
     let (bytes, datagrams) =
         passed.fold((0, 0), |sum, next| (sum.0 + next.bytes, sum.1 + next.count));
     let log = system.cluster.log.handle().counts();
-    Reading {
+    Sample {
         taken: Instant::now(),
-        processor: vms.iter().map(|vm| processor(vm.process.id())).sum(),
+        cpu_time: vms.iter().map(|vm| cpu_time(vm.process.id())).sum(),
         bytes,
         datagrams,
         log: log.received + log.sent,
@@ -86,10 +87,10 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn cells(members: usize, sizes: &[u64], before: &Reading, after: &Reading) -> Vec<String> {
+fn cells(members: usize, sizes: &[u64], before: &Sample, after: &Sample) -> Vec<String> {
     let time = (after.taken - before.taken).as_secs_f64() * members as f64;
     let rate = |after: u64, before: u64| format!("{:.1}", (after - before) as f64 / time);
-    let share = after.processor.saturating_sub(before.processor).as_secs_f64() / time * 100.0;
+    let share = after.cpu_time.saturating_sub(before.cpu_time).as_secs_f64() / time * 100.0;
     let mebi = |kibi: f64| kibi / 1024.0;
     let mean = sizes.iter().sum::<u64>() as f64 / members as f64;
     let most = sizes.iter().max().copied().unwrap_or_default() as f64;
--- a/acaciaring_testing/src/experiment/cost/path.rs
+++ b/acaciaring_testing/src/experiment/cost/path.rs
@@ -6,12 +6,12 @@
 use crate::error::{AnswerSnafu, Result};
 use crate::experiment::deployment::Deployment;
 use crate::experiment::system::{System, SystemOptions};
-use crate::experiment::table::{Table, millis};
+use crate::experiment::table::{Table, format_millis};
 use crate::load::{ClassFigures, LoadClass, LoadOptions, run_load};
 use crate::upstream::{UpstreamOptions, UpstreamServer};
 
 use super::CostOptions;
-use super::process::processor;
+use super::process::cpu_time;
 
 /// Members, one in each of three data centres.
 const MEMBERS: usize = 3;
@@ -20,19 +20,19 @@
 const CALLERS: usize = 8;
 
 /// Length of a load in milliseconds.
-const LENGTH: u64 = 4000;
+const LOAD_DURATION_MS: u64 = 4000;
 
 /// Time that a request runs at an upstream.
-const SERVICE: Duration = Duration::from_millis(1);
+const SERVICE_TIME: Duration = Duration::from_millis(1);
 
 /// Keys that are tried to find one of the owner.
-const TRIED: usize = 1000;
+const MAX_TRIED_KEYS: usize = 1000;
 
 /// Keeps the keys where they are, so that a run measures one path only.
-const STILL: &str = "[balance]\nmoves = 0\n";
+const NO_MOVES: &str = "[balance]\nmoves = 0\n";
 
 /// Way of a request.
-struct Way {
+struct PathCase {
     name: &'static str,
     entry: SocketAddr,
     direct: bool,
@@ -45,8 +45,8 @@
 pub(super) fn measure(options: &CostOptions) -> Result<Table> {
     let mut system = System::new(SystemOptions {
         daemon: options.daemon.clone(),
-        settings: STILL.into(),
-        upstream: UpstreamOptions { service: SERVICE, ..UpstreamOptions::default() },
+        settings: NO_MOVES.into(),
+        upstream: UpstreamOptions { service: SERVICE_TIME, ..UpstreamOptions::default() },
         proxies: false,
     })?;
     let deployment = Deployment::Korenveld;
@@ -58,10 +58,10 @@
     system.settle(deployment)?;
     let plain = UpstreamServer::start(UpstreamOptions {
         fenced: false,
-        service: SERVICE,
+        service: SERVICE_TIME,
         ..Default::default()
     })?;
-    let (key, standby) = owned_by_first(&system)?;
+    let (key, standby) = key_owned_by_first_vm(&system)?;
     let other = (1..MEMBERS).find(|index| *index != standby).unwrap_or(1);
     let path = format!("/{}/{key}", keyed.name);
     let mut table = Table::new(&[
@@ -75,20 +75,20 @@
         "not answered",
     ]);
     let mut first = None;
-    for (number, way) in ways(&system, plain.address(), standby, other).iter().enumerate() {
+    for (number, case) in cases(&system, plain.address(), standby, other).iter().enumerate() {
         let seed = options.seed.wrapping_add(number as u64);
-        let (class, spent) = load(way, &path, seed)?;
+        let (class, spent) = load(case, &path, seed)?;
         let direct = *first.get_or_insert(class.p50);
-        table.row(row(way, &class, direct, &spent));
+        table.add_row(row(case, &class, direct, &spent));
     }
     Ok(table)
 }
 
 /// Finds a key of the first VM and the index of its standby.
-fn owned_by_first(system: &System) -> Result<(String, usize)> {
+fn key_owned_by_first_vm(system: &System) -> Result<(String, usize)> {
     let vms = &system.cluster.vms;
     let workspace = vms[0].options.workspace.as_deref().unwrap_or_default();
-    for number in 0..TRIED {
+    for number in 0..MAX_TRIED_KEYS {
         let key = format!("key-{number}");
         let owner =
             system.cluster.admin(0, &format!("/v1/owner?workspace={workspace}&key={key}"))?;
@@ -101,22 +101,22 @@
     AnswerSnafu { what: "no key is owned by the first VM" }.fail()
 }
 
-fn ways(system: &System, plain: SocketAddr, standby: usize, other: usize) -> Vec<Way> {
+fn cases(system: &System, plain: SocketAddr, standby: usize, other: usize) -> Vec<PathCase> {
     let vms = &system.cluster.vms;
     let id = |name, index: usize| (name, vms[index].process.id());
     let (owner, entry) = (vms[0].http, vms[other].http);
-    let way = |name, entry, once, hops| Way { name, entry, direct: false, once, hops };
+    let case = |name, entry, once, hops| PathCase { name, entry, direct: false, once, hops };
     vec![
-        Way { name: "direct read", entry: plain, direct: true, once: false, hops: vec![] },
-        way("read, owner is entry", owner, false, vec![id("owner", 0)]),
-        way("read, entry to owner", entry, false, vec![id("entry", other), id("owner", 0)]),
-        way(
+        PathCase { name: "direct read", entry: plain, direct: true, once: false, hops: vec![] },
+        case("read, owner is entry", owner, false, vec![id("owner", 0)]),
+        case("read, entry to owner", entry, false, vec![id("entry", other), id("owner", 0)]),
+        case(
             "write once, owner is entry",
             owner,
             true,
             vec![id("owner", 0), id("standby", standby)],
         ),
-        way(
+        case(
             "write once, entry to owner",
             entry,
             true,
@@ -126,24 +126,24 @@
 }
 
 /// Runs the load of a way; returns its figures and the processor time of each hop.
-fn load(way: &Way, path: &str, seed: u64) -> Result<(ClassFigures, Vec<Duration>)> {
+fn load(case: &PathCase, path: &str, seed: u64) -> Result<(ClassFigures, Vec<Duration>)> {
     let class = LoadClass {
         path: path.into(),
-        method: if way.once { "POST" } else { "GET" }.into(),
-        once: way.once,
+        method: if case.once { "POST" } else { "GET" }.into(),
+        once: case.once,
         ..LoadClass::default()
     };
     let name = class.name.clone();
     let load = LoadOptions {
-        entries: vec![way.entry],
+        entries: vec![case.entry],
         threads: CALLERS,
-        duration: LENGTH,
+        duration: LOAD_DURATION_MS,
         seed,
-        direct: way.direct,
+        direct: case.direct,
         classes: vec![class],
         ..LoadOptions::default()
     };
-    let used = || way.hops.iter().map(|(_, id)| processor(*id)).collect::<Vec<_>>();
+    let used = || case.hops.iter().map(|(_, id)| cpu_time(*id)).collect::<Vec<_>>();
     let before = used();
     let mut figures = run_load(&load)?;
     let spent =
@@ -152,18 +152,18 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn row(way: &Way, class: &ClassFigures, direct: u64, spent: &[Duration]) -> Vec<String> {
+fn row(case: &PathCase, class: &ClassFigures, direct: u64, spent: &[Duration]) -> Vec<String> {
     let each = |spent: &Duration| spent.as_micros() / u128::from(class.answered.max(1));
-    let hops = way.hops.iter().zip(spent);
+    let hops = case.hops.iter().zip(spent);
     let hops: Vec<String> =
         hops.map(|((name, _), spent)| format!("{name} {}", each(spent))).collect();
     vec![
-        way.name.into(),
+        case.name.into(),
         format!("{:.0}", class.goodput),
-        millis(class.p50),
-        millis(class.p99),
+        format_millis(class.p50),
+        format_millis(class.p99),
         format!("{:.2}", class.p50 as f64 / direct.max(1) as f64),
-        millis(class.p50.saturating_sub(direct)),
+        format_millis(class.p50.saturating_sub(direct)),
         hops.join(", "),
         (class.sent - class.answered).to_string(),
     ]
--- a/acaciaring_testing/src/experiment/deployment.rs
+++ b/acaciaring_testing/src/experiment/deployment.rs
@@ -14,7 +14,7 @@
 const POOLED: &str = include_str!("documents/pooled.ini");
 
 /// Bytes of a body in the bulk class.
-const BULK: usize = 2000;
+const BULK_BODY_BYTES: usize = 2000;
 
 /// A tenant with its two services.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -39,7 +39,7 @@
 
 /// Document of a deployment.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Source {
+pub struct DocumentSource {
     /// Kind.
     pub kind: DocumentKind,
     /// Name.
@@ -109,9 +109,12 @@
 
     /// Templates and parameters, in the order in which they are published.
     #[must_use]
-    pub fn documents(self) -> Vec<Source> {
-        let template =
-            |name, text: &str| Source { kind: DocumentKind::Template, name, text: text.to_owned() };
+    pub fn documents(self) -> Vec<DocumentSource> {
+        let template = |name, text: &str| DocumentSource {
+            kind: DocumentKind::Template,
+            name,
+            text: text.to_owned(),
+        };
         vec![
             template("keyed", KEYED),
             self.parameters(&self.keyed(), "keyed"),
@@ -136,7 +139,12 @@
         let read = class("read", "GET", format!("/{}/{{key}}", keyed.name), 3 * keyed.servers);
         let query = class("query", "GET", format!("/{}/query", pooled.name), 4 * pooled.servers);
         let bulk = class("bulk", "POST", format!("/{}/samples", pooled.name), pooled.servers);
-        vec![LoadClass { once: true, ..write }, read, query, LoadClass { body: BULK, ..bulk }]
+        vec![
+            LoadClass { once: true, ..write },
+            read,
+            query,
+            LoadClass { body: BULK_BODY_BYTES, ..bulk },
+        ]
     }
 
     const fn places(self) -> (&'static str, &'static [&'static str]) {
@@ -146,7 +154,7 @@
         }
     }
 
-    fn parameters(self, service: &Service, template: &str) -> Source {
+    fn parameters(self, service: &Service, template: &str) -> DocumentSource {
         let Service { name, workspace, .. } = *service;
         let mut text = format!(
             "[workspace]\nname = {workspace}\ntenant = {}\ntemplate = {template}\n\n[parameters]\nservice = {name}\n",
@@ -156,7 +164,7 @@
             let (churn, downtime) = self.weights();
             _ = writeln!(text, "churn = {churn}\ndowntime = {downtime}");
         }
-        Source { kind: DocumentKind::Parameters, name: workspace, text }
+        DocumentSource { kind: DocumentKind::Parameters, name: workspace, text }
     }
 
     /// Weights of churn and of unavailable time.
--- a/acaciaring_testing/src/experiment/measure.rs
+++ b/acaciaring_testing/src/experiment/measure.rs
@@ -28,7 +28,7 @@
 
 /// How long keys were not answered, in microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Unavailable {
+pub struct Unavailability {
     /// Longest over all keys.
     pub worst: u64,
     /// Sum over all keys.
@@ -76,12 +76,12 @@
 
 /// Returns the unavailable time of keys, given the times of their answers within `start` to `end`.
 #[must_use]
-pub fn unavailable<'a>(
+pub fn unavailability<'a>(
     answers: impl IntoIterator<Item = &'a [u64]>,
     start: u64,
     end: u64,
-) -> Unavailable {
-    let mut sums = Unavailable::default();
+) -> Unavailability {
+    let mut sums = Unavailability::default();
     for times in answers {
         let longest = longest_gap(times, start, end);
         sums.worst = sums.worst.max(longest);
--- a/acaciaring_testing/src/experiment/probe.rs
+++ b/acaciaring_testing/src/experiment/probe.rs
@@ -9,10 +9,10 @@
 use crate::upstream::micros;
 
 /// End of a probe's path, by which upstreams and records tell it from the load.
-pub(super) const MARK: &str = "/probe";
+pub(super) const PROBE_SUFFIX: &str = "/probe";
 
 /// Time after which a probe is given up.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Which keys are probed, and how.
 #[derive(Debug, Clone)]
@@ -31,13 +31,13 @@
 
 /// Answers to the probes of one key.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Probed {
+pub(super) struct ProbeAnswers {
     /// Times of the answers, in microseconds of Unix time.
     pub(super) answers: Vec<u64>,
 }
 
 /// Probes all keys to the end of the run.
-pub(super) fn run(options: &ProbeOptions) -> Vec<Probed> {
+pub(super) fn run(options: &ProbeOptions) -> Vec<ProbeAnswers> {
     let start = Instant::now();
     thread::scope(|scope| {
         let probe = |number| scope.spawn(move || probe(options, number, start));
@@ -46,16 +46,18 @@
     })
 }
 
-fn probe(options: &ProbeOptions, number: usize, start: Instant) -> Probed {
-    let config =
-        Agent::config_builder().http_status_as_error(false).timeout_global(Some(TIMEOUT)).build();
+fn probe(options: &ProbeOptions, number: usize, start: Instant) -> ProbeAnswers {
+    let config = Agent::config_builder()
+        .http_status_as_error(false)
+        .timeout_global(Some(PROBE_TIMEOUT))
+        .build();
     let agent = config.new_agent();
-    let path = format!("/{}/{}{MARK}", options.service, options.keys[number]);
+    let path = format!("/{}/{}{PROBE_SUFFIX}", options.service, options.keys[number]);
     let count = options.keys.len();
     let mut entry = number;
-    let mut probed = Probed::default();
+    let mut probed = ProbeAnswers::default();
     // The probes of different keys are spread over the interval.
-    let mut due = start + options.interval.mul_f64(share(number, count));
+    let mut due = start + options.interval.mul_f64(fraction(number, count));
     while due < start + options.length {
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let address = options.entries[entry % options.entries.len()];
@@ -79,6 +81,6 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn share(number: usize, count: usize) -> f64 {
+fn fraction(number: usize, count: usize) -> f64 {
     number as f64 / count.max(1) as f64
 }
--- a/acaciaring_testing/src/experiment/system.rs
+++ b/acaciaring_testing/src/experiment/system.rs
@@ -13,13 +13,13 @@
 use super::deployment::Deployment;
 
 /// Bound on the time until a new system serves.
-const SETTLE: Duration = Duration::from_secs(30);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time for the owners to synchronise their standbys.
-const REST: Duration = Duration::from_secs(2);
+const STANDBY_SYNC_TIME: Duration = Duration::from_secs(2);
 
 /// Least important level of the daemons' logs.
-const LEVEL: &str = "error";
+const LOG_LEVEL: &str = "error";
 
 /// Options of a running deployment.
 #[derive(Debug, Clone)]
@@ -54,7 +54,7 @@
             daemon: options.daemon.clone(),
             log: LogOptions::default(),
             upstream: options.upstream.clone(),
-            level: LEVEL.into(),
+            level: LOG_LEVEL.into(),
         })?;
         Ok(Self { cluster, proxies: Vec::new(), options })
     }
@@ -71,7 +71,7 @@
         }
         system.publish(deployment)?;
         system.settle(deployment)?;
-        thread::sleep(REST);
+        thread::sleep(STANDBY_SYNC_TIME);
         Ok(system)
     }
 
@@ -81,11 +81,11 @@
     ///
     /// When a process or stand-in cannot be started.
     pub fn add(&mut self, options: VmOptions) -> Result<usize> {
-        let proxy = if self.options.proxies { Some(proxy()?) } else { None };
+        let proxy = if self.options.proxies { Some(start_proxy()?) } else { None };
         let advertised = proxy.as_ref().map(ProxyServer::address);
         let settings = self.options.settings.clone();
         let index = self.cluster.add(VmOptions { advertised, settings, ..options })?;
-        self.unfence(index);
+        self.disable_fencing(index);
         if let Some(proxy) = proxy {
             let target = Some(self.cluster.vms[index].peer);
             proxy.handle().set(&ProxyControl { target, ..ProxyControl::default() });
@@ -95,7 +95,7 @@
     }
 
     /// Lets the upstream of a service that is not divided by key take requests without a fence.
-    fn unfence(&self, index: usize) {
+    fn disable_fencing(&self, index: usize) {
         let vm = &self.cluster.vms[index];
         let workspace = vm.options.workspace.as_deref();
         let mut pooled = Deployment::ALL.iter().map(|deployment| deployment.pooled().workspace);
@@ -125,10 +125,10 @@
     /// When that does not happen in time.
     pub fn settle(&self, deployment: Deployment) -> Result<()> {
         let all: Vec<usize> = (0..self.cluster.vms.len()).collect();
-        self.cluster.settle(deployment.keyed().workspace, &all, SETTLE)
+        self.cluster.settle(deployment.keyed().workspace, &all, SETTLE_TIMEOUT)
     }
 }
 
-fn proxy() -> Result<ProxyServer> {
+fn start_proxy() -> Result<ProxyServer> {
     ProxyServer::start(ProxyOptions { transport: Transport::Udp, ..ProxyOptions::default() })
 }
--- a/acaciaring_testing/src/experiment/table.rs
+++ b/acaciaring_testing/src/experiment/table.rs
@@ -16,14 +16,14 @@
 impl Table {
     /// Returns a table with the names of its columns.
     #[must_use]
-    pub fn new(head: &[&str]) -> Self {
-        let head: Vec<String> = head.iter().map(ToString::to_string).collect();
-        let rule = vec!["---".to_owned(); head.len()];
-        Self { rows: vec![head, rule] }
+    pub fn new(header: &[&str]) -> Self {
+        let header: Vec<String> = header.iter().map(ToString::to_string).collect();
+        let separator = vec!["---".to_owned(); header.len()];
+        Self { rows: vec![header, separator] }
     }
 
     /// Adds a row.
-    pub fn row(&mut self, cells: Vec<String>) {
+    pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 }
@@ -66,7 +66,7 @@
     ]);
     for outcome in outcomes {
         let Outcome { whole, end, churn, unavailable, .. } = outcome;
-        let mut cells = name(outcome);
+        let mut cells = run_cells(outcome);
         cells.extend([
             format!("{:.2}, {:.2}", whole.peak, whole.deviation),
             format!("{:.2}, {:.2}", end.peak, end.deviation),
@@ -78,13 +78,13 @@
                 unavailable.total / unavailable.keys.max(1) / 1000
             ),
             format!("{:.0}", outcome.goodput),
-            told(outcome, Told::Unknown).to_string(),
+            told_count(outcome, Told::Unknown).to_string(),
             outcome.duplicates.to_string(),
             outcome.refused.to_string(),
             (outcome.wrong + outcome.missing).to_string(),
             outcome.overlaps.to_string(),
         ]);
-        table.row(cells);
+        table.add_row(cells);
     }
     table
 }
@@ -103,16 +103,16 @@
     ]);
     for outcome in outcomes {
         for (class, figures) in &outcome.classes {
-            let mut cells = name(outcome);
+            let mut cells = run_cells(outcome);
             cells.extend([
                 class.clone(),
                 figures.sent.to_string(),
                 figures.answered.to_string(),
                 format!("{:.0}", figures.goodput),
-                millis(figures.p50),
-                millis(figures.p99),
+                format_millis(figures.p50),
+                format_millis(figures.p99),
             ]);
-            table.row(cells);
+            table.add_row(cells);
         }
     }
     table
@@ -130,25 +130,25 @@
         "reasons of last tries",
     ]);
     for outcome in outcomes {
-        let mut cells = name(outcome);
+        let mut cells = run_cells(outcome);
         let kinds = [Told::Answered, Told::NotRun, Told::Unknown, Told::Nothing];
-        cells.extend(kinds.map(|kind| told(outcome, kind).to_string()));
-        cells.push(reasons(&outcome.reasons));
-        table.row(cells);
+        cells.extend(kinds.map(|kind| told_count(outcome, kind).to_string()));
+        cells.push(format_reasons(&outcome.reasons));
+        table.add_row(cells);
     }
     table
 }
 
-fn name(outcome: &Outcome) -> Vec<String> {
+fn run_cells(outcome: &Outcome) -> Vec<String> {
     let Outcome { deployment, scenario, baseline, .. } = outcome;
     vec![deployment.name().into(), scenario.name().into(), baseline.name.into()]
 }
 
-fn told(outcome: &Outcome, told: Told) -> u64 {
+fn told_count(outcome: &Outcome, told: Told) -> u64 {
     outcome.told.get(&told).copied().unwrap_or_default()
 }
 
-fn reasons(reasons: &BTreeMap<String, u64>) -> String {
+fn format_reasons(reasons: &BTreeMap<String, u64>) -> String {
     let parts: Vec<String> =
         reasons.iter().map(|(name, count)| format!("{name} {count}")).collect();
     parts.join(", ")
@@ -156,6 +156,6 @@
 
 /// Milliseconds with one digit after the point.
 #[allow(clippy::cast_precision_loss)]
-pub(super) fn millis(micros: u64) -> String {
+pub(super) fn format_millis(micros: u64) -> String {
     format!("{:.1}", micros as f64 / 1000.0)
 }
--- a/acaciaring_testing/src/experiment/trial.rs
+++ b/acaciaring_testing/src/experiment/trial.rs
@@ -17,54 +17,54 @@
 
 use super::baseline::Baseline;
 use super::deployment::Deployment;
-use super::measure::unavailable;
-use super::probe::{self, MARK, ProbeOptions};
+use super::measure::unavailability;
+use super::probe::{self, PROBE_SUFFIX, ProbeOptions};
 use super::scenario::Scenario;
 use super::system::{System, SystemOptions};
 
-use self::inject::act;
-use self::outcome::{Measures, outcome, records};
+use self::inject::inject_events;
+use self::outcome::{Measures, all_runs, build_outcome};
 
 pub use self::outcome::Outcome;
 
 /// Time that a request runs at an upstream.
-const SERVICE: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 
 /// Time that a probe runs at an upstream, in milliseconds.
-const PROBE_COST: f64 = 1.0;
+const PROBE_COST_MS: f64 = 1.0;
 
 /// Requests that an upstream runs at once.
 const SLOTS: usize = 20;
 
 /// The same when it is overloaded: few, so that the load generator can offer twice as much.
-const FEW_SLOTS: usize = 5;
+const OVERLOAD_SLOTS: usize = 5;
 
 /// Offered load by what the servers can run.
-const USUAL: f64 = 0.4;
+const LOAD_RATIO: f64 = 0.4;
 
 /// The same when they are overloaded.
-const EXCESS: f64 = 2.0;
+const OVERLOAD_RATIO: f64 = 2.0;
 
 /// Callers, each with one request open at a time.
 const CALLERS: usize = 240;
 
 /// The same when the servers are overloaded.
-const MANY_CALLERS: usize = 600;
+const OVERLOAD_CALLERS: usize = 600;
 
 /// Keys of the load.
 const KEYS: u64 = 10_000;
 
 /// Keys that are probed.
-const PROBED: usize = 200;
+const PROBED_KEYS: usize = 200;
 
 /// Time between two probes of a key.
-const PROBE: Duration = Duration::from_millis(250);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Tries of a caller.
-const TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Time after which a caller gives up a try, in milliseconds.
-const TIMEOUT: u64 = 3500;
+const ATTEMPT_TIMEOUT_MS: u64 = 3500;
 
 /// What is run.
 #[derive(Debug, Clone)]
@@ -90,30 +90,30 @@
 /// When the system does not start or the load cannot be made.
 pub fn run(options: &TrialOptions) -> Result<Outcome> {
     let Trial { mut system, victim, probe, load } = Trial::new(options)?;
-    let before = units(&system, &probe.keys);
+    let before = unit_tokens(&system, &probe.keys);
     let start = micros();
-    let (figures, probed, acted) = thread::scope(|scope| {
+    let (figures, probed, injected) = thread::scope(|scope| {
         let load = scope.spawn(|| run_load(&load));
         let probes = scope.spawn(|| probe::run(&probe));
-        let acted = act(options, &mut system, victim);
-        (load.join(), probes.join().unwrap_or_default(), acted)
+        let injected = inject_events(options, &mut system, victim);
+        (load.join(), probes.join().unwrap_or_default(), injected)
     });
     let figures = figures.ok().context(OptionsSnafu { what: "the load has panicked" })??;
     let end = start + u64::try_from(options.length.as_micros()).unwrap_or(u64::MAX);
-    acted?;
-    let after = units(&system, &probe.keys);
+    injected?;
+    let after = unit_tokens(&system, &probe.keys);
     let changed = before.iter().filter(|(unit, token)| after.get(*unit) != Some(*token)).count();
-    let runs = records(&system);
+    let runs = all_runs(&system);
     let report = check_records(&runs, &figures.sent);
     let answers = probed.iter().map(|probed| probed.answers.as_slice());
     let measures = Measures {
-        unavailable: unavailable(answers, start, end),
-        units: changed,
-        known: before.len(),
-        gone: victim.filter(|_| options.scenario.loses_victim()),
+        unavailable: unavailability(answers, start, end),
+        moved_units: changed,
+        known_units: before.len(),
+        lost_vm: victim.filter(|_| options.scenario.loses_victim()),
         window: (start, end),
     };
-    Ok(outcome(options, &system, figures, &report, &runs, &measures))
+    Ok(build_outcome(options, &system, figures, &report, &runs, &measures))
 }
 
 /// A system that is ready for its load.
@@ -130,7 +130,7 @@
         let system = System::start(deployment, system_options(options))?;
         for vm in &system.cluster.vms {
             if let Some(upstream) = &vm.upstream {
-                let costs = Some(BTreeMap::from([(MARK.to_owned(), PROBE_COST)]));
+                let costs = Some(BTreeMap::from([(PROBE_SUFFIX.to_owned(), PROBE_COST_MS)]));
                 upstream.handle().set(&UpstreamControl { costs, ..UpstreamControl::default() });
             }
         }
@@ -138,12 +138,12 @@
         let servers = u64::try_from(keyed.servers).unwrap_or(1);
         let victim = scenario.has_victim().then(|| usize::try_from(seed % servers).unwrap_or(0));
         let vms = system.cluster.vms.iter().enumerate();
-        let safe = vms.filter(|(index, _)| Some(*index) != victim).map(|(_, vm)| vm.http);
+        let unaffected = vms.filter(|(index, _)| Some(*index) != victim).map(|(_, vm)| vm.http);
         let probe = ProbeOptions {
             service: keyed.name,
-            keys: (1..=PROBED).map(|number| format!("key-{number}")).collect(),
-            entries: safe.collect(),
-            interval: PROBE,
+            keys: (1..=PROBED_KEYS).map(|number| format!("key-{number}")).collect(),
+            entries: unaffected.collect(),
+            interval: PROBE_INTERVAL,
             length,
         };
         let load = load_options(options, &system);
@@ -162,7 +162,7 @@
         settings,
         upstream: UpstreamOptions {
             slots,
-            service: SERVICE,
+            service: SERVICE_TIME,
             recheck: true,
             ..UpstreamOptions::default()
         },
@@ -172,16 +172,16 @@
 
 const fn slots(scenario: Scenario) -> usize {
     match scenario {
-        Scenario::Overload => FEW_SLOTS,
+        Scenario::Overload => OVERLOAD_SLOTS,
         _ => SLOTS,
     }
 }
 
 #[allow(clippy::cast_precision_loss)]
 fn load_options(options: &TrialOptions, system: &System) -> LoadOptions {
-    let (share, threads) = match options.scenario {
-        Scenario::Overload => (EXCESS, MANY_CALLERS),
-        _ => (USUAL, CALLERS),
+    let (ratio, threads) = match options.scenario {
+        Scenario::Overload => (OVERLOAD_RATIO, OVERLOAD_CALLERS),
+        _ => (LOAD_RATIO, CALLERS),
     };
     let slots = slots(options.scenario) * system.cluster.vms.len();
     let duration = u64::try_from(options.length.as_millis()).unwrap_or(u64::MAX);
@@ -189,11 +189,11 @@
         entries: system.cluster.vms.iter().map(|vm| vm.http).collect(),
         threads,
         duration,
-        rate: share * slots as f64 / SERVICE.as_secs_f64(),
+        rate: ratio * slots as f64 / SERVICE_TIME.as_secs_f64(),
         seed: options.seed,
         keys: KEYS,
-        tries: TRIES,
-        timeout: TIMEOUT,
+        tries: MAX_ATTEMPTS,
+        timeout: ATTEMPT_TIMEOUT_MS,
         changes: if options.scenario == Scenario::HotSpell { vec![duration / 3] } else { vec![] },
         classes: options.deployment.classes(),
         ..LoadOptions::default()
@@ -201,7 +201,7 @@
 }
 
 /// Asks a member that lives for the token of each key's unit.
-fn units(system: &System, keys: &[String]) -> BTreeMap<(u64, Option<String>), u64> {
+fn unit_tokens(system: &System, keys: &[String]) -> BTreeMap<(u64, Option<String>), u64> {
     let vms = &system.cluster.vms;
     let pooled = vms.len() - 1;
     let workspace = vms[0].options.workspace.as_deref().unwrap_or_default();
--- a/acaciaring_testing/src/experiment/trial/inject.rs
+++ b/acaciaring_testing/src/experiment/trial/inject.rs
@@ -12,23 +12,23 @@
 use super::TrialOptions;
 
 /// Length of a freeze.
-const FREEZE: Duration = Duration::from_secs(4);
+const FREEZE_TIME: Duration = Duration::from_secs(4);
 
 /// Bound on a graceful shutdown.
-const DRAIN: Duration = Duration::from_secs(25);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// Does what the scenario says, at its times within the run.
-pub(super) fn act(
+pub(super) fn inject_events(
     options: &TrialOptions,
     system: &mut System,
     victim: Option<usize>,
 ) -> Result<()> {
     let TrialOptions { deployment, scenario, length, .. } = *options;
     let start = Instant::now();
-    let until = |share: f64| {
+    let wait_until = |share: f64| {
         thread::sleep((start + length.mul_f64(share)).saturating_duration_since(Instant::now()));
     };
-    until(0.33);
+    wait_until(0.33);
     match (scenario, victim) {
         (Scenario::Join, _) => {
             let keyed = deployment.keyed();
@@ -37,16 +37,16 @@
         (Scenario::Stop, Some(victim)) => stop(system, victim)?,
         (Scenario::Crash, Some(victim)) => crash(system, victim),
         (Scenario::Freeze, Some(victim)) => {
-            freeze(system, victim, true);
-            thread::sleep(FREEZE);
-            freeze(system, victim, false);
+            set_frozen(system, victim, true);
+            thread::sleep(FREEZE_TIME);
+            set_frozen(system, victim, false);
         }
         (Scenario::LogOutage, Some(victim)) => {
-            outage(system, true);
-            until(0.5);
+            set_outage(system, true);
+            wait_until(0.5);
             crash(system, victim);
-            until(0.8);
-            outage(system, false);
+            wait_until(0.8);
+            set_outage(system, false);
         }
         (Scenario::Silence, _) => {
             let silenced: usize = system.proxies.iter().map(|proxy| proxy.handle().silence()).sum();
@@ -54,7 +54,7 @@
         }
         _ => {}
     }
-    until(1.0);
+    wait_until(1.0);
     Ok(())
 }
 
@@ -62,7 +62,7 @@
 fn stop(system: &mut System, victim: usize) -> Result<()> {
     let vm = &mut system.cluster.vms[victim];
     vm.process.term();
-    vm.process.wait(DRAIN)?;
+    vm.process.wait(SHUTDOWN_TIMEOUT)?;
     if let Some(upstream) = &vm.upstream {
         upstream.stop();
     }
@@ -77,7 +77,7 @@
     }
 }
 
-fn freeze(system: &mut System, victim: usize, frozen: bool) {
+fn set_frozen(system: &mut System, victim: usize, frozen: bool) {
     let vm = &mut system.cluster.vms[victim];
     if let Some(upstream) = &vm.upstream {
         let control = UpstreamControl { frozen: Some(frozen), ..UpstreamControl::default() };
@@ -86,7 +86,7 @@
     if frozen { vm.process.freeze() } else { vm.process.thaw() }
 }
 
-fn outage(system: &System, outage: bool) {
+fn set_outage(system: &System, outage: bool) {
     let control = LogControl { outage: Some(outage), ..LogControl::default() };
     system.cluster.log.handle().set(&control);
 }
--- a/acaciaring_testing/src/experiment/trial/outcome.rs
+++ b/acaciaring_testing/src/experiment/trial/outcome.rs
@@ -6,8 +6,8 @@
 
 use crate::experiment::baseline::Baseline;
 use crate::experiment::deployment::{Deployment, Service};
-use crate::experiment::measure::{Churn, Imbalance, Unavailable, churn, imbalance};
-use crate::experiment::probe::MARK;
+use crate::experiment::measure::{Churn, Imbalance, Unavailability, churn, imbalance};
+use crate::experiment::probe::PROBE_SUFFIX;
 use crate::experiment::scenario::Scenario;
 use crate::experiment::system::System;
 use crate::load::{ClassFigures, LoadFigures, Report, Told};
@@ -37,7 +37,7 @@
     /// Units of the probed keys.
     pub known: usize,
     /// Time during which probed keys were not answered.
-    pub unavailable: Unavailable,
+    pub unavailable: Unavailability,
     /// Answered requests a second over all classes.
     pub goodput: f64,
     /// Figures by class.
@@ -61,29 +61,29 @@
 impl Outcome {
     /// Whether nothing has happened that must not happen.
     #[must_use]
-    pub const fn sound(&self) -> bool {
+    pub const fn is_correct(&self) -> bool {
         self.duplicates + self.refused + self.wrong + self.missing + self.overlaps == 0
     }
 }
 
 /// What was measured beside the load.
 pub(super) struct Measures {
-    pub(super) unavailable: Unavailable,
-    pub(super) units: usize,
-    pub(super) known: usize,
-    pub(super) gone: Option<usize>,
+    pub(super) unavailable: Unavailability,
+    pub(super) moved_units: usize,
+    pub(super) known_units: usize,
+    pub(super) lost_vm: Option<usize>,
     /// Start and end of the run in microseconds of Unix time.
     pub(super) window: (u64, u64),
 }
 
 /// Returns what ran on all servers, those that are gone included.
-pub(super) fn records(system: &System) -> Vec<Run> {
+pub(super) fn all_runs(system: &System) -> Vec<Run> {
     let upstreams = system.cluster.vms.iter().filter_map(|vm| vm.upstream.as_ref());
     upstreams.flat_map(|upstream| upstream.handle().records()).collect()
 }
 
 /// Puts the figures of a run together.
-pub(super) fn outcome(
+pub(super) fn build_outcome(
     options: &TrialOptions,
     system: &System,
     figures: LoadFigures,
@@ -94,18 +94,18 @@
     let keyed = options.deployment.keyed();
     let (start, end) = measures.window;
     let last = start + (end - start) / 3 * 2;
-    let servers = servers(system, &keyed, measures.gone);
+    let servers = servers(system, &keyed, measures.lost_vm);
     let first: BTreeSet<&str> = servers.iter().copied().take(keyed.servers).collect();
     Outcome {
         deployment: options.deployment,
         scenario: options.scenario,
         baseline: options.baseline,
         seed: options.seed,
-        whole: imbalance(&counts(runs, &first, start..end)),
-        end: imbalance(&counts(runs, &servers.into_iter().collect(), last..end)),
+        whole: imbalance(&runs_by_server(runs, &first, start..end)),
+        end: imbalance(&runs_by_server(runs, &servers.into_iter().collect(), last..end)),
         churn: churn(runs, |run| key(run, &keyed)),
-        units: measures.units,
-        known: measures.known,
+        units: measures.moved_units,
+        known: measures.known_units,
         unavailable: measures.unavailable,
         goodput: figures.classes.values().map(|class| class.goodput).sum(),
         classes: figures.classes,
@@ -120,18 +120,23 @@
 }
 
 /// Names of the servers of a service but the one that is gone.
-fn servers<'a>(system: &'a System, service: &Service, gone: Option<usize>) -> Vec<&'a str> {
+fn servers<'a>(system: &'a System, service: &Service, lost_vm: Option<usize>) -> Vec<&'a str> {
     let vms = system.cluster.vms.iter().enumerate();
     let serving = vms.filter(|(index, vm)| {
-        vm.options.workspace.as_deref() == Some(service.workspace) && Some(*index) != gone
+        vm.options.workspace.as_deref() == Some(service.workspace) && Some(*index) != lost_vm
     });
     serving.map(|(_, vm)| vm.options.vm.as_str()).collect()
 }
 
 /// Counts the runs of the load, without probes, by server.
-fn counts(runs: &[Run], servers: &BTreeSet<&str>, window: std::ops::Range<u64>) -> Vec<u64> {
+fn runs_by_server(
+    runs: &[Run],
+    servers: &BTreeSet<&str>,
+    window: std::ops::Range<u64>,
+) -> Vec<u64> {
     let mut counts: BTreeMap<&str, u64> = servers.iter().map(|server| (*server, 0)).collect();
-    let load = runs.iter().filter(|run| !run.path.ends_with(MARK) && window.contains(&run.start));
+    let load =
+        runs.iter().filter(|run| !run.path.ends_with(PROBE_SUFFIX) && window.contains(&run.start));
     for run in load {
         if let Some(count) = counts.get_mut(run.upstream.as_str()) {
             *count += 1;
--- a/acaciaring_testing/tests/measure.rs
+++ b/acaciaring_testing/tests/measure.rs
@@ -1,7 +1,7 @@
 //! Arithmetic of the measures.
 
 use acaciaring_testing::Run;
-use acaciaring_testing::experiment::{Imbalance, churn, imbalance, longest_gap, unavailable};
+use acaciaring_testing::experiment::{Imbalance, churn, imbalance, longest_gap, unavailability};
 
 fn run(upstream: &str, path: &str, start: u64) -> Run {
     Run { upstream: upstream.into(), path: path.into(), start, ..Run::default() }
@@ -61,6 +61,6 @@
 #[test]
 fn key_that_is_never_answered_counts_with_the_whole_time() {
     let answers: [&[u64]; 3] = [&[10, 20, 30, 40], &[], &[10, 20, 60, 70]];
-    let found = unavailable(answers, 0, 80);
+    let found = unavailability(answers, 0, 80);
     assert_eq!((found.worst, found.total, found.keys, found.never), (80, 80 + 30 + 30, 3, 1));
 }
