--- a/acaciaring_testing/src/experiment.rs
+++ b/acaciaring_testing/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Measurements with real processes: what the policy does under load and faults, and what it costs.
+//! Experiments with real processes: routing under load and faults, and the cost of routing.
 
 mod baseline;
 mod cost;
--- a/acaciaring_testing/src/experiment/baseline.rs
+++ b/acaciaring_testing/src/experiment/baseline.rs
@@ -1,26 +1,26 @@
-//! Settings of the daemons that turn a mechanism off, to show what it is worth.
+//! Baselines: settings that disable a mechanism of the daemons, for comparison with all enabled.
 
 use serde::Serialize;
 
 use super::scenario::Scenario;
 
-/// Name and settings of a run.
+/// Settings under which a scenario is run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Baseline {
-    /// Name.
+    /// Name in tables and JSON.
     pub name: &'static str,
-    /// Lines added to the settings of every daemon.
+    /// Lines appended to the settings file of every daemon.
     #[serde(skip)]
     pub settings: &'static str,
-    /// Scenarios in which it tells something; all when empty.
+    /// Scenarios in which the disabled mechanism matters; all scenarios when empty.
     #[serde(skip)]
     pub scenarios: &'static [Scenario],
 }
 
-/// All mechanisms on.
+/// Baseline with all mechanisms enabled.
 pub const FULL: Baseline = Baseline { name: "full", settings: "", scenarios: &[] };
 
-/// Runs to compare; the first has all mechanisms on.
+/// All baselines, [`FULL`] first.
 pub const BASELINES: &[Baseline] = &[
     FULL,
     Baseline {
@@ -31,7 +31,7 @@
 ];
 
 impl Baseline {
-    /// Whether a scenario is run with it.
+    /// Whether the scenario is run under this baseline.
     #[must_use]
     pub fn covers(&self, scenario: Scenario) -> bool {
         self.scenarios.is_empty() || self.scenarios.contains(&scenario)
--- a/acaciaring_testing/src/experiment/cost.rs
+++ b/acaciaring_testing/src/experiment/cost.rs
@@ -1,4 +1,4 @@
-//! What the system costs: the path of a request, and members that have nothing to do.
+//! Cost of the router: latency and CPU time of a request, and resources of idle members.
 
 mod idle;
 mod path;
@@ -9,22 +9,22 @@
 
 use crate::error::Result;
 
-/// Options of the measurement.
+/// Options of the cost measurement.
 #[derive(Debug, Clone)]
 pub struct CostOptions {
-    /// Program of the daemon.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// Seed of the loads.
+    /// Seed of the load generator.
     pub seed: u64,
-    /// Counts of members of the idle systems, one after the other.
+    /// Numbers of members of the idle systems, measured one after the other.
     pub members: Vec<usize>,
 }
 
-/// Measures and returns the tables in Markdown.
+/// Measures the costs and returns them as tables in Markdown.
 ///
 /// # Errors
 ///
-/// When a system does not start.
+/// When a system does not start or the load generator fails.
 pub fn measure_cost(options: &CostOptions) -> Result<String> {
     let mut text = String::new();
     _ = writeln!(text, "{}", path::measure(options)?);
--- a/acaciaring_testing/src/experiment/cost/idle.rs
+++ b/acaciaring_testing/src/experiment/cost/idle.rs
@@ -1,4 +1,4 @@
-//! What members cost that have nothing to do, by the count of members.
+//! Resources that idle members use, by the number of members.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -12,26 +12,26 @@
 use super::CostOptions;
 use super::process::{cpu_time, resident_kib};
 
-/// Time between the start of a system and its measurement.
+/// Time between the start of a system and its first sample.
 const WARM_UP_TIME: Duration = Duration::from_secs(3);
 
-/// Length of a measurement.
+/// Time between the two samples of a system.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(8);
 
-/// Reading of a system.
+/// Cumulative counters of a system at one time.
 struct Sample {
     taken: Instant,
     cpu_time: Duration,
-    /// Bytes and datagrams between members.
+    /// Bytes sent between members.
     bytes: u64,
     datagrams: u64,
-    /// Bytes that the log has received and sent, without HTTP headers.
+    /// Bytes that the log received and sent, HTTP headers excluded.
     log: u64,
-    /// Reads and appends that the log has answered.
+    /// Reads and appends answered by the log.
     calls: u64,
 }
 
-/// Measures systems of several sizes, one after the other.
+/// Measures an idle system of each size in the options.
 pub(super) fn measure(options: &CostOptions) -> Result<Table> {
     let mut table = Table::new(&[
         "members",
--- a/acaciaring_testing/src/experiment/cost/path.rs
+++ b/acaciaring_testing/src/experiment/cost/path.rs
@@ -1,4 +1,4 @@
-//! The path of a request against a direct call to the upstream.
+//! Latency and CPU time of a request through the router, against a direct call to an upstream.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,35 +13,35 @@
 use super::CostOptions;
 use super::process::cpu_time;
 
-/// Members, one in each of three data centres.
+/// Number of members, each in a data centre of its own.
 const MEMBERS: usize = 3;
 
-/// Callers with one request open at a time.
+/// Callers, each with one outstanding request.
 const CALLERS: usize = 8;
 
-/// Length of a load in milliseconds.
+/// Duration of the load of each case.
 const LOAD_DURATION_MS: u64 = 4000;
 
-/// Time that a request runs at an upstream.
+/// Service time of a request at an upstream.
 const SERVICE_TIME: Duration = Duration::from_millis(1);
 
-/// Keys that are tried to find one of the owner.
+/// Keys that are looked up to find one that the first VM owns.
 const MAX_TRIED_KEYS: usize = 1000;
 
-/// Keeps the keys where they are, so that a run measures one path only.
+/// Disables moves of keys, so that the path of a request stays the same during a run.
 const NO_MOVES: &str = "[balance]\nmoves = 0\n";
 
-/// Way of a request.
+/// Path of a request that is measured.
 struct PathCase {
     name: &'static str,
     entry: SocketAddr,
     direct: bool,
     once: bool,
-    /// Processes that the request passes.
+    /// Roles and process ids of the daemons involved in the request.
     hops: Vec<(&'static str, u32)>,
 }
 
-/// Measures all ways.
+/// Measures all cases.
 pub(super) fn measure(options: &CostOptions) -> Result<Table> {
     let mut system = System::new(SystemOptions {
         daemon: options.daemon.clone(),
@@ -84,7 +84,7 @@
     Ok(table)
 }
 
-/// Finds a key of the first VM and the index of its standby.
+/// Returns a key that the first VM owns and the index of its standby's VM.
 fn key_owned_by_first_vm(system: &System) -> Result<(String, usize)> {
     let vms = &system.cluster.vms;
     let workspace = vms[0].options.workspace.as_deref().unwrap_or_default();
@@ -125,7 +125,7 @@
     ]
 }
 
-/// Runs the load of a way; returns its figures and the processor time of each hop.
+/// Runs the load of a case; returns its figures and the CPU time of each hop.
 fn load(case: &PathCase, path: &str, seed: u64) -> Result<(ClassFigures, Vec<Duration>)> {
     let class = LoadClass {
         path: path.into(),
--- a/acaciaring_testing/src/experiment/cost/process.rs
+++ b/acaciaring_testing/src/experiment/cost/process.rs
@@ -1,15 +1,15 @@
-//! Processor time and memory of a process, as Linux tells them.
+//! CPU time and resident memory of a process, read from procfs.
 
 use std::fs;
 use std::time::Duration;
 
-/// Ticks a second in `/proc/PID/stat`: `USER_HZ`, which is 100 on the platforms of the project.
+/// Unit of the times in `/proc/PID/stat` (`USER_HZ`), which is 100 on the supported platforms.
 const TICKS_PER_SECOND: u64 = 100;
 
-/// Place of `utime` in `/proc/PID/stat` after the name of the program (see proc(5)).
+/// Index of `utime` among the fields after the command name in `/proc/PID/stat`, see proc(5).
 const UTIME_INDEX: usize = 11;
 
-/// Kernel and user time that a process has used; zero when it has ended.
+/// Returns the user and kernel CPU time of a process; zero when it has ended.
 pub(super) fn cpu_time(id: u32) -> Duration {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
@@ -18,7 +18,7 @@
     Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
 }
 
-/// Resident memory of a process in KiB; zero when it has ended.
+/// Returns the resident memory of a process in KiB; zero when it has ended.
 pub(super) fn resident_kib(id: u32) -> u64 {
     let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/acaciaring_testing/src/experiment/deployment.rs
+++ b/acaciaring_testing/src/experiment/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments, at the sizes of today.
+//! The deployments that experiments run on: their services, VMs, documents and mix of requests.
 
 use std::fmt::Write as _;
 use std::str::FromStr;
@@ -13,38 +13,38 @@
 const KEYED: &str = include_str!("documents/keyed.ini");
 const POOLED: &str = include_str!("documents/pooled.ini");
 
-/// Bytes of a body in the bulk class.
+/// Size of a request body in the bulk class.
 const BULK_BODY_BYTES: usize = 2000;
 
-/// A tenant with its two services.
+/// A tenant with one service partitioned by key and one pooled service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Deployment {
-    /// Contracts by key and a quality lab.
+    /// Contracts, partitioned by key, and a pooled quality lab.
     Korenveld,
-    /// A counter for permits by key and a dossier.
+    /// A permit office, partitioned by key, and a pooled dossier service.
     Laurentides,
 }
 
 /// One service of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Service {
-    /// Name and path.
+    /// Name, which is also the first segment of its paths.
     pub name: &'static str,
-    /// Workspace.
+    /// Workspace of its servers.
     pub workspace: &'static str,
-    /// Servers.
+    /// Number of servers, each on a VM of its own.
     pub servers: usize,
 }
 
-/// Document of a deployment.
+/// Source text of a document that a deployment publishes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DocumentSource {
-    /// Kind.
+    /// Template or parameters.
     pub kind: DocumentKind,
-    /// Name.
+    /// Name of the document.
     pub name: &'static str,
-    /// Text in INI.
+    /// Text in INI format.
     pub text: String,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Service that is divided by key.
+    /// Service that is partitioned by key.
     #[must_use]
     pub const fn keyed(self) -> Service {
         match self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Service that is not divided by key.
+    /// Service whose requests any of its servers may execute.
     #[must_use]
     pub const fn pooled(self) -> Service {
         match self {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Options of the VM with a number, from 0, of a service.
+    /// Options of the VM of a service with the given number, counted from 0.
     #[must_use]
     pub fn vm(self, service: &Service, number: usize) -> VmOptions {
         let (region, centres) = self.places();
@@ -100,14 +100,14 @@
         }
     }
 
-    /// Options of all VMs, those of the service that is divided by key first.
+    /// Options of all VMs, those of the service partitioned by key first.
     #[must_use]
     pub fn vms(self) -> Vec<VmOptions> {
         let of = |service: Service| (0..service.servers).map(move |n| self.vm(&service, n));
         of(self.keyed()).chain(of(self.pooled())).collect()
     }
 
-    /// Templates and parameters, in the order in which they are published.
+    /// Templates and parameters in the order of their publication.
     #[must_use]
     pub fn documents(self) -> Vec<DocumentSource> {
         let template = |name, text: &str| DocumentSource {
@@ -123,7 +123,7 @@
         ]
     }
 
-    /// Mix of requests that loads the servers of both services alike.
+    /// Mix of requests that loads each server of both services equally.
     #[must_use]
     pub fn classes(self) -> Vec<LoadClass> {
         let (keyed, pooled) = (self.keyed(), self.pooled());
@@ -167,7 +167,7 @@
         DocumentSource { kind: DocumentKind::Parameters, name: workspace, text }
     }
 
-    /// Weights of churn and of unavailable time.
+    /// Weights of churn and of downtime in the parameters of the keyed service.
     const fn weights(self) -> (u32, u32) {
         match self {
             Self::Korenveld => (8, 1),
@@ -181,6 +181,6 @@
 
     fn from_str(text: &str) -> Result<Self, Error> {
         let found = Self::ALL.into_iter().find(|deployment| deployment.name() == text);
-        found.ok_or_else(|| OptionsSnafu { what: format!("no deployment {text}") }.build())
+        found.ok_or_else(|| OptionsSnafu { what: format!("unknown deployment {text}") }.build())
     }
 }
--- a/acaciaring_testing/src/experiment/measure.rs
+++ b/acaciaring_testing/src/experiment/measure.rs
@@ -1,4 +1,4 @@
-//! Arithmetic of the measures: imbalance, churn and unavailable time.
+//! Metrics of an experiment: imbalance, churn and unavailability.
 
 use std::collections::BTreeMap;
 
@@ -6,40 +6,40 @@
 
 use crate::upstream::Run;
 
-/// How unevenly runs fall across servers.
+/// Imbalance of executed requests across servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Imbalance {
-    /// Largest count by the mean; 1 is even.
+    /// Largest count divided by the mean; 1 when balanced.
     pub peak: f64,
-    /// Standard deviation by the mean; 0 is even.
+    /// Standard deviation divided by the mean; 0 when balanced.
     pub deviation: f64,
 }
 
-/// How many keys have changed server.
+/// Changes of the server that executes the requests of a key.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Churn {
-    /// Keys that ran on more than one server.
+    /// Keys with requests executed on more than one server.
     pub keys: u64,
     /// Changes of server over all keys.
     pub moves: u64,
-    /// Keys that ran at all.
+    /// Keys with at least one executed request.
     pub seen: u64,
 }
 
-/// How long keys were not answered, in microseconds.
+/// Unavailability of probed keys, in microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Unavailability {
-    /// Longest over all keys.
+    /// Longest unavailability of any key.
     pub worst: u64,
-    /// Sum over all keys.
+    /// Sum of the unavailability of all keys.
     pub total: u64,
-    /// Keys that were probed.
+    /// Probed keys.
     pub keys: u64,
-    /// Keys that were never answered; they count with the whole time.
+    /// Keys without any answer; each counts as unavailable for the whole interval.
     pub never: u64,
 }
 
-/// Returns the imbalance of counts by server, those of idle servers included.
+/// Returns the imbalance of request counts, one per server, idle servers included.
 #[must_use]
 #[allow(clippy::cast_precision_loss)]
 pub fn imbalance(counts: &[u64]) -> Imbalance {
@@ -54,7 +54,7 @@
     Imbalance { peak: most / mean, deviation: variance.sqrt() / mean }
 }
 
-/// Returns the churn of the keys that `key` finds in runs; runs without effect are left out.
+/// Returns the churn of the keys that `key` extracts from runs; reverted runs are ignored.
 #[must_use]
 pub fn churn(runs: &[Run], key: impl Fn(&Run) -> Option<&str>) -> Churn {
     let mut servers: BTreeMap<&str, Vec<(u64, &str)>> = BTreeMap::new();
@@ -74,7 +74,7 @@
     churn
 }
 
-/// Returns the unavailable time of keys, given the times of their answers within `start` to `end`.
+/// Returns the unavailability of keys from the times of their answers between `start` and `end`.
 #[must_use]
 pub fn unavailability<'a>(
     answers: impl IntoIterator<Item = &'a [u64]>,
@@ -92,7 +92,7 @@
     sums
 }
 
-/// Returns the longest time between two answers, `start` and `end` among them, less the usual one.
+/// Returns the longest gap between answers, `start` and `end` included, minus the median gap.
 #[must_use]
 pub fn longest_gap(times: &[u64], start: u64, end: u64) -> u64 {
     let mut sorted = times.to_vec();
--- a/acaciaring_testing/src/experiment/probe.rs
+++ b/acaciaring_testing/src/experiment/probe.rs
@@ -1,4 +1,4 @@
-//! Steady reads of a fixed set of keys, to see when each of them is answered.
+//! Periodic reads of a fixed set of keys, which measure the availability of each key.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -8,24 +8,24 @@
 
 use crate::upstream::micros;
 
-/// End of a probe's path, by which upstreams and records tell it from the load.
+/// Path suffix that distinguishes probes from the load in upstreams and records.
 pub(super) const PROBE_SUFFIX: &str = "/probe";
 
-/// Time after which a probe is given up.
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Which keys are probed, and how.
+/// Options of the probes.
 #[derive(Debug, Clone)]
 pub(super) struct ProbeOptions {
-    /// Service that is divided by key.
+    /// Name of the service that is partitioned by key.
     pub(super) service: &'static str,
-    /// Keys, one thread each.
+    /// Probed keys; each has a thread of its own.
     pub(super) keys: Vec<String>,
-    /// Entries that no fault hits, so that only the keys' owners are seen.
+    /// Entries that the fault does not affect, so that only failures of owners are measured.
     pub(super) entries: Vec<SocketAddr>,
-    /// Time between two probes of a key.
+    /// Interval between probes of a key.
     pub(super) interval: Duration,
-    /// Length of the run.
+    /// Duration of the run.
     pub(super) length: Duration,
 }
 
@@ -36,7 +36,7 @@
     pub(super) answers: Vec<u64>,
 }
 
-/// Probes all keys to the end of the run.
+/// Probes all keys until the end of the run.
 pub(super) fn run(options: &ProbeOptions) -> Vec<ProbeAnswers> {
     let start = Instant::now();
     thread::scope(|scope| {
@@ -56,7 +56,7 @@
     let count = options.keys.len();
     let mut entry = number;
     let mut probed = ProbeAnswers::default();
-    // The probes of different keys are spread over the interval.
+    // Spreads the probes of different keys over the interval.
     let mut due = start + options.interval.mul_f64(fraction(number, count));
     while due < start + options.length {
         thread::sleep(due.saturating_duration_since(Instant::now()));
@@ -71,7 +71,7 @@
     probed
 }
 
-/// Whether the upstream has answered; none when the entry has not.
+/// Whether the upstream answered successfully; `None` when the entry did not answer.
 fn answered(agent: &Agent, url: &str) -> Option<bool> {
     let mut response = agent.get(url).call().ok()?;
     let verdict = response.headers().get("x-acaciaring-verdict");
--- a/acaciaring_testing/src/experiment/scenario.rs
+++ b/acaciaring_testing/src/experiment/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to the system during a run.
+//! Scenarios: the fault or change that is injected during a run.
 
 use std::str::FromStr;
 
@@ -6,27 +6,27 @@
 
 use crate::error::{Error, OptionsSnafu};
 
-/// What happens during a run.
+/// Fault or change that is injected during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scenario {
-    /// Nothing.
+    /// No fault or change.
     Calm,
-    /// The hottest 13 keys change.
+    /// The 13 most requested keys are replaced by others.
     HotSpell,
-    /// A server arrives.
+    /// A VM joins the service that is partitioned by key.
     Join,
-    /// A member is asked to end.
+    /// A member shuts down gracefully.
     Stop,
-    /// A VM is lost.
+    /// A VM crashes.
     Crash,
-    /// A VM freezes for 4 s and goes on.
+    /// A VM is frozen for 4 s and then resumes.
     Freeze,
-    /// The log is down, and a VM is lost meanwhile.
+    /// The log is unavailable, and a VM crashes during the outage.
     LogOutage,
-    /// Twice as many requests arrive as the servers can run.
+    /// The offered load is twice the capacity of the servers.
     Overload,
-    /// Open connections between members go silent for good.
+    /// Open connections between members lose all further datagrams.
     Silence,
 }
 
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Whether one VM of the service that is divided by key is hit.
+    /// Whether the fault affects one VM of the service that is partitioned by key.
     #[must_use]
     pub const fn has_victim(self) -> bool {
         matches!(self, Self::Stop | Self::Crash | Self::Freeze | Self::LogOutage)
     }
 
-    /// Whether the victim is gone at the end.
+    /// Whether the affected VM is down at the end of the run.
     #[must_use]
     pub const fn loses_victim(self) -> bool {
         matches!(self, Self::Stop | Self::Crash | Self::LogOutage)
@@ -78,6 +78,6 @@
 
     fn from_str(text: &str) -> Result<Self, Error> {
         let found = Self::ALL.into_iter().find(|scenario| scenario.name() == text);
-        found.ok_or_else(|| OptionsSnafu { what: format!("no scenario {text}") }.build())
+        found.ok_or_else(|| OptionsSnafu { what: format!("unknown scenario {text}") }.build())
     }
 }
--- a/acaciaring_testing/src/experiment/system.rs
+++ b/acaciaring_testing/src/experiment/system.rs
@@ -1,4 +1,4 @@
-//! A running deployment: stand-ins, daemons and, when wanted, proxies between the members.
+//! A running deployment: stand-ins, daemons and, optionally, proxies between the members.
 
 use std::path::PathBuf;
 use std::thread;
@@ -12,25 +12,25 @@
 
 use super::deployment::Deployment;
 
-/// Bound on the time until a new system serves.
+/// Time within which a new deployment must serve requests.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time for the owners to synchronise their standbys.
+/// Time allowed for owners to synchronise their standbys before an experiment starts.
 const STANDBY_SYNC_TIME: Duration = Duration::from_secs(2);
 
-/// Least important level of the daemons' logs.
+/// Log level of the daemons.
 const LOG_LEVEL: &str = "error";
 
 /// Options of a running deployment.
 #[derive(Debug, Clone)]
 pub struct SystemOptions {
-    /// Program of the daemon.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// Lines added to the settings of each daemon.
+    /// Lines appended to the settings file of each daemon.
     pub settings: String,
     /// Options of each upstream.
     pub upstream: UpstreamOptions,
-    /// True for a proxy in front of each member's address for other members.
+    /// Whether other members reach each member through a UDP proxy.
     pub proxies: bool,
 }
 
@@ -38,7 +38,7 @@
 pub struct System {
     /// Stand-ins and daemons.
     pub cluster: Cluster,
-    /// Proxies in the order of the VMs; none when they were not asked for.
+    /// Proxies in the order of the VMs; empty when disabled.
     pub proxies: Vec<ProxyServer>,
     options: SystemOptions,
 }
@@ -59,11 +59,11 @@
         Ok(Self { cluster, proxies: Vec::new(), options })
     }
 
-    /// Starts all VMs of a deployment, publishes its documents and waits until it serves.
+    /// Starts all VMs of a deployment, publishes its documents and waits for owners of its keys.
     ///
     /// # Errors
     ///
-    /// When it does not serve in time.
+    /// When a process or stand-in cannot be started, a document is refused or the wait times out.
     pub fn start(deployment: Deployment, options: SystemOptions) -> Result<Self> {
         let mut system = Self::new(options)?;
         for vm in deployment.vms() {
@@ -94,7 +94,7 @@
         Ok(index)
     }
 
-    /// Lets the upstream of a service that is not divided by key take requests without a fence.
+    /// Lets the upstream of a pooled service accept requests without a fencing token.
     fn disable_fencing(&self, index: usize) {
         let vm = &self.cluster.vms[index];
         let workspace = vm.options.workspace.as_deref();
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// When one is refused or not confirmed.
+    /// When a document is refused or not confirmed.
     pub fn publish(&self, deployment: Deployment) -> Result<()> {
         for source in deployment.documents() {
             self.cluster.publish(0, source.kind, source.name, &source.text, 0)?;
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// When that does not happen in time.
+    /// When this does not happen within the timeout.
     pub fn settle(&self, deployment: Deployment) -> Result<()> {
         let all: Vec<usize> = (0..self.cluster.vms.len()).collect();
         self.cluster.settle(deployment.keyed().workspace, &all, SETTLE_TIMEOUT)
--- a/acaciaring_testing/src/experiment/table.rs
+++ b/acaciaring_testing/src/experiment/table.rs
@@ -7,14 +7,14 @@
 
 use super::trial::Outcome;
 
-/// Rows of text below a head.
+/// Table with a header row.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Returns a table with the names of its columns.
+    /// Returns an empty table with the given column names.
     #[must_use]
     pub fn new(header: &[&str]) -> Self {
         let header: Vec<String> = header.iter().map(ToString::to_string).collect();
@@ -22,7 +22,6 @@
         Self { rows: vec![header, separator] }
     }
 
-    /// Adds a row.
     pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
@@ -37,7 +36,7 @@
     }
 }
 
-/// Returns the three tables of the outcomes: measures, classes and what callers were told.
+/// Renders the tables of the outcomes: metrics, request classes and verdicts.
 #[must_use]
 pub fn render(outcomes: &[Outcome]) -> String {
     let mut text = String::new();
@@ -154,7 +153,7 @@
     parts.join(", ")
 }
 
-/// Milliseconds with one digit after the point.
+/// Formats microseconds as milliseconds with one decimal place.
 #[allow(clippy::cast_precision_loss)]
 pub(super) fn format_millis(micros: u64) -> String {
     format!("{:.1}", micros as f64 / 1000.0)
--- a/acaciaring_testing/src/experiment/trial.rs
+++ b/acaciaring_testing/src/experiment/trial.rs
@@ -1,4 +1,4 @@
-//! One run of one scenario on one deployment.
+//! A trial: one run of a scenario on a deployment under a baseline.
 
 mod inject;
 mod outcome;
@@ -27,67 +27,68 @@
 
 pub use self::outcome::Outcome;
 
-/// Time that a request runs at an upstream.
+/// Service time of a request at an upstream.
 const SERVICE_TIME: Duration = Duration::from_millis(100);
 
-/// Time that a probe runs at an upstream, in milliseconds.
+/// Service time of a probe at an upstream.
 const PROBE_COST_MS: f64 = 1.0;
 
-/// Requests that an upstream runs at once.
+/// Requests that an upstream executes concurrently.
 const SLOTS: usize = 20;
 
-/// The same when it is overloaded: few, so that the load generator can offer twice as much.
+/// Concurrent requests of an upstream in the overload scenario; low enough that the load generator
+/// can offer twice the capacity.
 const OVERLOAD_SLOTS: usize = 5;
 
-/// Offered load by what the servers can run.
+/// Ratio of offered load to the capacity of the servers.
 const LOAD_RATIO: f64 = 0.4;
 
-/// The same when they are overloaded.
+/// Ratio of offered load to the capacity of the servers in the overload scenario.
 const OVERLOAD_RATIO: f64 = 2.0;
 
-/// Callers, each with one request open at a time.
+/// Callers, each with one outstanding request.
 const CALLERS: usize = 240;
 
-/// The same when the servers are overloaded.
+/// Callers in the overload scenario.
 const OVERLOAD_CALLERS: usize = 600;
 
-/// Keys of the load.
+/// Number of distinct keys in the load.
 const KEYS: u64 = 10_000;
 
-/// Keys that are probed.
+/// Number of probed keys.
 const PROBED_KEYS: usize = 200;
 
-/// Time between two probes of a key.
+/// Interval between probes of a key.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Tries of a caller.
+/// Attempts that a caller makes for each request.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Time after which a caller gives up a try, in milliseconds.
+/// Timeout of each attempt of a caller.
 const ATTEMPT_TIMEOUT_MS: u64 = 3500;
 
-/// What is run.
+/// Options of a trial.
 #[derive(Debug, Clone)]
 pub struct TrialOptions {
-    /// Program of the daemon.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
     /// Deployment.
     pub deployment: Deployment,
     /// Scenario.
     pub scenario: Scenario,
-    /// Settings to compare.
+    /// Settings of the daemons.
     pub baseline: Baseline,
-    /// Seed of the load and of the choice of the victim.
+    /// Seed of the load; it also selects the VM that the fault affects.
     pub seed: u64,
-    /// Length of the load.
+    /// Duration of the load.
     pub length: Duration,
 }
 
-/// Runs a trial.
+/// Runs a trial and returns its outcome.
 ///
 /// # Errors
 ///
-/// When the system does not start or the load cannot be made.
+/// When the system does not start, a fault cannot be injected or the load generator fails.
 pub fn run(options: &TrialOptions) -> Result<Outcome> {
     let Trial { mut system, victim, probe, load } = Trial::new(options)?;
     let before = unit_tokens(&system, &probe.keys);
@@ -98,7 +99,7 @@
         let injected = inject_events(options, &mut system, victim);
         (load.join(), probes.join().unwrap_or_default(), injected)
     });
-    let figures = figures.ok().context(OptionsSnafu { what: "the load has panicked" })??;
+    let figures = figures.ok().context(OptionsSnafu { what: "the load generator panicked" })??;
     let end = start + u64::try_from(options.length.as_micros()).unwrap_or(u64::MAX);
     injected?;
     let after = unit_tokens(&system, &probe.keys);
@@ -116,7 +117,7 @@
     Ok(build_outcome(options, &system, figures, &report, &runs, &measures))
 }
 
-/// A system that is ready for its load.
+/// A system that is ready for its load and probes.
 struct Trial {
     system: System,
     victim: Option<usize>,
@@ -200,7 +201,7 @@
     }
 }
 
-/// Asks a member that lives for the token of each key's unit.
+/// Returns the fencing token of each key's unit, read from a VM that is never the victim.
 fn unit_tokens(system: &System, keys: &[String]) -> BTreeMap<(u64, Option<String>), u64> {
     let vms = &system.cluster.vms;
     let pooled = vms.len() - 1;
--- a/acaciaring_testing/src/experiment/trial/inject.rs
+++ b/acaciaring_testing/src/experiment/trial/inject.rs
@@ -1,4 +1,4 @@
-//! What a scenario does to the system while the load runs.
+//! Injection of the faults and changes of a scenario while the load runs.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -11,13 +11,13 @@
 
 use super::TrialOptions;
 
-/// Length of a freeze.
+/// Time for which a VM is frozen.
 const FREEZE_TIME: Duration = Duration::from_secs(4);
 
-/// Bound on a graceful shutdown.
+/// Time within which a daemon must shut down gracefully.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Does what the scenario says, at its times within the run.
+/// Injects the events of the scenario at fixed fractions of the run; returns at its end.
 pub(super) fn inject_events(
     options: &TrialOptions,
     system: &mut System,
@@ -58,7 +58,7 @@
     Ok(())
 }
 
-/// Ends a member gracefully, and its upstream after it.
+/// Shuts down a member gracefully, then stops its upstream.
 fn stop(system: &mut System, victim: usize) -> Result<()> {
     let vm = &mut system.cluster.vms[victim];
     vm.process.term();
--- a/acaciaring_testing/src/experiment/trial/outcome.rs
+++ b/acaciaring_testing/src/experiment/trial/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run has shown, from what callers were told and what the servers ran.
+//! Outcome of a trial, computed from the answers to callers and the records of upstreams.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,58 +15,58 @@
 
 use super::TrialOptions;
 
-/// What a run has shown.
+/// Outcome of a trial.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
     /// Deployment.
     pub deployment: Deployment,
     /// Scenario.
     pub scenario: Scenario,
-    /// Settings to compare.
+    /// Settings of the daemons.
     pub baseline: Baseline,
-    /// Seed.
+    /// Seed of the load.
     pub seed: u64,
-    /// Imbalance of the keyed service over the whole run, servers that are there throughout.
+    /// Imbalance of the keyed service over the whole run, across the servers present throughout.
     pub whole: Imbalance,
-    /// Imbalance of the keyed service in the last third of the run, servers that are there then.
+    /// Imbalance of the keyed service in the last third of the run, across the servers present then.
     pub end: Imbalance,
-    /// Keys that changed server.
+    /// Changes of the servers of keys.
     pub churn: Churn,
-    /// Units of the probed keys that changed owner by the log.
+    /// Units of the probed keys that changed owner, detected by their fencing tokens.
     pub units: usize,
-    /// Units of the probed keys.
+    /// Number of units of the probed keys.
     pub known: usize,
-    /// Time during which probed keys were not answered.
+    /// Unavailability of the probed keys.
     pub unavailable: Unavailability,
-    /// Answered requests a second over all classes.
+    /// Answered requests per second over all classes.
     pub goodput: f64,
-    /// Figures by class.
+    /// Figures by request class.
     pub classes: BTreeMap<String, ClassFigures>,
-    /// Tries by what was told.
+    /// Number of attempts by result.
     pub told: BTreeMap<Told, u64>,
-    /// Requests by the reason of their last try.
+    /// Number of requests by the reason of their last attempt.
     pub reasons: BTreeMap<String, u64>,
-    /// Requests that may run once and ran more often; must be 0.
+    /// At-most-once requests that were executed more than once; must be 0.
     pub duplicates: usize,
-    /// Tries that were told "not run" and ran; must be 0.
+    /// Attempts with the verdict `not-run` that were executed; must be 0.
     pub refused: usize,
-    /// Answers that were another request's or broken; must be 0.
+    /// Answers that were corrupt or belonged to another request; must be 0.
     pub wrong: usize,
-    /// Requests that were answered and ran nowhere; must be 0.
+    /// Answered requests that no upstream executed; must be 0.
     pub missing: usize,
-    /// Runs of one key with effect on two servers at the same time; must be 0.
+    /// Overlapping executions of a key on two servers, both with effect; must be 0.
     pub overlaps: usize,
 }
 
 impl Outcome {
-    /// Whether nothing has happened that must not happen.
+    /// Whether no guarantee of the router was violated.
     #[must_use]
     pub const fn is_correct(&self) -> bool {
         self.duplicates + self.refused + self.wrong + self.missing + self.overlaps == 0
     }
 }
 
-/// What was measured beside the load.
+/// Measurements besides those of the load generator.
 pub(super) struct Measures {
     pub(super) unavailable: Unavailability,
     pub(super) moved_units: usize,
@@ -76,13 +76,13 @@
     pub(super) window: (u64, u64),
 }
 
-/// Returns what ran on all servers, those that are gone included.
+/// Returns the requests executed by all upstreams, those of lost VMs included.
 pub(super) fn all_runs(system: &System) -> Vec<Run> {
     let upstreams = system.cluster.vms.iter().filter_map(|vm| vm.upstream.as_ref());
     upstreams.flat_map(|upstream| upstream.handle().records()).collect()
 }
 
-/// Puts the figures of a run together.
+/// Computes the outcome of a trial from its measurements.
 pub(super) fn build_outcome(
     options: &TrialOptions,
     system: &System,
@@ -119,7 +119,7 @@
     }
 }
 
-/// Names of the servers of a service but the one that is gone.
+/// Returns the names of the servers of a service, the lost one excluded.
 fn servers<'a>(system: &'a System, service: &Service, lost_vm: Option<usize>) -> Vec<&'a str> {
     let vms = system.cluster.vms.iter().enumerate();
     let serving = vms.filter(|(index, vm)| {
@@ -128,7 +128,7 @@
     serving.map(|(_, vm)| vm.options.vm.as_str()).collect()
 }
 
-/// Counts the runs of the load, without probes, by server.
+/// Counts the executed requests by server, probes excluded.
 fn runs_by_server(
     runs: &[Run],
     servers: &BTreeSet<&str>,
@@ -145,7 +145,7 @@
     counts.into_values().collect()
 }
 
-/// Key of a run of a service.
+/// Returns the key of a request, `None` when it belongs to another service.
 fn key<'a>(run: &'a Run, service: &Service) -> Option<&'a str> {
     let path = run.path.strip_prefix('/')?.strip_prefix(service.name)?.strip_prefix('/')?;
     path.split('/').next()
