--- a/acaciaring_testing/src/cluster.rs
+++ b/acaciaring_testing/src/cluster.rs
@@ -269,7 +269,7 @@
     ///
     /// When this does not happen within `bound`.
     pub fn settle(&self, workspace: &str, vms: &[usize], bound: Duration) -> Result<()> {
-        wait_until(&format!("{workspace} is served"), bound, || {
+        wait_until(&format!("owner of workspace {workspace}"), bound, || {
             vms.iter().all(|vm| {
                 let members = self.admin(*vm, "/v1/members").unwrap_or_default();
                 let status = self.admin(*vm, "/v1/status").unwrap_or_default();
@@ -381,8 +381,10 @@
             request = request.header(name, value);
         }
     }
-    let request =
-        request.body(ask.body.to_owned()).ok().context(AnswerSnafu { what: "request" })?;
+    let request = request
+        .body(ask.body.to_owned())
+        .ok()
+        .context(AnswerSnafu { what: "invalid HTTP request" })?;
     let mut response = agent().run(request).context(HttpSnafu { address: entry })?;
     let header = |name| {
         let value = response.headers().get(name).and_then(|value| value.to_str().ok());
--- a/acaciaring_testing/src/experiment/trial/outcome.rs
+++ b/acaciaring_testing/src/experiment/trial/outcome.rs
@@ -28,7 +28,7 @@
     pub seed: u64,
     /// Imbalance of the keyed service over the whole run, across the servers present throughout.
     pub whole: Imbalance,
-    /// Imbalance of the keyed service in the last third of the run, across the servers present then.
+    /// Imbalance of the keyed service in the last third, across the servers present then.
     pub end: Imbalance,
     /// Changes of the servers of keys.
     pub churn: Churn,
