--- a/acaciaring_testing/src/bin/demo.rs
+++ b/acaciaring_testing/src/bin/demo.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 use std::path::{Path, PathBuf};
 
-use acaciaring_testing::demo::{DemoOptions, beside, examples, run};
+use acaciaring_testing::demo::{DemoOptions, examples, run, sibling_program};
 
 /// Examples in the repository from which this program was built.
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples/korenveld");
@@ -19,7 +19,7 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let flags = AcaciaringDemo::from_env_or_exit();
     let dir = flags.examples.unwrap_or_else(|| Path::new(EXAMPLES).to_owned());
-    let daemon = beside("acaciaringd")?;
-    let tool = beside("acaciaring")?;
+    let daemon = sibling_program("acaciaringd")?;
+    let tool = sibling_program("acaciaring")?;
     Ok(run(&DemoOptions { daemon, tool, documents: examples(&dir)? })?)
 }
--- a/acaciaring_testing/src/bin/experiment.rs
+++ b/acaciaring_testing/src/bin/experiment.rs
@@ -6,14 +6,14 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use acaciaring_testing::demo::beside;
+use acaciaring_testing::demo::sibling_program;
 use acaciaring_testing::experiment::{
     BASELINES, CostOptions, Deployment, FULL, Outcome, Scenario, TrialOptions, measure_cost,
     render, run,
 };
 
 /// Seconds of load in each scenario.
-const SECONDS: u64 = 15;
+const DEFAULT_SECONDS: u64 = 15;
 
 xflags::xflags! {
     /// Measures acaciaring with real processes on this machine.
@@ -43,7 +43,7 @@
     let flags = AcaciaringExperiment::from_env_or_exit();
     let daemon = match &flags.daemon {
         Some(path) => path.clone(),
-        None => beside("acaciaringd")?,
+        None => sibling_program("acaciaringd")?,
     };
     let seed = flags.seed.unwrap_or(1);
     if let AcaciaringExperimentCmd::Cost(_) = flags.subcommand {
@@ -51,7 +51,7 @@
         println!("{}", measure_cost(&CostOptions { daemon, seed, members })?);
         return Ok(ExitCode::SUCCESS);
     }
-    let outcomes = trials(&flags, &daemon, seed)?;
+    let outcomes = run_trials(&flags, &daemon, seed)?;
     if !flags.json {
         println!("{}", render(&outcomes));
     }
@@ -59,15 +59,15 @@
     Ok(if correct { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn trials(
+fn run_trials(
     flags: &AcaciaringExperiment,
     daemon: &std::path::Path,
     seed: u64,
 ) -> Result<Vec<Outcome>, Box<dyn Error>> {
-    let length = Duration::from_secs(flags.seconds.unwrap_or(SECONDS).max(1));
+    let length = Duration::from_secs(flags.seconds.unwrap_or(DEFAULT_SECONDS).max(1));
     let mut outcomes = Vec::new();
-    for deployment in chosen(flags.deployment.as_deref(), &Deployment::ALL)? {
-        for scenario in chosen(flags.scenario.as_deref(), &Scenario::ALL)? {
+    for deployment in selected(flags.deployment.as_deref(), &Deployment::ALL)? {
+        for scenario in selected(flags.scenario.as_deref(), &Scenario::ALL)? {
             let baselines = BASELINES.iter().filter(|baseline| {
                 **baseline == FULL || flags.baselines && baseline.covers(scenario)
             });
@@ -91,7 +91,7 @@
     Ok(outcomes)
 }
 
-fn chosen<T>(name: Option<&str>, all: &[T]) -> Result<Vec<T>, T::Err>
+fn selected<T>(name: Option<&str>, all: &[T]) -> Result<Vec<T>, T::Err>
 where
     T: FromStr + Copy,
 {
--- a/acaciaring_testing/src/demo/show.rs
+++ b/acaciaring_testing/src/demo/show.rs
@@ -5,12 +5,12 @@
 use crate::upstream::Echo;
 
 /// Prints the title of a step.
-pub(super) fn heading(title: &str) {
+pub(super) fn print_heading(title: &str) {
     println!("\n== {title}");
 }
 
 /// Prints an answer, and who gave it.
-pub(super) fn reply(entry: &str, method: &str, path: &str, reply: &Reply) -> Result<()> {
+pub(super) fn print_reply(entry: &str, method: &str, path: &str, reply: &Reply) -> Result<()> {
     let took = reply.took.as_secs_f64() * 1000.0;
     let head = format!("  {entry:<13} {method:<4} {path:<42} {} {}", reply.status, reply.verdict);
     match serde_json::from_str::<Echo>(&reply.body) {
--- a/acaciaring_testing/src/demo/tool.rs
+++ b/acaciaring_testing/src/demo/tool.rs
@@ -10,7 +10,7 @@
 use crate::error::{AnswerSnafu, IoSnafu, JsonSnafu, Result};
 
 /// Members that the tool is given.
-const ASKED: usize = 2;
+const CONTACTED_MEMBERS: usize = 2;
 
 /// The tool and the members that it asks.
 pub(super) struct Tool {
@@ -46,7 +46,7 @@
     }
 
     /// Prints who owns a key, in one line.
-    pub(super) fn owner(&self, workspace: &str, key: &str) -> Result<()> {
+    pub(super) fn print_owner(&self, workspace: &str, key: &str) -> Result<()> {
         let output = self.run(&["--format", "json", "owner", workspace, key])?;
         let owner: Owner = serde_json::from_str(&output).context(JsonSnafu)?;
         let name = |member: &Option<MemberName>| {
@@ -64,7 +64,7 @@
     /// Runs a command and returns what it prints.
     fn run(&self, arguments: &[&str]) -> Result<String> {
         let mut command = Command::new(&self.program);
-        for member in self.members.iter().take(ASKED) {
+        for member in self.members.iter().take(CONTACTED_MEMBERS) {
             command.arg("--member").arg(member.to_string());
         }
         let output = command.args(arguments).output().context(IoSnafu { what: "run the tool" })?;
