--- a/acaciaring_testing/src/bin/demo.rs
+++ b/acaciaring_testing/src/bin/demo.rs
@@ -1,17 +1,17 @@
-//! Shows the main job of acaciaring on this machine, in one command.
+//! Program that runs the demo of acaciaring on this machine.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
 
 use acaciaring_testing::demo::{DemoOptions, examples, run, sibling_program};
 
-/// Examples in the repository from which this program was built.
+/// Example documents in the source tree from which this program was built.
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples/korenveld");
 
 xflags::xflags! {
-    /// Shows the main job of acaciaring on this machine: publish, route, own, lose a VM, stop.
+    /// Demonstrates publication, routing, ownership, loss of a VM and shutdown on this machine.
     cmd acaciaring-demo {
-        /// Directory with the templates and parameters of Korenveld; that of the repository when absent.
+        /// Directory of Korenveld's documents; examples/korenveld of the source tree by default.
         optional --examples dir: PathBuf
     }
 }
--- a/acaciaring_testing/src/bin/experiment.rs
+++ b/acaciaring_testing/src/bin/experiment.rs
@@ -1,4 +1,4 @@
-//! Measures the policy under load and faults, and what it costs, with real processes.
+//! Program that measures routing under load and faults, and its cost, with real processes.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -12,28 +12,28 @@
     render, run,
 };
 
-/// Seconds of load in each scenario.
+/// Default duration of the load in each scenario.
 const DEFAULT_SECONDS: u64 = 15;
 
 xflags::xflags! {
     /// Measures acaciaring with real processes on this machine.
     cmd acaciaring-experiment {
-        /// Seed of the load and of the choice of the victim; 1 when absent.
+        /// Seed of the load and of the choice of the affected VM; 1 by default.
         optional --seed seed: u64
         /// Deployment: korenveld, laurentides or all (default).
         optional --deployment name: String
         /// Scenario: calm, hot-spell, join, stop, crash, freeze, log-outage, overload, silence or all (default).
         optional --scenario name: String
-        /// Seconds of load in each scenario.
+        /// Duration of the load in each scenario; 15 by default.
         optional --seconds seconds: u64
-        /// Run the baselines as well.
+        /// Also run the baselines that disable a mechanism.
         optional --baselines
-        /// Print JSON, one outcome a line.
+        /// Print the outcomes as JSON, one per line.
         optional --json
-        /// Program of the daemon; `acaciaringd` beside this program when absent.
+        /// Path of the daemon; `acaciaringd` in this program's directory by default.
         optional --daemon path: PathBuf
 
-        /// Measures what the path of a request and idle members cost.
+        /// Measures the cost of a request's path and of idle members.
         cmd cost {}
         default cmd scenarios {}
     }
--- a/acaciaring_testing/src/bin/standin.rs
+++ b/acaciaring_testing/src/bin/standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes of their own.
+//! Program that runs a stand-in or the load generator as a process of its own.
 //!
 //! Each server prints `listening on ADDR` and ends on SIGTERM or when its standard input is closed.
 
@@ -15,48 +15,48 @@
 use serde::de::DeserializeOwned;
 
 xflags::xflags! {
-    /// Stand-ins for the systems around acaciaring.
+    /// Stand-ins for the external systems of acaciaring, and a load generator.
     cmd acaciaring-standin {
-        /// The platform's append-only log service.
+        /// Stand-in for the platform's append-only log service.
         cmd log {
-            /// Commands to carry out at the start, in JSON as for `POST /control`.
+            /// Commands that are applied at the start, as JSON in the format of `POST /control`.
             optional --set json: String
         }
-        /// A server beside a member.
+        /// Stand-in for an upstream.
         cmd upstream {
             /// Name in records and answers.
             optional --name name: String
             /// Workspace in announcements.
             optional --workspace workspace: String
-            /// Announce address of the member beside it.
+            /// Admin address of the member to which it announces itself.
             optional --announce address: SocketAddr
-            /// File to which each start and end of a run is written.
+            /// File that records the start and end of each executed request.
             optional --record path: PathBuf
-            /// Milliseconds of cold start.
+            /// Duration of the cold start in milliseconds.
             optional --cold millis: u64
-            /// Requests that may wait for a slot.
+            /// Maximum number of requests that wait for a slot.
             optional --queue count: usize
-            /// Commands to carry out at the start, in JSON as for `POST /control`.
+            /// Commands that are applied at the start, as JSON in the format of `POST /control`.
             optional --set json: String
         }
-        /// Fault proxy; prints `control on ADDR` as well.
+        /// Fault-injecting proxy; also prints `control on ADDR`.
         cmd proxy {
-            /// Pass on datagrams instead of connections.
+            /// Forward UDP datagrams instead of TCP connections.
             optional --udp
-            /// Target, may be set later.
+            /// Target address; may be set later.
             optional --target address: SocketAddr
-            /// Seed of losses.
+            /// Seed of random faults.
             optional --seed seed: u64
-            /// Commands to carry out at the start, in JSON as for `POST /control`.
+            /// Commands that are applied at the start, as JSON in the format of `POST /control`.
             optional --set json: String
         }
-        /// Load generator; prints its figures in JSON.
+        /// Load generator; prints its figures as JSON.
         cmd load {
             /// Address of an entry.
             repeated --entry address: SocketAddr
             /// Other options in JSON.
             optional --options json: String
-            /// Files with the records of upstreams, to check the answers by.
+            /// Record files of upstreams against which the answers are checked.
             repeated --record path: PathBuf
         }
     }
@@ -119,14 +119,14 @@
     }
     let report = check_records(&records, &figures.sent);
     println!("{}", serde_json::to_string(&report)?);
-    if report.clean() { Ok(()) } else { Err("the records show faults".into()) }
+    if report.clean() { Ok(()) } else { Err("the check of the records found violations".into()) }
 }
 
 fn parse<T: DeserializeOwned + Default>(json: Option<&str>) -> Result<T, serde_json::Error> {
     json.map_or_else(|| Ok(T::default()), serde_json::from_str)
 }
 
-/// Says where the stand-in listens and waits for the end of standard input.
+/// Prints the listening address and waits until standard input is closed.
 fn serve(address: SocketAddr) -> Result<(), Box<dyn Error>> {
     println!("listening on {address}");
     io::stdout().flush()?;
--- a/acaciaring_testing/src/demo.rs
+++ b/acaciaring_testing/src/demo.rs
@@ -1,4 +1,4 @@
-//! The main job on one machine: publish, route, own, lose a VM, stop.
+//! Demo on one machine: publication of documents, routing, ownership, loss of a VM and shutdown.
 
 mod example;
 mod show;
@@ -20,44 +20,44 @@
 
 pub use self::example::examples;
 
-/// Deployment that is shown.
+/// Deployment that the demo runs.
 const DEPLOYMENT: Deployment = Deployment::Korenveld;
 
-/// Where the examples put the services.
+/// Path prefixes of the services in the example documents.
 const CONTRACTS_PATH: &str = "/korenveld/contracts";
 const QUALITY_LAB_PATH: &str = "/korenveld/quality-lab";
 
-/// Keys that are asked for.
+/// Keys of the demo's requests.
 const KEYS: [&str; 3] = ["order-17", "order-58", "order-93"];
 
-/// VM that is lost.
+/// Index of the VM that is killed.
 const VICTIM: usize = 3;
 
-/// Most keys that are tried to find one of the victim's.
+/// Keys that are looked up to find one that a VM owns.
 const MAX_TRIED_KEYS: usize = 1000;
 
-/// Bound on the time until the keys of the lost VM are served again.
+/// Time within which a request must be answered, also after the loss of its key's owner.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Bound on the end of a process that was asked to end.
+/// Time within which a daemon must shut down gracefully.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Programs that the demo runs.
+/// Programs and documents of the demo.
 #[derive(Debug, Clone)]
 pub struct DemoOptions {
-    /// Daemon.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// Command-line tool.
+    /// Path of the command-line tool.
     pub tool: PathBuf,
-    /// Files with templates and parameters.
+    /// Paths of the templates and parameters.
     pub documents: Vec<PathBuf>,
 }
 
-/// Shows the main job; prints to standard output.
+/// Runs the demo and prints each step to standard output.
 ///
 /// # Errors
 ///
-/// When a step does not do what it should.
+/// When a step fails or has an unexpected result.
 pub fn run(options: &DemoOptions) -> Result<()> {
     let start = Instant::now();
     print_heading("Start the log stand-in, and ten VMs in four data centres");
@@ -81,15 +81,17 @@
     Ok(())
 }
 
-/// Returns the path of a program that lies beside the running one.
+/// Returns the path of a program in the directory of the running executable.
 ///
 /// # Errors
 ///
-/// When there is none.
+/// When the directory has no such program.
 pub fn sibling_program(name: &str) -> Result<PathBuf> {
     let own = env::current_exe().context(IoSnafu { what: "find this program" })?;
     let path = own.parent().map(|dir| dir.join(name)).filter(|path| path.exists());
-    path.context(OptionsSnafu { what: format!("no program {name} beside {}", own.display()) })
+    path.context(OptionsSnafu {
+        what: format!("program {name} not found beside {}", own.display()),
+    })
 }
 
 fn start_system(options: &DemoOptions) -> Result<System> {
@@ -105,7 +107,7 @@
     Ok(system)
 }
 
-/// Reads and writes through entries of both services.
+/// Sends reads and writes to both services through several entries.
 fn send_requests(system: &System) -> Result<()> {
     let entries = [0, 4, 8];
     for (key, entry) in KEYS.iter().zip(entries) {
@@ -131,7 +133,10 @@
         )?;
     }
     println!("  The second signature repeats the first: it has the same answer and did not run.");
-    ensure!(execution_count(system, &path) == 1, AnswerSnafu { what: "the signature ran again" });
+    ensure!(
+        execution_count(system, &path) == 1,
+        AnswerSnafu { what: "the repeated signature was executed again" }
+    );
     let vm = &system.cluster.vms[2];
     let path = format!("{QUALITY_LAB_PATH}/contracts/{}", KEYS[0]);
     let grade = Ask { path: &path, ..Ask::default() };
@@ -143,14 +148,14 @@
     )
 }
 
-/// How often a signature ran on all upstreams.
+/// Returns how often requests with the path were executed on all upstreams.
 fn execution_count(system: &System, path: &str) -> usize {
     let upstreams = system.cluster.vms.iter().filter_map(|vm| vm.upstream.as_ref());
     let runs = upstreams.flat_map(|upstream| upstream.handle().records());
     runs.filter(|run| run.path == path).count()
 }
 
-/// Kills a VM and shows a key of it being served again.
+/// Kills a VM and waits until another VM serves one of its keys.
 fn crash_vm(system: &mut System) -> Result<()> {
     let name = system.cluster.vms[VICTIM].options.vm.clone();
     let key = key_owned_by(system, &name)?;
@@ -169,7 +174,10 @@
     let again = ask_until_answered(http, &request, RECOVERY_TIMEOUT)?;
     let took = start.elapsed();
     print_reply(&entry, "GET", &path, &again)?;
-    ensure!(again.verdict == "answered", AnswerSnafu { what: "the key is not served again" });
+    ensure!(
+        again.verdict == "answered",
+        AnswerSnafu { what: "the key is not served after the loss of its owner" }
+    );
     println!("  Served again {:.1} s after the loss.", took.as_secs_f64());
     Ok(())
 }
@@ -184,10 +192,10 @@
             return Ok(key);
         }
     }
-    AnswerSnafu { what: format!("{vm} owns none of the keys") }.fail()
+    AnswerSnafu { what: format!("{vm} owns none of the keys that were looked up") }.fail()
 }
 
-/// Asks every daemon to end and waits until all have ended.
+/// Shuts down every remaining daemon gracefully.
 fn stop_all(system: &mut System) -> Result<()> {
     print_heading("Stop all VMs gracefully");
     let mut ended = 0;
--- a/acaciaring_testing/src/demo/example.rs
+++ b/acaciaring_testing/src/demo/example.rs
@@ -1,4 +1,4 @@
-//! The example documents of the repository.
+//! Discovery of the example documents.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,16 +7,16 @@
 
 use crate::error::{IoSnafu, OptionsSnafu, Result};
 
-/// Returns the INI files of a directory and of those below it, in order of their paths.
+/// Returns the INI files of a directory and its subdirectories, sorted by path.
 ///
 /// # Errors
 ///
-/// When a directory cannot be read or there is no file.
+/// When a directory cannot be read or no INI file is found.
 pub fn examples(dir: &Path) -> Result<Vec<PathBuf>> {
     let mut files = Vec::new();
     collect(dir, &mut files)?;
     files.sort();
-    ensure!(!files.is_empty(), OptionsSnafu { what: format!("no INI file in {}", dir.display()) });
+    ensure!(!files.is_empty(), OptionsSnafu { what: format!("no INI files in {}", dir.display()) });
     Ok(files)
 }
 
--- a/acaciaring_testing/src/demo/show.rs
+++ b/acaciaring_testing/src/demo/show.rs
@@ -1,4 +1,4 @@
-//! Lines for a terminal.
+//! Output of the demo on the terminal.
 
 use crate::cluster::Reply;
 use crate::error::{AnswerSnafu, Result};
@@ -9,7 +9,7 @@
     println!("\n== {title}");
 }
 
-/// Prints an answer, and who gave it.
+/// Prints an answer with its verdict and upstream; fails when it belongs to another path.
 pub(super) fn print_reply(entry: &str, method: &str, path: &str, reply: &Reply) -> Result<()> {
     let took = reply.took.as_secs_f64() * 1000.0;
     let head = format!("  {entry:<13} {method:<4} {path:<42} {} {}", reply.status, reply.verdict);
@@ -19,7 +19,7 @@
             Ok(())
         }
         Ok(echo) => {
-            AnswerSnafu { what: format!("answer to {} instead of {path}", echo.path) }.fail()
+            AnswerSnafu { what: format!("answer for {} to a request for {path}", echo.path) }.fail()
         }
         Err(_) => {
             println!("{head} ({}) in {took:.1} ms", reply.reason);
--- a/acaciaring_testing/src/demo/tool.rs
+++ b/acaciaring_testing/src/demo/tool.rs
@@ -1,4 +1,4 @@
-//! The command-line tool as an operator runs it.
+//! Runner of the command-line tool.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,10 +9,10 @@
 
 use crate::error::{AnswerSnafu, IoSnafu, JsonSnafu, Result};
 
-/// Members that the tool is given.
+/// Number of member addresses that are passed to the tool.
 const CONTACTED_MEMBERS: usize = 2;
 
-/// The tool and the members that it asks.
+/// Command-line tool with the addresses of the members that it contacts.
 pub(super) struct Tool {
     program: PathBuf,
     members: Vec<SocketAddr>,
@@ -23,7 +23,7 @@
         Self { program: program.to_owned(), members }
     }
 
-    /// Publishes files and waits until they are in force everywhere.
+    /// Publishes files and waits until all members apply them.
     pub(super) fn publish(&self, files: &[PathBuf]) -> Result<()> {
         let name =
             |file: &PathBuf| file.file_name().map(|name| name.to_string_lossy().into_owned());
@@ -35,7 +35,7 @@
         self.run(&arguments).map(drop)
     }
 
-    /// Runs a command and prints what it says.
+    /// Runs a command and prints its output.
     pub(super) fn show(&self, arguments: &[&str]) -> Result<()> {
         println!("  $ acaciaring {}", arguments.join(" "));
         let output = self.run(arguments)?;
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    /// Prints who owns a key, in one line.
+    /// Prints the slot, owner and standby of a key in one line.
     pub(super) fn print_owner(&self, workspace: &str, key: &str) -> Result<()> {
         let output = self.run(&["--format", "json", "owner", workspace, key])?;
         let owner: Owner = serde_json::from_str(&output).context(JsonSnafu)?;
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// Runs a command and returns what it prints.
+    /// Runs a command and returns its standard output.
     fn run(&self, arguments: &[&str]) -> Result<String> {
         let mut command = Command::new(&self.program);
         for member in self.members.iter().take(CONTACTED_MEMBERS) {
