--- a/acaciaring_testing/src/bin/experiment.rs
+++ b/acaciaring_testing/src/bin/experiment.rs
@@ -1,4 +1,4 @@
-//! Measures the policy under load and faults, and what it costs, with real processes.
+//! Program that measures routing under load and faults, and its cost, with real processes.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -6,34 +6,34 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use acaciaring_testing::demo::beside;
+use acaciaring_testing::demo::sibling_program;
 use acaciaring_testing::experiment::{
     BASELINES, CostOptions, Deployment, FULL, Outcome, Scenario, TrialOptions, measure_cost,
     render, run,
 };
 
-/// Seconds of load in each scenario.
-const SECONDS: u64 = 15;
+/// Default duration of the load in each scenario.
+const DEFAULT_SECONDS: u64 = 15;
 
 xflags::xflags! {
     /// Measures acaciaring with real processes on this machine.
     cmd acaciaring-experiment {
-        /// Seed of the load and of the choice of the victim; 1 when absent.
+        /// Seed of the load and of the choice of the affected VM; 1 by default.
         optional --seed seed: u64
         /// Deployment: korenveld, laurentides or all (default).
         optional --deployment name: String
         /// Scenario: calm, hot-spell, join, stop, crash, freeze, log-outage, overload, silence or all (default).
         optional --scenario name: String
-        /// Seconds of load in each scenario.
+        /// Duration of the load in each scenario; 15 by default.
         optional --seconds seconds: u64
-        /// Run the baselines as well.
+        /// Also run the baselines that disable a mechanism.
         optional --baselines
-        /// Print JSON, one outcome a line.
+        /// Print the outcomes as JSON, one per line.
         optional --json
-        /// Program of the daemon; `acaciaringd` beside this program when absent.
+        /// Path of the daemon; `acaciaringd` in this program's directory by default.
         optional --daemon path: PathBuf
 
-        /// Measures what the path of a request and idle members cost.
+        /// Measures the cost of a request's path and of idle members.
         cmd cost {}
         default cmd scenarios {}
     }
@@ -43,7 +43,7 @@
     let flags = AcaciaringExperiment::from_env_or_exit();
     let daemon = match &flags.daemon {
         Some(path) => path.clone(),
-        None => beside("acaciaringd")?,
+        None => sibling_program("acaciaringd")?,
     };
     let seed = flags.seed.unwrap_or(1);
     if let AcaciaringExperimentCmd::Cost(_) = flags.subcommand {
@@ -51,23 +51,23 @@
         println!("{}", measure_cost(&CostOptions { daemon, seed, members })?);
         return Ok(ExitCode::SUCCESS);
     }
-    let outcomes = trials(&flags, &daemon, seed)?;
+    let outcomes = run_trials(&flags, &daemon, seed)?;
     if !flags.json {
         println!("{}", render(&outcomes));
     }
-    let sound = outcomes.iter().all(Outcome::sound);
-    Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    let correct = outcomes.iter().all(Outcome::is_correct);
+    Ok(if correct { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn trials(
+fn run_trials(
     flags: &AcaciaringExperiment,
     daemon: &std::path::Path,
     seed: u64,
 ) -> Result<Vec<Outcome>, Box<dyn Error>> {
-    let length = Duration::from_secs(flags.seconds.unwrap_or(SECONDS).max(1));
+    let length = Duration::from_secs(flags.seconds.unwrap_or(DEFAULT_SECONDS).max(1));
     let mut outcomes = Vec::new();
-    for deployment in chosen(flags.deployment.as_deref(), &Deployment::ALL)? {
-        for scenario in chosen(flags.scenario.as_deref(), &Scenario::ALL)? {
+    for deployment in selected(flags.deployment.as_deref(), &Deployment::ALL)? {
+        for scenario in selected(flags.scenario.as_deref(), &Scenario::ALL)? {
             let baselines = BASELINES.iter().filter(|baseline| {
                 **baseline == FULL || flags.baselines && baseline.covers(scenario)
             });
@@ -91,7 +91,7 @@
     Ok(outcomes)
 }
 
-fn chosen<T>(name: Option<&str>, all: &[T]) -> Result<Vec<T>, T::Err>
+fn selected<T>(name: Option<&str>, all: &[T]) -> Result<Vec<T>, T::Err>
 where
     T: FromStr + Copy,
 {
--- a/acaciaring_testing/src/experiment.rs
+++ b/acaciaring_testing/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Measurements with real processes: what the policy does under load and faults, and what it costs.
+//! Experiments with real processes: routing under load and faults, and the cost of routing.
 
 mod baseline;
 mod cost;
@@ -12,9 +12,9 @@
 
 pub use self::baseline::{BASELINES, Baseline, FULL};
 pub use self::cost::{CostOptions, measure_cost};
-pub use self::deployment::{Deployment, Service, Source};
+pub use self::deployment::{Deployment, DocumentSource, Service};
 pub use self::measure::{
-    Churn, Imbalance, Unavailable, churn, imbalance, longest_gap, unavailable,
+    Churn, Imbalance, Unavailability, churn, imbalance, longest_gap, unavailability,
 };
 pub use self::scenario::Scenario;
 pub use self::system::{System, SystemOptions};
--- a/acaciaring_testing/src/experiment/cost/idle.rs
+++ b/acaciaring_testing/src/experiment/cost/idle.rs
@@ -1,4 +1,4 @@
-//! What members cost that have nothing to do, by the count of members.
+//! Resources that idle members use, by the number of members.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -10,28 +10,28 @@
 use crate::upstream::UpstreamOptions;
 
 use super::CostOptions;
-use super::process::{memory, processor};
+use super::process::{cpu_time, resident_kib};
 
-/// Time between the start of a system and its measurement.
-const REST: Duration = Duration::from_secs(3);
+/// Time between the start of a system and its first sample.
+const WARM_UP_TIME: Duration = Duration::from_secs(3);
 
-/// Length of a measurement.
-const LENGTH: Duration = Duration::from_secs(8);
+/// Time between the two samples of a system.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(8);
 
-/// Reading of a system.
-struct Reading {
+/// Cumulative counters of a system at one time.
+struct Sample {
     taken: Instant,
-    processor: Duration,
-    /// Bytes and datagrams between members.
+    cpu_time: Duration,
+    /// Bytes sent between members.
     bytes: u64,
     datagrams: u64,
-    /// Bytes that the log has received and sent, without HTTP headers.
+    /// Bytes that the log received and sent, HTTP headers excluded.
     log: u64,
-    /// Reads and appends that the log has answered.
+    /// Reads and appends answered by the log.
     calls: u64,
 }
 
-/// Measures systems of several sizes, one after the other.
+/// Measures an idle system of each size in the options.
 pub(super) fn measure(options: &CostOptions) -> Result<Table> {
     let mut table = Table::new(&[
         "members",
@@ -43,7 +43,7 @@
         "log calls, /s a member",
     ]);
     for members in &options.members {
-        table.row(row(options, *members)?);
+        table.add_row(row(options, *members)?);
     }
     Ok(table)
 }
@@ -61,23 +61,24 @@
     }
     system.publish(deployment)?;
     system.settle(deployment)?;
-    thread::sleep(REST);
-    let before = read(&system);
-    thread::sleep(LENGTH);
-    let after = read(&system);
-    let sizes: Vec<u64> = system.cluster.vms.iter().map(|vm| memory(vm.process.id())).collect();
+    thread::sleep(WARM_UP_TIME);
+    let before = take_sample(&system);
+    thread::sleep(MEASUREMENT_TIME);
+    let after = take_sample(&system);
+    let sizes: Vec<u64> =
+        system.cluster.vms.iter().map(|vm| resident_kib(vm.process.id())).collect();
     Ok(cells(members, &sizes, &before, &after))
 }
 
-fn read(system: &System) -> Reading {
+fn take_sample(system: &System) -> Sample {
     let vms = &system.cluster.vms;
     let passed = system.proxies.iter().map(|proxy| proxy.handle().datagrams());
     let (bytes, datagrams) =
         passed.fold((0, 0), |sum, next| (sum.0 + next.bytes, sum.1 + next.count));
     let log = system.cluster.log.handle().counts();
-    Reading {
+    Sample {
         taken: Instant::now(),
-        processor: vms.iter().map(|vm| processor(vm.process.id())).sum(),
+        cpu_time: vms.iter().map(|vm| cpu_time(vm.process.id())).sum(),
         bytes,
         datagrams,
         log: log.received + log.sent,
@@ -86,10 +87,10 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-fn cells(members: usize, sizes: &[u64], before: &Reading, after: &Reading) -> Vec<String> {
+fn cells(members: usize, sizes: &[u64], before: &Sample, after: &Sample) -> Vec<String> {
     let time = (after.taken - before.taken).as_secs_f64() * members as f64;
     let rate = |after: u64, before: u64| format!("{:.1}", (after - before) as f64 / time);
-    let share = after.processor.saturating_sub(before.processor).as_secs_f64() / time * 100.0;
+    let share = after.cpu_time.saturating_sub(before.cpu_time).as_secs_f64() / time * 100.0;
     let mebi = |kibi: f64| kibi / 1024.0;
     let mean = sizes.iter().sum::<u64>() as f64 / members as f64;
     let most = sizes.iter().max().copied().unwrap_or_default() as f64;
