--- a/acaciaring_testing/src/experiment/table.rs
+++ b/acaciaring_testing/src/experiment/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Write as _};
 
-use crate::load::Told;
+use crate::load::Verdict;
 
 use super::trial::Outcome;
 
@@ -78,7 +78,7 @@
                 unavailable.total / unavailable.keys.max(1) / 1000
             ),
             format!("{:.0}", outcome.goodput),
-            told(outcome, Told::Unknown).to_string(),
+            told(outcome, Verdict::Unknown).to_string(),
             outcome.duplicates.to_string(),
             outcome.refused.to_string(),
             (outcome.wrong + outcome.missing).to_string(),
@@ -131,7 +131,7 @@
     ]);
     for outcome in outcomes {
         let mut cells = name(outcome);
-        let kinds = [Told::Answered, Told::NotRun, Told::Unknown, Told::Nothing];
+        let kinds = [Verdict::Answered, Verdict::NotRun, Verdict::Unknown, Verdict::Nothing];
         cells.extend(kinds.map(|kind| told(outcome, kind).to_string()));
         cells.push(reasons(&outcome.reasons));
         table.row(cells);
@@ -144,7 +144,7 @@
     vec![deployment.name().into(), scenario.name().into(), baseline.name.into()]
 }
 
-fn told(outcome: &Outcome, told: Told) -> u64 {
+fn told(outcome: &Outcome, told: Verdict) -> u64 {
     outcome.told.get(&told).copied().unwrap_or_default()
 }
 
--- a/acaciaring_testing/src/experiment/trial/outcome.rs
+++ b/acaciaring_testing/src/experiment/trial/outcome.rs
@@ -10,7 +10,7 @@
 use crate::experiment::probe::MARK;
 use crate::experiment::scenario::Scenario;
 use crate::experiment::system::System;
-use crate::load::{ClassFigures, LoadFigures, Report, Told};
+use crate::load::{ClassFigures, LoadFigures, Report, Verdict};
 use crate::upstream::Run;
 
 use super::TrialOptions;
@@ -43,7 +43,7 @@
     /// Figures by class.
     pub classes: BTreeMap<String, ClassFigures>,
     /// Tries by what was told.
-    pub told: BTreeMap<Told, u64>,
+    pub told: BTreeMap<Verdict, u64>,
     /// Requests by the reason of their last try.
     pub reasons: BTreeMap<String, u64>,
     /// Requests that may run once and ran more often; must be 0.
--- a/acaciaring_testing/src/lib.rs
+++ b/acaciaring_testing/src/lib.rs
@@ -22,13 +22,13 @@
 pub use crate::error::{Error, Result};
 pub use crate::link::{Direction, Faults};
 pub use crate::load::{
-    ClassFigures, LoadClass, LoadFigures, LoadOptions, Overlap, Report, Sent, Told, check_records,
-    check_tokens, read_records, run_load,
+    ClassFigures, LoadClass, LoadFigures, LoadOptions, Overlap, Report, SentRequest, Verdict,
+    check_records, check_tokens, read_records, run_load,
 };
 pub use crate::log::{LogControl, LogCounts, LogHandle, LogOptions, LogServer};
 pub use crate::network::Network;
 pub use crate::proxy::{
-    Datagrams, ProxyControl, ProxyHandle, ProxyOptions, ProxyServer, Transport,
+    DatagramCounts, ProxyControl, ProxyHandle, ProxyOptions, ProxyServer, Transport,
 };
 pub use crate::upstream::{
     Announced, Echo, Health, Run, UpstreamControl, UpstreamCounts, UpstreamHandle, UpstreamOptions,
--- a/acaciaring_testing/src/load.rs
+++ b/acaciaring_testing/src/load.rs
@@ -109,7 +109,7 @@
 /// What a caller was told of one try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Told {
+pub enum Verdict {
     /// Verdict `answered`, with the caller's own whole answer.
     Answered,
     /// Verdict `answered`, with another request's answer or a broken one.
@@ -124,7 +124,7 @@
 
 /// One request that was sent, in one or more tries.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Sent {
+pub struct SentRequest {
     /// Unique; try `n` carries `<tag>.<n>` in the header `x-load-tag`, from 0.
     pub tag: String,
     /// Name of the class.
@@ -134,7 +134,7 @@
     /// True when it may run at most once.
     pub once: bool,
     /// What was told of each try.
-    pub tries: Vec<Told>,
+    pub tries: Vec<Verdict>,
     /// Status of the last try, 0 when there was none.
     pub status: u16,
     /// Reason header of the last try.
@@ -168,12 +168,12 @@
     /// By class.
     pub classes: BTreeMap<String, ClassFigures>,
     /// Tries by what was told.
-    pub told: BTreeMap<Told, u64>,
+    pub told: BTreeMap<Verdict, u64>,
     /// Requests by the reason of their last try.
     pub reasons: BTreeMap<String, u64>,
     /// Each request; left out of the JSON.
     #[serde(skip)]
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentRequest>,
 }
 
 /// Runs a load to its end.
@@ -192,13 +192,13 @@
     Ok(figures(sent, start.elapsed()))
 }
 
-fn figures(sent: Vec<Sent>, elapsed: Duration) -> LoadFigures {
+fn figures(sent: Vec<SentRequest>, elapsed: Duration) -> LoadFigures {
     let mut figures = LoadFigures::default();
     let mut latencies: BTreeMap<String, Histogram<u64>> = BTreeMap::new();
     for request in &sent {
         let class = figures.classes.entry(request.class.clone()).or_default();
         class.sent += 1;
-        if request.tries.last() == Some(&Told::Answered) {
+        if request.tries.last() == Some(&Verdict::Answered) {
             class.answered += 1;
             let latency = latencies.entry(request.class.clone()).or_insert_with(histogram);
             latency.saturating_record(request.end.saturating_sub(request.start).max(1));
--- a/acaciaring_testing/src/load/caller.rs
+++ b/acaciaring_testing/src/load/caller.rs
@@ -9,7 +9,7 @@
 use ureq::http::Response;
 use ureq::{Agent, Body};
 
-use super::{LoadClass, LoadOptions, Sent, Told};
+use super::{LoadClass, LoadOptions, SentRequest, Verdict};
 use crate::error::{OptionsSnafu, Result};
 use crate::upstream::{Echo, body_hash, micros};
 
@@ -44,7 +44,7 @@
 
 /// What came back from one try.
 struct Reply {
-    told: Told,
+    told: Verdict,
     status: u16,
     reason: Option<String>,
     wait: Option<Duration>,
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(super) fn run(mut self) -> Vec<Sent> {
+    pub(super) fn run(mut self) -> Vec<SentRequest> {
         let mut sent = Vec::new();
         while self.pace(sent.len()) {
             let request = self.request(sent.len());
@@ -100,14 +100,14 @@
         Instant::now() < self.end
     }
 
-    fn request(&mut self, place: usize) -> Sent {
+    fn request(&mut self, place: usize) -> SentRequest {
         let options = self.options;
         let class = self.class();
         let key = class.path.contains("{key}").then(|| self.key());
         let tag = format!("{:x}-{}-{place}", options.seed, self.number);
         let path = class.path.replace("{key}", key.as_deref().unwrap_or_default());
         let draft = Draft { class, path, tag: tag.clone(), body: vec![FILL; class.body] };
-        let mut sent = Sent {
+        let mut sent = SentRequest {
             tag,
             class: class.name.clone(),
             key,
@@ -124,7 +124,7 @@
             sent.tries.push(reply.told);
             sent.status = reply.status;
             sent.reason = reply.reason;
-            if matches!(reply.told, Told::Answered | Told::Wrong) {
+            if matches!(reply.told, Verdict::Answered | Verdict::Wrong) {
                 break;
             }
             if number + 1 < options.tries as usize {
@@ -172,7 +172,7 @@
             Ok(response) => Reply::read(response, draft, &tag, self.options.direct),
             Err(error) => {
                 tracing::debug!(%error, tag, "no answer");
-                Reply { told: Told::Nothing, status: 0, reason: None, wait: None }
+                Reply { told: Verdict::Nothing, status: 0, reason: None, wait: None }
             }
         }
     }
@@ -217,19 +217,19 @@
         let status = response.status().as_u16();
         let told = match response.body_mut().read_to_vec() {
             Ok(body) => told(verdict.as_deref(), &body, draft, tag),
-            Err(_) => Told::Nothing,
+            Err(_) => Verdict::Nothing,
         };
         Self { told, status, reason, wait: wait.map(Duration::from_millis) }
     }
 }
 
-fn told(verdict: Option<&str>, body: &[u8], draft: &Draft<'_>, tag: &str) -> Told {
+fn told(verdict: Option<&str>, body: &[u8], draft: &Draft<'_>, tag: &str) -> Verdict {
     match verdict {
-        Some("answered") if own(body, draft, tag) => Told::Answered,
-        Some("answered") => Told::Wrong,
-        Some("not-run") => Told::NotRun,
-        Some("unknown") => Told::Unknown,
-        Some(_) | None => Told::Nothing,
+        Some("answered") if own(body, draft, tag) => Verdict::Answered,
+        Some("answered") => Verdict::Wrong,
+        Some("not-run") => Verdict::NotRun,
+        Some("unknown") => Verdict::Unknown,
+        Some(_) | None => Verdict::Nothing,
     }
 }
 
--- a/acaciaring_testing/src/load/check.rs
+++ b/acaciaring_testing/src/load/check.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
 
-use super::{Sent, Told};
+use super::{SentRequest, Verdict};
 use crate::error::{IoSnafu, JsonSnafu, Result};
 use crate::upstream::Run;
 
@@ -53,7 +53,7 @@
 /// without an end is taken to have ended when it started, for its upstream may have died at any time
 /// after that.
 #[must_use]
-pub fn check_records(records: &[Run], sent: &[Sent]) -> Report {
+pub fn check_records(records: &[Run], sent: &[SentRequest]) -> Report {
     let runs = by_tag(records);
     let mut report = Report::default();
     let mut keys: BTreeMap<&str, Vec<&Run>> = BTreeMap::new();
@@ -83,17 +83,17 @@
 }
 
 impl Report {
-    fn judge(&mut self, request: &Sent, runs: &[&Run]) {
+    fn judge(&mut self, request: &SentRequest, runs: &[&Run]) {
         if request.once && runs.len() > 1 {
             self.duplicates.push(request.tag.clone());
         }
         for (number, told) in request.tries.iter().enumerate() {
             let tag = format!("{}.{number}", request.tag);
             match told {
-                Told::NotRun if runs.iter().any(|run| run.tag == tag) => self.refused.push(tag),
-                Told::Answered if runs.is_empty() => self.missing.push(tag),
-                Told::Wrong => self.wrong.push(tag),
-                Told::Answered | Told::NotRun | Told::Unknown | Told::Nothing => {}
+                Verdict::NotRun if runs.iter().any(|run| run.tag == tag) => self.refused.push(tag),
+                Verdict::Answered if runs.is_empty() => self.missing.push(tag),
+                Verdict::Wrong => self.wrong.push(tag),
+                Verdict::Answered | Verdict::NotRun | Verdict::Unknown | Verdict::Nothing => {}
             }
         }
     }
--- a/acaciaring_testing/src/network.rs
+++ b/acaciaring_testing/src/network.rs
@@ -80,7 +80,7 @@
     }
 
     /// Cuts or joins both ways between two groups of members.
-    pub fn part(&self, one: &[usize], other: &[usize], cut: bool) {
+    pub fn partition(&self, one: &[usize], other: &[usize], cut: bool) {
         for a in one {
             for b in other {
                 self.cut(*a, *b, cut);
--- a/acaciaring_testing/src/proxy.rs
+++ b/acaciaring_testing/src/proxy.rs
@@ -68,7 +68,7 @@
 
 /// Datagrams that have arrived at a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Datagrams {
+pub struct DatagramCounts {
     /// Count.
     pub count: u64,
     /// Bytes of their payloads; IP and UDP add 28 bytes to each.
@@ -200,12 +200,12 @@
 
     /// Datagrams that have arrived from either side, none for connections.
     #[must_use]
-    pub fn datagrams(&self) -> Datagrams {
+    pub fn datagrams(&self) -> DatagramCounts {
         match &self.shared.relay {
-            Relay::Tcp(_) => Datagrams::default(),
+            Relay::Tcp(_) => DatagramCounts::default(),
             Relay::Udp(link) => {
                 let (bytes, count) = link.arrived();
-                Datagrams { count, bytes }
+                DatagramCounts { count, bytes }
             }
         }
     }
--- a/acaciaring_testing/tests/load.rs
+++ b/acaciaring_testing/tests/load.rs
@@ -5,8 +5,8 @@
 use std::thread;
 
 use acaciaring_testing::{
-    Echo, LoadClass, LoadOptions, Run, Sent, Told, UpstreamOptions, UpstreamServer, body_hash,
-    check_records, check_tokens, run_load,
+    Echo, LoadClass, LoadOptions, Run, SentRequest, UpstreamOptions, UpstreamServer, Verdict,
+    body_hash, check_records, check_tokens, run_load,
 };
 use tiny_http::{Header, Request, Response, Server};
 
@@ -74,13 +74,13 @@
     .unwrap();
     let requests = figures.sent.len() as u64;
     assert!(requests > 0);
-    assert_eq!(figures.told[&Told::NotRun], requests);
+    assert_eq!(figures.told[&Verdict::NotRun], requests);
     let (read, write, swap) =
         (&figures.classes["read"], &figures.classes["write"], &figures.classes["swap"]);
     assert_eq!(read.sent + write.sent + swap.sent, requests);
     assert_eq!((read.answered, write.answered), (read.sent, write.sent));
     assert_eq!(swap.answered, 0);
-    assert_eq!(figures.told[&Told::Wrong], swap.sent);
+    assert_eq!(figures.told[&Verdict::Wrong], swap.sent);
     assert!(read.p50 > 0 && read.p50 <= read.p99 && read.p99 <= read.longest);
     assert!(figures.sent.iter().all(|sent| (sent.class == "swap") == sent.key.is_none()));
 }
@@ -108,7 +108,7 @@
 fn direct_calls_need_no_verdict() {
     let options = UpstreamOptions { fenced: false, ..UpstreamOptions::default() };
     let upstream = UpstreamServer::start(options).unwrap();
-    for (direct, told) in [(true, Told::Answered), (false, Told::Nothing)] {
+    for (direct, told) in [(true, Verdict::Answered), (false, Verdict::Nothing)] {
         let options = LoadOptions {
             entries: vec![upstream.address()],
             duration: 200,
@@ -130,8 +130,8 @@
     Run { upstream: upstream.into(), tag: tag.into(), start, end, ..Run::default() }
 }
 
-fn sent(tag: &str, key: &str, tries: &[Told]) -> Sent {
-    Sent {
+fn sent(tag: &str, key: &str, tries: &[Verdict]) -> SentRequest {
+    SentRequest {
         tag: tag.into(),
         class: "write".into(),
         key: Some(key.into()),
@@ -146,7 +146,10 @@
 
 #[test]
 fn clean_records_are_clean() {
-    let sent = [sent("a", "k", &[Told::NotRun, Told::Answered]), sent("b", "k", &[Told::Nothing])];
+    let sent = [
+        sent("a", "k", &[Verdict::NotRun, Verdict::Answered]),
+        sent("b", "k", &[Verdict::Nothing]),
+    ];
     let records = [run("u", "a.1", 10, 20), run("v", "b.0", 20, 30)];
     let report = check_records(&records, &sent);
     assert!(report.clean(), "{report:?}");
@@ -157,15 +160,16 @@
 #[test]
 fn duplicate_of_a_once_request_is_found() {
     let records = [run("u", "a.0", 10, 20), run("v", "a.1", 30, 40)];
-    let report = check_records(&records, &[sent("a", "k", &[Told::Unknown, Told::Answered])]);
+    let report = check_records(&records, &[sent("a", "k", &[Verdict::Unknown, Verdict::Answered])]);
     assert_eq!(report.duplicates, ["a"]);
-    let read = Sent { once: false, ..sent("a", "k", &[Told::Unknown, Told::Answered]) };
+    let read =
+        SentRequest { once: false, ..sent("a", "k", &[Verdict::Unknown, Verdict::Answered]) };
     assert!(check_records(&records, &[read]).clean());
 }
 
 #[test]
 fn run_that_was_told_not_run_is_found() {
-    let tries = [Told::NotRun, Told::Unknown];
+    let tries = [Verdict::NotRun, Verdict::Unknown];
     let report = check_records(&[run("u", "a.0", 10, 20)], &[sent("a", "k", &tries)]);
     assert_eq!(report.refused, ["a.0"]);
     assert!(check_records(&[run("u", "a.1", 10, 20)], &[sent("a", "k", &tries)]).clean());
@@ -173,7 +177,7 @@
 
 #[test]
 fn answer_without_a_run_is_found() {
-    let report = check_records(&[run("u", "b.0", 1, 2)], &[sent("a", "k", &[Told::Answered])]);
+    let report = check_records(&[run("u", "b.0", 1, 2)], &[sent("a", "k", &[Verdict::Answered])]);
     assert_eq!(report.missing, ["a.0"]);
 }
 
@@ -181,7 +185,7 @@
 fn overlap_on_two_upstreams_is_found() {
     let requests = |keys: [&str; 3]| {
         let tags = ["a", "b", "c"].into_iter().zip(keys);
-        tags.map(|(tag, key)| sent(tag, key, &[Told::Answered])).collect::<Vec<_>>()
+        tags.map(|(tag, key)| sent(tag, key, &[Verdict::Answered])).collect::<Vec<_>>()
     };
     // A long run on `u` covers a short one there and the start of one on `v`.
     let records = [run("u", "a.0", 10, 50), run("u", "b.0", 11, 12), run("v", "c.0", 40, 60)];
--- a/acaciaringd/tests/answers.rs
+++ b/acaciaringd/tests/answers.rs
@@ -7,7 +7,7 @@
 
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{
-    Ask, Cluster, LoadClass, LoadOptions, Told, UpstreamControl, ask, check_records, run_load,
+    Ask, Cluster, LoadClass, LoadOptions, UpstreamControl, Verdict, ask, check_records, run_load,
 };
 
 use common::classes::{
@@ -91,7 +91,7 @@
     println!("{sent} requests, {runs} runs, told {:?}", figures.told);
     // Each of the three entries has an initial budget of 20 retries and one more per ten requests.
     assert!(runs <= sent + sent / 5 + 3 * 25, "{sent} requests ran {runs} times");
-    assert_eq!(figures.told.get(&Told::Unknown), Some(&(sent as u64)), "{:?}", figures.told);
+    assert_eq!(figures.told.get(&Verdict::Unknown), Some(&(sent as u64)), "{:?}", figures.told);
 }
 
 // Guards against a late or truncated answer that is taken for the answer of another request on the
@@ -125,9 +125,9 @@
     }
     let figures = load.join().expect("the load ends");
     let told = |told| figures.told.get(&told).copied().unwrap_or(0);
-    assert_eq!((told(Told::Wrong), told(Told::Nothing)), (0, 0), "{:?}", figures.told);
-    assert!(told(Told::Unknown) > 0, "no answer was late");
-    assert!(told(Told::Answered) > 200, "{:?}", figures.told);
+    assert_eq!((told(Verdict::Wrong), told(Verdict::Nothing)), (0, 0), "{:?}", figures.told);
+    assert!(told(Verdict::Unknown) > 0, "no answer was late");
+    assert!(told(Verdict::Answered) > 200, "{:?}", figures.told);
     recovery::assert_consistent(&cluster.runs(), &figures);
 }
 
@@ -184,5 +184,5 @@
     println!("told {:?}, reasons {:?}", figures.told, figures.reasons);
     let report = check_records(&cluster.runs(), &figures.sent);
     assert!(report.clean(), "{report:#?}");
-    assert_eq!(figures.told.get(&Told::Answered), None);
+    assert_eq!(figures.told.get(&Verdict::Answered), None);
 }
--- a/acaciaringd/tests/freeze.rs
+++ b/acaciaringd/tests/freeze.rs
@@ -78,7 +78,7 @@
     }
     let woken = cluster.vms[victim].runs().len();
     // The member can learn of the time that passed from its own clock only.
-    network.part(&[victim], &others, true);
+    network.partition(&[victim], &others, true);
     network.cut_log(victim, true);
     cluster.vms[victim].process.thaw();
     for caller in waiting {
--- a/acaciaringd/tests/overload.rs
+++ b/acaciaringd/tests/overload.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use acaciaring_testing::{Cluster, LoadFigures, LoadOptions, Sent, Told, check_records};
+use acaciaring_testing::{Cluster, LoadFigures, LoadOptions, SentRequest, Verdict, check_records};
 
 use common::classes::{
     class_load, header_value, limited_upstreams, response_head, run_loads, start_keyed,
@@ -112,19 +112,21 @@
     assert!(share(grade, "grade") > 95, "critical requests are refused");
     assert!(share(archive, "archive") < 50, "background requests take the place of others");
     assert!(share(samples, "samples") > 10, "bulk starves");
-    let lost = |sent: &&Sent| !matches!(sent.tries.last(), Some(Told::Answered | Told::NotRun));
+    let lost = |sent: &&SentRequest| {
+        !matches!(sent.tries.last(), Some(Verdict::Answered | Verdict::NotRun))
+    };
     assert_eq!(samples.sent.iter().filter(lost).count(), 0, "bulk requests are lost");
     assert!(!refusals.is_empty(), "nothing was refused");
     for head in &refusals {
         assert!(header_value(head, "x-acaciaring-retry-ms").is_some(), "{head}");
     }
-    let refused = archive.sent.iter().filter(|sent| sent.tries.last() == Some(&Told::NotRun));
+    let refused = archive.sent.iter().filter(|sent| sent.tries.last() == Some(&Verdict::NotRun));
     let mut times: Vec<u64> = refused.map(|sent| sent.end - sent.start).collect();
     times.sort_unstable();
     let late = times[times.len() * 95 / 100];
     println!("19 of 20 refusals within {late} us");
     assert!(late < DEADLINE_MS * 1000 / 2, "refusals come near the deadline");
-    let sent: Vec<Sent> = all.into_iter().flat_map(|load| load.sent).collect();
+    let sent: Vec<SentRequest> = all.into_iter().flat_map(|load| load.sent).collect();
     let asked = (sent.len() + refusals.len()) as u64;
     assert!(arrived * 10 < 12 * asked, "{arrived} tries for {asked} requests");
     let report = check_records(&cluster.runs(), &sent);
--- a/acaciaringd/tests/partition.rs
+++ b/acaciaringd/tests/partition.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_member_that_is_cut_off_stops_before_its_keys_are_taken_over() {
     check_cut_off(31, |network, cut| {
-        network.part(&[VICTIM], &OTHERS, cut);
+        network.partition(&[VICTIM], &OTHERS, cut);
         network.cut_log(VICTIM, cut);
     });
 }
@@ -100,7 +100,7 @@
     .expect("the members choose their lessors anew");
     let keys = [keys_owned_by(&cluster, &one), keys_owned_by(&cluster, &other)];
     assert!(keys.iter().all(|keys| !keys.is_empty()), "both regions own keys");
-    network.part(&one, &other, true);
+    network.partition(&one, &other, true);
     for vm in other {
         network.cut_log(vm, true);
     }
--- a/acaciaringd/tests/shed.rs
+++ b/acaciaringd/tests/shed.rs
@@ -7,7 +7,7 @@
 
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{
-    Cluster, ClusterOptions, LoadFigures, Run, Told, UpstreamControl, UpstreamOptions,
+    Cluster, ClusterOptions, LoadFigures, Run, UpstreamControl, UpstreamOptions, Verdict,
     check_records,
 };
 
@@ -26,7 +26,7 @@
 }
 
 fn answered_count(figures: &LoadFigures) -> usize {
-    figures.sent.iter().filter(|sent| sent.tries.last() == Some(&Told::Answered)).count()
+    figures.sent.iter().filter(|sent| sent.tries.last() == Some(&Verdict::Answered)).count()
 }
 
 fn shed_count(cluster: &Cluster, vm: usize) -> u64 {
--- a/acaciaringd/tests/shutdown.rs
+++ b/acaciaringd/tests/shutdown.rs
@@ -8,7 +8,8 @@
 
 use acaciaring_testing::harness::wait_until;
 use acaciaring_testing::{
-    Ask, ClusterOptions, LoadFigures, LogControl, Run, Told, UpstreamControl, UpstreamOptions, ask,
+    Ask, ClusterOptions, LoadFigures, LogControl, Run, UpstreamControl, UpstreamOptions, Verdict,
+    ask,
 };
 
 use common::recovery::{self, RECOVERY_TIMEOUT};
@@ -132,11 +133,11 @@
             let tag = format!("{}.{number}", sent.tag);
             let reason = sent.reason.clone().unwrap_or_default();
             match told {
-                Told::Unknown => found.push(format!("{tag} unknown {reason}")),
-                Told::Nothing if runs.iter().any(|run| run.tag == tag) => {
+                Verdict::Unknown => found.push(format!("{tag} unknown {reason}")),
+                Verdict::Nothing if runs.iter().any(|run| run.tag == tag) => {
                     found.push(format!("{tag} ran and had no answer"));
                 }
-                Told::Nothing | Told::Answered | Told::NotRun | Told::Wrong => {}
+                Verdict::Nothing | Verdict::Answered | Verdict::NotRun | Verdict::Wrong => {}
             }
         }
     }
--- a/acaciaringd/tests/silence.rs
+++ b/acaciaringd/tests/silence.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use acaciaring_testing::harness::wait_until;
-use acaciaring_testing::{ClusterOptions, LoadFigures, Told, UpstreamControl, UpstreamOptions};
+use acaciaring_testing::{ClusterOptions, LoadFigures, UpstreamControl, UpstreamOptions, Verdict};
 
 use common::recovery::{self, RECOVERY_TIMEOUT};
 use common::{CONTRACTS, options, start_cluster, start_cluster_with, start_proxied, vm_options};
@@ -94,7 +94,7 @@
     assert_eq!(upstream.records().len(), count, "new work after {LEAVE_TIME:?}");
     recovery::assert_consistent(&cluster.runs(), &figures);
     assert_all_answered(&figures);
-    let unknown = figures.told.get(&Told::Unknown);
+    let unknown = figures.told.get(&Verdict::Unknown);
     assert_eq!(unknown, None, "a planned end loses no answer");
 }
 
@@ -123,7 +123,7 @@
     let silent: Vec<&str> = figures
         .sent
         .iter()
-        .filter(|sent| sent.tries.contains(&Told::Nothing))
+        .filter(|sent| sent.tries.contains(&Verdict::Nothing))
         .map(|sent| sent.tag.as_str())
         .collect();
     assert!(silent.is_empty(), "no answer to {silent:?}");
