--- a/acaciaring_testing/src/load.rs
+++ b/acaciaring_testing/src/load.rs
@@ -18,10 +18,10 @@
 pub use self::check::{Overlap, Report, check_records, check_tokens, read_records};
 
 /// Largest latency that is told apart, in microseconds.
-const LONGEST: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// Significant digits of latencies.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Settings of a load.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -228,5 +228,6 @@
 
 /// Histogram of latencies in microseconds.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST, DIGITS).expect("the constants are valid bounds")
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .expect("the constants are valid bounds")
 }
--- a/acaciaring_testing/src/load/caller.rs
+++ b/acaciaring_testing/src/load/caller.rs
@@ -14,16 +14,16 @@
 use crate::upstream::{Echo, body_hash, micros};
 
 /// Longest wait before a retry, whatever the answer asks for.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
 
 /// Wait before a retry when the answer asks for none.
-const WAIT: Duration = Duration::from_millis(20);
+const RETRY_WAIT: Duration = Duration::from_millis(20);
 
 /// Keys that change together.
-const HOTTEST: u64 = 13;
+const HOT_KEYS: u64 = 13;
 
 /// Byte that bodies are filled with.
-const FILL: u8 = b'x';
+const BODY_FILL: u8 = b'x';
 
 pub(super) struct Caller<'a> {
     options: &'a LoadOptions,
@@ -44,7 +44,7 @@
 
 /// What came back from one try.
 struct Reply {
-    told: Verdict,
+    outcome: Verdict,
     status: u16,
     reason: Option<String>,
     wait: Option<Duration>,
@@ -106,7 +106,7 @@
         let key = class.path.contains("{key}").then(|| self.key());
         let tag = format!("{:x}-{}-{place}", options.seed, self.number);
         let path = class.path.replace("{key}", key.as_deref().unwrap_or_default());
-        let draft = Draft { class, path, tag: tag.clone(), body: vec![FILL; class.body] };
+        let draft = Draft { class, path, tag: tag.clone(), body: vec![BODY_FILL; class.body] };
         let mut sent = SentRequest {
             tag,
             class: class.name.clone(),
@@ -121,14 +121,14 @@
         for number in 0..options.tries as usize {
             let entry = options.entries[(self.number + number) % options.entries.len()];
             let reply = self.send(&draft, entry, number);
-            sent.tries.push(reply.told);
+            sent.tries.push(reply.outcome);
             sent.status = reply.status;
             sent.reason = reply.reason;
-            if matches!(reply.told, Verdict::Answered | Verdict::Wrong) {
+            if matches!(reply.outcome, Verdict::Answered | Verdict::Wrong) {
                 break;
             }
             if number + 1 < options.tries as usize {
-                thread::sleep(reply.wait.unwrap_or(WAIT).min(LONGEST_WAIT));
+                thread::sleep(reply.wait.unwrap_or(RETRY_WAIT).min(MAX_RETRY_WAIT));
             }
         }
         sent.end = micros();
@@ -153,15 +153,15 @@
         let uniform: f64 = self.rng.random();
         let rank = (self.options.keys as f64 + 1.0).powf(uniform) as u64;
         let rank = rank.clamp(1, self.options.keys);
-        match self.changed() {
+        match self.hot_changes() {
             0 => format!("key-{rank}"),
-            _ if rank > HOTTEST => format!("key-{rank}"),
+            _ if rank > HOT_KEYS => format!("key-{rank}"),
             change => format!("hot-{change}-{rank}"),
         }
     }
 
     /// How often the hottest keys have changed by now.
-    fn changed(&self) -> usize {
+    fn hot_changes(&self) -> usize {
         let elapsed = self.start.elapsed().as_millis();
         self.options.changes.iter().filter(|at| u128::from(**at) <= elapsed).count()
     }
@@ -172,7 +172,7 @@
             Ok(response) => Reply::read(response, draft, &tag, self.options.direct),
             Err(error) => {
                 tracing::debug!(%error, tag, "no answer");
-                Reply { told: Verdict::Nothing, status: 0, reason: None, wait: None }
+                Reply { outcome: Verdict::Nothing, status: 0, reason: None, wait: None }
             }
         }
     }
@@ -215,17 +215,17 @@
         let reason = header("x-acaciaring-reason");
         let wait = header("x-acaciaring-retry-ms").and_then(|millis| millis.parse().ok());
         let status = response.status().as_u16();
-        let told = match response.body_mut().read_to_vec() {
-            Ok(body) => told(verdict.as_deref(), &body, draft, tag),
+        let outcome = match response.body_mut().read_to_vec() {
+            Ok(body) => classify(verdict.as_deref(), &body, draft, tag),
             Err(_) => Verdict::Nothing,
         };
-        Self { told, status, reason, wait: wait.map(Duration::from_millis) }
+        Self { outcome, status, reason, wait: wait.map(Duration::from_millis) }
     }
 }
 
-fn told(verdict: Option<&str>, body: &[u8], draft: &Draft<'_>, tag: &str) -> Verdict {
+fn classify(verdict: Option<&str>, body: &[u8], draft: &Draft<'_>, tag: &str) -> Verdict {
     match verdict {
-        Some("answered") if own(body, draft, tag) => Verdict::Answered,
+        Some("answered") if matches_request(body, draft, tag) => Verdict::Answered,
         Some("answered") => Verdict::Wrong,
         Some("not-run") => Verdict::NotRun,
         Some("unknown") => Verdict::Unknown,
@@ -234,7 +234,7 @@
 }
 
 /// Whether an answer belongs to the request; a repeated one may carry the answer of an earlier try.
-fn own(body: &[u8], draft: &Draft<'_>, tag: &str) -> bool {
+fn matches_request(body: &[u8], draft: &Draft<'_>, tag: &str) -> bool {
     let Ok(echo) = serde_json::from_slice::<Echo>(body) else { return false };
     let same_tag = echo.tag == tag
         || draft.class.once && echo.tag.rsplit_once('.').is_some_and(|(tag, _)| tag == draft.tag);
--- a/acaciaring_testing/src/load/check.rs
+++ b/acaciaring_testing/src/load/check.rs
@@ -60,7 +60,7 @@
     for request in sent {
         let runs = runs.get(request.tag.as_str()).map_or(&[][..], Vec::as_slice);
         report.matched += runs.len();
-        report.judge(request, runs);
+        report.check_request(request, runs);
         if let Some(key) = &request.key {
             keys.entry(key).or_default().extend(runs);
         }
@@ -83,7 +83,7 @@
 }
 
 impl Report {
-    fn judge(&mut self, request: &SentRequest, runs: &[&Run]) {
+    fn check_request(&mut self, request: &SentRequest, runs: &[&Run]) {
         if request.once && runs.len() > 1 {
             self.duplicates.push(request.tag.clone());
         }
--- a/acaciaring_testing/src/log.rs
+++ b/acaciaring_testing/src/log.rs
@@ -18,24 +18,24 @@
 use crate::error::Result;
 use crate::http::{self, Http};
 
-use self::store::{Limit, Store};
+use self::store::{RateLimit, Store};
 
 pub use self::control::{LogControl, LogCounts, LogOptions};
 
 /// Largest record in bytes.
-const RECORD: usize = 256 * 1024;
+const MAX_RECORD_BYTES: usize = 256 * 1024;
 
 /// Threads that answer requests; a read that waits for a record holds none of them.
 const WORKERS: usize = 64;
 
 /// How often reads whose wait has ended are looked for.
-const SWEEP: Duration = Duration::from_millis(5);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Records in a batch when the reader names no maximum.
-const DEFAULT_MAX: u64 = 1000;
+const DEFAULT_BATCH: u64 = 1000;
 
 /// Bytes that decode as no record: field number 0 is illegal.
-const CORRUPT: [u8; 4] = [0x07, 0xff, 0xff, 0xff];
+const CORRUPT_RECORD: [u8; 4] = [0x07, 0xff, 0xff, 0xff];
 
 /// Log service in this process; it stops when dropped.
 pub struct LogServer {
@@ -56,25 +56,25 @@
 
 struct State {
     store: Store,
-    limit: Limit,
+    limit: RateLimit,
     counts: LogCounts,
     outage: bool,
     hang: bool,
     delay: Duration,
     lose: u32,
     /// Reads that wait for a record.
-    parked: Vec<Read>,
+    waiting: Vec<PendingRead>,
     /// Requests that hang.
     hanging: Vec<Request>,
 }
 
 enum Job {
     Request(Request),
-    Read(Read),
+    Read(PendingRead),
     Stop,
 }
 
-struct Read {
+struct PendingRead {
     request: Request,
     from: u64,
     max: usize,
@@ -93,13 +93,13 @@
         let (jobs, queue) = crossbeam_channel::unbounded();
         let state = State {
             store: Store::new(options.retention, options.age),
-            limit: Limit::new(now, options.rate),
+            limit: RateLimit::new(now, options.rate),
             counts: LogCounts::default(),
             outage: false,
             hang: false,
             delay: Duration::ZERO,
             lose: 0,
-            parked: Vec::new(),
+            waiting: Vec::new(),
             hanging: Vec::new(),
         };
         let shared = Arc::new(Shared { http, state: Mutex::new(state), jobs });
@@ -168,7 +168,7 @@
         while let Some(shared) = sweeper.upgrade() {
             shared.sweep(Instant::now());
             drop(shared);
-            thread::sleep(SWEEP);
+            thread::sleep(SWEEP_INTERVAL);
         }
     });
     while let Some(request) = shared.http.receive() {
@@ -197,18 +197,18 @@
             return self.control(request);
         }
         // Bodies are read before the delay: a slow caller is not the service's slowness.
-        let body = http::body(&mut request, RECORD);
+        let body = http::body(&mut request, MAX_RECORD_BYTES);
         thread::sleep(self.state.lock().delay);
         let now = Instant::now();
         match (request.method(), path) {
             (Method::Post, "/v1/records") => self.post(request, body, now),
             (Method::Get, "/v1/records") => {
-                let max = http::query(&url, "max").unwrap_or(DEFAULT_MAX);
+                let max = http::query(&url, "max").unwrap_or(DEFAULT_BATCH);
                 let wait = http::query(&url, "wait").unwrap_or(0);
                 let from = http::query(&url, "from").unwrap_or(1);
                 let max = usize::try_from(max).unwrap_or(usize::MAX);
                 self.read(
-                    Read { request, from, max, until: now + Duration::from_millis(wait) },
+                    PendingRead { request, from, max, until: now + Duration::from_millis(wait) },
                     now,
                 );
             }
@@ -240,20 +240,20 @@
         state.counts.appends += 1;
         state.counts.received += record.len() as u64;
         let offset = state.store.append(Instant::now(), record);
-        for read in state.parked.extract_if(.., |read| read.from <= offset) {
+        for read in state.waiting.extract_if(.., |read| read.from <= offset) {
             _ = self.jobs.send(Job::Read(read));
         }
         offset
     }
 
-    fn read(&self, mut read: Read, now: Instant) {
+    fn read(&self, mut read: PendingRead, now: Instant) {
         let mut state = self.state.lock();
         let Some(request) = state.refuse(read.request) else { return };
         read.request = request;
         state.store.prune(now);
         let waits = read.from >= state.store.next() && now < read.until;
         if waits {
-            return state.parked.push(read);
+            return state.waiting.push(read);
         }
         let body = state.store.batch(read.from, read.max).encode_to_vec();
         state.counts.reads += 1;
@@ -266,7 +266,7 @@
     fn sweep(&self, now: Instant) {
         let mut state = self.state.lock();
         let all = state.outage || state.hang;
-        for read in state.parked.extract_if(.., |read| all || read.until <= now) {
+        for read in state.waiting.extract_if(.., |read| all || read.until <= now) {
             _ = self.jobs.send(Job::Read(read));
         }
     }
@@ -291,10 +291,10 @@
         state.store.age = control.age.map_or(state.store.age, Duration::from_millis);
         state.store.prune(Instant::now());
         if let Some(rate) = control.rate {
-            state.limit = Limit::new(Instant::now(), rate);
+            state.limit = RateLimit::new(Instant::now(), rate);
         }
         for _ in 0..control.corrupt.unwrap_or(0) {
-            self.append(&mut state, CORRUPT.to_vec());
+            self.append(&mut state, CORRUPT_RECORD.to_vec());
         }
         if !state.hang {
             for request in mem::take(&mut state.hanging) {
--- a/acaciaring_testing/src/log/store.rs
+++ b/acaciaring_testing/src/log/store.rs
@@ -6,7 +6,7 @@
 use acaciaring_schema::log::Batch;
 
 /// Most bytes in one batch, so that a batch stays well below a caller's limits.
-const BATCH: usize = 1024 * 1024;
+const MAX_BATCH_BYTES: usize = 1024 * 1024;
 
 pub(super) struct Store {
     entries: VecDeque<(Instant, Vec<u8>)>,
@@ -48,7 +48,7 @@
     pub(super) fn batch(&self, from: u64, max: usize) -> Batch {
         let start = from.max(self.oldest);
         let skipped = usize::try_from(start - self.oldest).unwrap_or(usize::MAX);
-        let mut left = BATCH;
+        let mut left = MAX_BATCH_BYTES;
         let mut entries = Vec::new();
         for (_, record) in self.entries.iter().skip(skipped).take(max) {
             if !entries.is_empty() && record.len() > left {
@@ -62,21 +62,21 @@
 }
 
 /// Token bucket that holds one second's worth of appends.
-pub(super) struct Limit {
+pub(super) struct RateLimit {
     pub(super) rate: u32,
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
-impl Limit {
+impl RateLimit {
     pub(super) fn new(now: Instant, rate: u32) -> Self {
-        Self { rate, tokens: f64::from(rate), filled: now }
+        Self { rate, tokens: f64::from(rate), refilled: now }
     }
 
     pub(super) fn take(&mut self, now: Instant) -> bool {
         let rate = f64::from(self.rate);
-        let elapsed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = now;
+        let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
+        self.refilled = now;
         self.tokens = (self.tokens + elapsed * rate).min(rate);
         let allowed = self.tokens >= 1.0;
         if allowed {
--- a/acaciaring_testing/src/upstream.rs
+++ b/acaciaring_testing/src/upstream.rs
@@ -52,7 +52,7 @@
     busy: AtomicUsize,
     state: Mutex<State>,
     /// Signalled when `State::frozen` ends.
-    thawed: Condvar,
+    unfrozen: Condvar,
     jobs: Sender<Job>,
     ended: AtomicBool,
 }
@@ -130,7 +130,7 @@
             started: Instant::now(),
             busy: AtomicUsize::new(0),
             state: Mutex::new(state),
-            thawed: Condvar::new(),
+            unfrozen: Condvar::new(),
             jobs,
             ended: AtomicBool::new(false),
             options,
@@ -161,7 +161,7 @@
     /// Closes all connections and the address, as when the server is lost.
     pub fn stop(&self) {
         self.handle.shared.ended.store(true, Ordering::SeqCst);
-        self.handle.shared.thawed.notify_all();
+        self.handle.shared.unfrozen.notify_all();
         self.handle.shared.http.stop();
     }
 }
--- a/acaciaring_testing/src/upstream/announce.rs
+++ b/acaciaring_testing/src/upstream/announce.rs
@@ -10,13 +10,13 @@
 use super::control::Announced;
 use super::{Check, Shared};
 
-const INTERVAL: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Bound on one announcement, so that a member that hangs delays the next one little.
-const TIMEOUT: Duration = Duration::from_millis(400);
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(400);
 
 pub(super) fn run(shared: &Weak<Shared>) {
-    let agent = Agent::config_builder().timeout_global(Some(TIMEOUT)).build().new_agent();
+    let agent = Agent::config_builder().timeout_global(Some(ANNOUNCE_TIMEOUT)).build().new_agent();
     while let Some(shared) = shared.upgrade() {
         if shared.stopped() {
             return;
@@ -25,7 +25,7 @@
             tracing::debug!(%error, "announcement failed");
         }
         drop(shared);
-        thread::sleep(INTERVAL);
+        thread::sleep(ANNOUNCE_INTERVAL);
     }
 }
 
--- a/acaciaring_testing/src/upstream/behaviour.rs
+++ b/acaciaring_testing/src/upstream/behaviour.rs
@@ -9,10 +9,10 @@
 use super::{Check, Shared, State};
 
 /// By how much a request runs longer right after a cold start.
-const COLD: f64 = 4.0;
+const COLD_FACTOR: f64 = 4.0;
 
 /// Samples of the load that are kept for a health endpoint that lags.
-const SAMPLES: usize = 240;
+const MAX_SAMPLES: usize = 240;
 
 impl Shared {
     pub(super) fn stopped(&self) -> bool {
@@ -21,9 +21,9 @@
 
     /// The upstream's own clock; it does not start at 0, so that nobody takes it for the age.
     pub(super) fn clock(&self) -> u64 {
-        const FIRST: u64 = 1_000_000;
+        const FIRST_MS: u64 = 1_000_000;
         let elapsed = u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
-        FIRST.saturating_add(elapsed)
+        FIRST_MS.saturating_add(elapsed)
     }
 
     pub(super) fn phase(&self) -> Phase {
@@ -48,7 +48,7 @@
         if age >= cold {
             return cost;
         }
-        cost.mul_f64(1.0 + (COLD - 1.0) * (1.0 - age / cold))
+        cost.mul_f64(1.0 + (COLD_FACTOR - 1.0) * (1.0 - age / cold))
     }
 
     pub(super) fn counts(&self) -> UpstreamCounts {
@@ -61,7 +61,7 @@
         let load = self.busy.load(Ordering::SeqCst) as f64 / self.options.slots.max(1) as f64;
         let mut state = self.state.lock();
         let health = Health { healthy: !state.draining, load };
-        if state.samples.len() == SAMPLES {
+        if state.samples.len() == MAX_SAMPLES {
             state.samples.pop_front();
         }
         state.samples.push_back((Instant::now(), health));
@@ -83,9 +83,10 @@
         state.announce = control.announce.or(state.announce);
         state.quiet = control.quiet.unwrap_or(state.quiet);
         state.draining = control.draining.unwrap_or(state.draining);
-        state.service = control.service.map_or(state.service, millis);
+        state.service = control.service.map_or(state.service, duration_ms);
         if let Some(costs) = &control.costs {
-            state.costs = costs.iter().map(|(part, cost)| (part.clone(), millis(*cost))).collect();
+            state.costs =
+                costs.iter().map(|(part, cost)| (part.clone(), duration_ms(*cost))).collect();
         }
         let fenced = control.fenced.unwrap_or(state.check != Check::Off);
         let recheck = control.recheck.unwrap_or(state.check == Check::Twice);
@@ -105,7 +106,7 @@
         if state.frozen {
             return;
         }
-        self.thawed.notify_all();
+        self.unfrozen.notify_all();
         let held = mem::take(&mut state.held);
         drop(state);
         for request in held {
@@ -114,6 +115,6 @@
     }
 }
 
-fn millis(value: f64) -> Duration {
+fn duration_ms(value: f64) -> Duration {
     Duration::from_secs_f64(value.max(0.0) / 1000.0)
 }
--- a/acaciaring_testing/src/upstream/work.rs
+++ b/acaciaring_testing/src/upstream/work.rs
@@ -17,17 +17,17 @@
 use crate::http::{self, Reply};
 
 /// Largest body in bytes.
-const BODY: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Seconds after which to come back when load is shed.
-const RETRY_AFTER: &str = "1";
+const RETRY_AFTER_S: &str = "1";
 
 /// How often a frozen worker looks whether the upstream has stopped.
-const RECHECK: Duration = Duration::from_millis(50);
+const FROZEN_POLL: Duration = Duration::from_millis(50);
 
 /// Why a request did not run.
 #[derive(Clone, Copy)]
-enum Refused {
+enum Refusal {
     Fence,
     Shed,
     Expired,
@@ -36,10 +36,10 @@
 
 /// What happens to an answer.
 enum Delivery {
-    Whole,
-    Lost,
-    Cut,
-    Late(Duration),
+    Complete,
+    Dropped,
+    Truncated,
+    Delayed(Duration),
 }
 
 pub(super) fn accept(shared: &Arc<Shared>) {
@@ -106,10 +106,10 @@
         let mut state = self.state.lock();
         state.counts.arrived += 1;
         if self.busy.load(Ordering::SeqCst) >= state.capacity {
-            return refuse(state, request, Refused::Shed);
+            return refuse(state, request, Refusal::Shed);
         }
-        let number = number(&request, "x-acaciaring-attempt");
-        let left = number_of_millis(&request);
+        let number = header_number(&request, "x-acaciaring-attempt");
+        let left = time_left(&request);
         let (cancel, cancelled) = crossbeam_channel::bounded(1);
         if let Some(number) = number {
             state.attempts.insert(number, cancel.clone());
@@ -122,21 +122,21 @@
     }
 
     /// Waits until the upstream is not frozen.
-    fn awake(&self) -> MutexGuard<'_, State> {
+    fn wait_unfrozen(&self) -> MutexGuard<'_, State> {
         let mut state = self.state.lock();
         while state.frozen && !self.stopped() {
-            self.thawed.wait_for(&mut state, RECHECK);
+            self.unfrozen.wait_for(&mut state, FROZEN_POLL);
         }
         state
     }
 
     fn run(&self, mut attempt: Attempt) {
-        let Some(body) = http::body(&mut attempt.request, BODY) else {
+        let Some(body) = http::body(&mut attempt.request, MAX_BODY_BYTES) else {
             self.state.lock().counts.broken += 1;
             return self.http.close(attempt.request);
         };
         let fence = http::header(&attempt.request, "x-acaciaring-fence").and_then(Fence::parse);
-        let mut state = self.awake();
+        let mut state = self.wait_unfrozen();
         if let Some(why) = self.check(&mut state, &attempt, fence.as_ref()) {
             return refuse(state, attempt.request, why);
         }
@@ -147,14 +147,14 @@
         drop(state);
 
         let cancelled = attempt.cancel.1.recv_timeout(cost).is_ok();
-        let mut state = self.awake();
-        let reverted = state.check == Check::Twice && !self.passes(&mut state, fence.as_ref());
+        let mut state = self.wait_unfrozen();
+        let reverted = state.check == Check::Twice && !self.fence_valid(&mut state, fence.as_ref());
         state.record.end(seq, cancelled, reverted);
         if reverted {
-            return refuse(state, attempt.request, Refused::Fence);
+            return refuse(state, attempt.request, Refusal::Fence);
         }
         // Work that was broken off has no answer; whether it had an effect is not told.
-        let delivery = if cancelled { Delivery::Lost } else { state.delivery() };
+        let delivery = if cancelled { Delivery::Dropped } else { state.delivery() };
         drop(state);
         self.deliver(attempt.request, &body, &delivery);
     }
@@ -164,17 +164,17 @@
         state: &mut State,
         attempt: &Attempt,
         fence: Option<&Fence>,
-    ) -> Option<Refused> {
+    ) -> Option<Refusal> {
         if attempt.cancel.1.try_recv().is_ok() {
-            return Some(Refused::Cancelled);
+            return Some(Refusal::Cancelled);
         }
         if attempt.deadline.is_some_and(|deadline| deadline <= Instant::now()) {
-            return Some(Refused::Expired);
+            return Some(Refusal::Expired);
         }
-        (!self.passes(state, fence)).then_some(Refused::Fence)
+        (!self.fence_valid(state, fence)).then_some(Refusal::Fence)
     }
 
-    fn passes(&self, state: &mut State, fence: Option<&Fence>) -> bool {
+    fn fence_valid(&self, state: &mut State, fence: Option<&Fence>) -> bool {
         let clock = self.clock();
         state.check == Check::Off || fence.is_some_and(|fence| state.tokens.check(fence, clock))
     }
@@ -182,9 +182,9 @@
     fn describe(&self, request: &Request, attempt: u64, fence: Option<&Fence>) -> Run {
         Run {
             upstream: self.options.name.clone(),
-            request: text(request, "x-acaciaring-request"),
+            request: header_text(request, "x-acaciaring-request"),
             attempt,
-            tag: text(request, "x-load-tag"),
+            tag: header_text(request, "x-load-tag"),
             method: request.method().to_string(),
             path: request.url().to_owned(),
             slot: fence.map(|fence| fence.slot.clone()).unwrap_or_default(),
@@ -195,21 +195,21 @@
 
     fn deliver(&self, request: Request, body: &[u8], delivery: &Delivery) {
         let echo = Echo {
-            request: text(&request, "x-acaciaring-request"),
-            tag: text(&request, "x-load-tag"),
+            request: header_text(&request, "x-acaciaring-request"),
+            tag: header_text(&request, "x-load-tag"),
             path: request.url().to_owned(),
             upstream: self.options.name.clone(),
             length: body.len(),
             hash: body_hash(body),
         };
         match delivery {
-            Delivery::Whole => http::answer(request, http::json(&echo)),
-            Delivery::Lost => self.http.close(request),
-            Delivery::Cut => {
+            Delivery::Complete => http::answer(request, http::json(&echo)),
+            Delivery::Dropped => self.http.close(request),
+            Delivery::Truncated => {
                 let body = serde_json::to_vec(&echo).unwrap_or_default();
                 self.http.cut(request, &body, body.len() / 2);
             }
-            Delivery::Late(by) => {
+            Delivery::Delayed(by) => {
                 thread::sleep(*by);
                 http::answer(request, http::json(&echo));
             }
@@ -223,21 +223,21 @@
         if self.lose > 0 {
             self.lose -= 1;
             self.counts.lost += 1;
-            return Delivery::Lost;
+            return Delivery::Dropped;
         }
         if self.cut > 0 {
             self.cut -= 1;
-            return Delivery::Cut;
+            return Delivery::Truncated;
         }
         if self.late > 0 {
             self.late -= 1;
-            return Delivery::Late(self.lateness);
+            return Delivery::Delayed(self.lateness);
         }
-        Delivery::Whole
+        Delivery::Complete
     }
 }
 
-impl Refused {
+impl Refusal {
     /// Counts the refusal and makes its answer.
     fn count(self, counts: &mut UpstreamCounts) -> Reply {
         let (count, status, why) = match self {
@@ -249,26 +249,26 @@
         *count += 1;
         let reply = http::with_header(http::status(status), "x-acaciaring-refused", why);
         match self {
-            Self::Shed => http::with_header(reply, "retry-after", RETRY_AFTER),
+            Self::Shed => http::with_header(reply, "retry-after", RETRY_AFTER_S),
             Self::Fence | Self::Expired | Self::Cancelled => reply,
         }
     }
 }
 
-fn refuse(mut state: MutexGuard<'_, State>, request: Request, why: Refused) {
+fn refuse(mut state: MutexGuard<'_, State>, request: Request, why: Refusal) {
     let reply = why.count(&mut state.counts);
     drop(state);
     http::answer(request, reply);
 }
 
-fn text(request: &Request, name: &str) -> String {
+fn header_text(request: &Request, name: &str) -> String {
     http::header(request, name).unwrap_or_default().to_owned()
 }
 
-fn number(request: &Request, name: &str) -> Option<u64> {
+fn header_number(request: &Request, name: &str) -> Option<u64> {
     http::header(request, name)?.trim().parse().ok()
 }
 
-fn number_of_millis(request: &Request) -> Option<Duration> {
-    number(request, "x-acaciaring-deadline").map(Duration::from_millis)
+fn time_left(request: &Request) -> Option<Duration> {
+    header_number(request, "x-acaciaring-deadline").map(Duration::from_millis)
 }
