--- a/acaciaring_testing/src/load.rs
+++ b/acaciaring_testing/src/load.rs
@@ -1,4 +1,4 @@
-//! Load generator: caller threads with a seeded mix of requests, and what they saw.
+//! Load generator: client threads that send a seeded mix of requests and record the responses.
 
 mod caller;
 mod check;
@@ -17,35 +17,35 @@
 
 pub use self::check::{Overlap, Report, check_records, check_tokens, read_records};
 
-/// Largest latency that is told apart, in microseconds.
+/// Upper bound of the latency histogram.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Significant digits of latencies.
+/// Precision of the latency histogram.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Settings of a load.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoadOptions {
-    /// Entries; each caller begins at its own and goes on to the next for a retry.
+    /// Addresses of entries; each client starts at a different one and retries at the next.
     pub entries: Vec<SocketAddr>,
-    /// Callers that each have one request open at a time.
+    /// Number of clients; each has one request in flight.
     pub threads: usize,
-    /// Length in milliseconds.
+    /// Duration of the load in milliseconds.
     pub duration: u64,
-    /// Requests a second of all callers together; without bound when 0.
+    /// Total requests per second; unlimited if 0.
     pub rate: f64,
-    /// Seed of the mix and part of each tag and idempotency key, so another load needs another one.
+    /// Seed of the mix and part of each tag and idempotency key; each load needs its own.
     pub seed: u64,
-    /// Count of keys; key `n` is asked for about `1 / n` as often as key 1.
+    /// Number of keys; key `n` is requested about `1 / n` as often as key 1.
     pub keys: u64,
-    /// Most tries of a request whose verdict is not `answered`.
+    /// Maximum number of attempts of a request whose verdict is not `answered`.
     pub tries: u32,
-    /// Time in milliseconds after which a caller gives up a try.
+    /// Timeout of an attempt in milliseconds.
     pub timeout: u64,
-    /// Times in milliseconds at which the hottest keys change: 13 new ones take their places.
+    /// Times in milliseconds at which the 13 hottest keys are replaced by new ones.
     pub changes: Vec<u64>,
-    /// True when the entries are upstreams, whose answers carry no verdict.
+    /// Whether the entries are upstreams, whose responses carry no verdict.
     pub direct: bool,
     /// Mix of requests.
     pub classes: Vec<LoadClass>,
@@ -73,21 +73,21 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoadClass {
-    /// Name in the report.
+    /// Name of the class in the figures.
     pub name: String,
-    /// `GET`, or `POST` for all else.
+    /// `GET`; any other value means `POST`.
     pub method: String,
-    /// Path; `{key}` is replaced by the key, and a path without it has none.
+    /// Path, in which `{key}` is replaced by a key; requests without the placeholder have no key.
     pub path: String,
-    /// Share of the mix, relative to the other classes.
+    /// Weight relative to the other classes.
     pub weight: u32,
-    /// True when a request may run at most once; it then carries an idempotency key.
+    /// Whether a request may run at most once; if so, it carries an idempotency key.
     pub once: bool,
-    /// Header `x-acaciaring-deadline` in milliseconds; none when 0.
+    /// Header `x-acaciaring-deadline` in milliseconds; omitted if 0.
     pub deadline: u64,
     /// Length of the body in bytes.
     pub body: usize,
-    /// Further headers, for example `host`.
+    /// Additional headers, for example `host`.
     pub headers: BTreeMap<String, String>,
 }
 
@@ -106,42 +106,42 @@
     }
 }
 
-/// What a caller was told of one try.
+/// Result of one attempt as the client observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// Verdict `answered`, with the caller's own whole answer.
+    /// Verdict `answered`, with the complete response to this request.
     Answered,
-    /// Verdict `answered`, with another request's answer or a broken one.
+    /// Verdict `answered`, with a corrupt response or that of another request.
     Wrong,
     /// Verdict `not-run`.
     NotRun,
     /// Verdict `unknown`.
     Unknown,
-    /// No whole answer, or one without a verdict.
+    /// No complete response, or one without a verdict.
     Nothing,
 }
 
-/// One request that was sent, in one or more tries.
+/// Request sent in one or more attempts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SentRequest {
-    /// Unique; try `n` carries `<tag>.<n>` in the header `x-load-tag`, from 0.
+    /// Unique tag; attempt `n`, counted from 0, carries `<tag>.<n>` in the header `x-load-tag`.
     pub tag: String,
     /// Name of the class.
     pub class: String,
-    /// Key, none for a service that is not divided by key.
+    /// Key, or `None` if the service is not partitioned by key.
     pub key: Option<String>,
-    /// True when it may run at most once.
+    /// Whether the request may run at most once.
     pub once: bool,
-    /// What was told of each try.
+    /// Verdict of each attempt.
     pub tries: Vec<Verdict>,
-    /// Status of the last try, 0 when there was none.
+    /// HTTP status of the last attempt, 0 if there was no response.
     pub status: u16,
-    /// Reason header of the last try.
+    /// Header `x-acaciaring-reason` of the last attempt.
     pub reason: Option<String>,
-    /// Start in microseconds of Unix time.
+    /// Start as Unix time in microseconds.
     pub start: u64,
-    /// End in microseconds of Unix time.
+    /// End as Unix time in microseconds.
     pub end: u64,
 }
 
@@ -152,35 +152,35 @@
     pub sent: u64,
     /// Requests answered.
     pub answered: u64,
-    /// Answered requests a second.
+    /// Answered requests per second.
     pub goodput: f64,
-    /// Median latency of answered requests in microseconds, over all tries.
+    /// Median latency of answered requests in microseconds, retries included.
     pub p50: u64,
-    /// Latency within which 99 of 100 answered requests stay, in microseconds.
+    /// 99th percentile of the latency of answered requests, in microseconds.
     pub p99: u64,
-    /// Longest latency of answered requests in microseconds.
+    /// Maximum latency of answered requests, in microseconds.
     pub longest: u64,
 }
 
-/// What a load has shown.
+/// Results of a load.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct LoadFigures {
-    /// By class.
+    /// Figures by class.
     pub classes: BTreeMap<String, ClassFigures>,
-    /// Tries by what was told.
+    /// Number of attempts by verdict.
     pub told: BTreeMap<Verdict, u64>,
-    /// Requests by the reason of their last try.
+    /// Number of requests by the reason header of their last attempt.
     pub reasons: BTreeMap<String, u64>,
-    /// Each request; left out of the JSON.
+    /// All requests; omitted from the JSON.
     #[serde(skip)]
     pub sent: Vec<SentRequest>,
 }
 
-/// Runs a load to its end.
+/// Runs a load to completion.
 ///
 /// # Errors
 ///
-/// When the options are of no use: no entry, or no class with a weight.
+/// Returns an error if the options contain no entry, no weighted class, no keys or no attempts.
 pub fn run_load(options: &LoadOptions) -> Result<LoadFigures> {
     caller::validate(options)?;
     let start = Instant::now();
--- a/acaciaring_testing/src/load/caller.rs
+++ b/acaciaring_testing/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller of a load.
+//! Client thread of a load.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -13,16 +13,15 @@
 use crate::error::{OptionsSnafu, Result};
 use crate::upstream::{Echo, body_hash, micros};
 
-/// Longest wait before a retry, whatever the answer asks for.
+/// Upper bound on the wait before a retry.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// Wait before a retry when the answer asks for none.
+/// Wait before a retry if the response requests none.
 const RETRY_WAIT: Duration = Duration::from_millis(20);
 
-/// Keys that change together.
+/// Number of hottest keys that are replaced together.
 const HOT_KEYS: u64 = 13;
 
-/// Byte that bodies are filled with.
 const BODY_FILL: u8 = b'x';
 
 pub(super) struct Caller<'a> {
@@ -34,7 +33,7 @@
     end: Instant,
 }
 
-/// Request before it is sent.
+/// Request to be sent.
 struct Draft<'a> {
     class: &'a LoadClass,
     tag: String,
@@ -42,7 +41,7 @@
     body: Vec<u8>,
 }
 
-/// What came back from one try.
+/// Response to one attempt.
 struct Reply {
     outcome: Verdict,
     status: u16,
@@ -50,14 +49,14 @@
     wait: Option<Duration>,
 }
 
-/// Refuses options with which no request can be made.
+/// Rejects options that permit no request.
 pub(super) fn validate(options: &LoadOptions) -> Result<()> {
     let what = if options.entries.is_empty() {
-        "no entry"
+        "no entry address given"
     } else if options.classes.iter().all(|class| class.weight == 0) {
-        "no class with a weight"
+        "no request class has a weight above 0"
     } else if options.keys == 0 || options.tries == 0 {
-        "no keys or no tries"
+        "keys and tries must be above 0"
     } else {
         return Ok(());
     };
@@ -89,7 +88,7 @@
         sent
     }
 
-    /// Waits until the next request is due; false at the end of the load.
+    /// Waits until the next request is due; returns false at the end of the load.
     #[allow(clippy::cast_precision_loss)]
     fn pace(&self, sent: usize) -> bool {
         if self.options.rate > 0.0 {
@@ -147,7 +146,7 @@
         chosen.unwrap_or(&classes[0])
     }
 
-    /// Draws a key whose logarithm is uniform, which is close to Zipf's law with exponent 1.
+    /// Draws a key with a log-uniform rank, which approximates a Zipf distribution with exponent 1.
     #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn key(&mut self) -> String {
         let uniform: f64 = self.rng.random();
@@ -160,7 +159,7 @@
         }
     }
 
-    /// How often the hottest keys have changed by now.
+    /// Number of times that the hottest keys have been replaced.
     fn hot_changes(&self) -> usize {
         let elapsed = self.start.elapsed().as_millis();
         self.options.changes.iter().filter(|at| u128::from(**at) <= elapsed).count()
@@ -171,7 +170,7 @@
         match self.call(draft, entry, &tag) {
             Ok(response) => Reply::read(response, draft, &tag, self.options.direct),
             Err(error) => {
-                tracing::debug!(%error, tag, "no answer");
+                tracing::debug!(%error, tag, "attempt got no response");
                 Reply { outcome: Verdict::Nothing, status: 0, reason: None, wait: None }
             }
         }
@@ -233,7 +232,8 @@
     }
 }
 
-/// Whether an answer belongs to the request; a repeated one may carry the answer of an earlier try.
+/// Whether a response belongs to the request. With an idempotency key, a retry may get the response
+/// to an earlier attempt.
 fn matches_request(body: &[u8], draft: &Draft<'_>, tag: &str) -> bool {
     let Ok(echo) = serde_json::from_slice::<Echo>(body) else { return false };
     let same_tag = echo.tag == tag
--- a/acaciaring_testing/src/load/check.rs
+++ b/acaciaring_testing/src/load/check.rs
@@ -1,4 +1,4 @@
-//! Judges what callers were told against what upstreams ran.
+//! Checks the verdicts that clients received against the records of the upstreams.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fs;
@@ -11,47 +11,46 @@
 use crate::error::{IoSnafu, JsonSnafu, Result};
 use crate::upstream::Run;
 
-/// Faults that the records of the upstreams show; empty when all is well.
+/// Violations found in the records of the upstreams.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Tags of requests that may run at most once and ran more often.
+    /// Tags of at-most-once requests that ran more than once.
     pub duplicates: Vec<String>,
-    /// Tags, with their try, that were told `not-run` and ran.
+    /// Tags of attempts that got the verdict `not-run` although they ran.
     pub refused: Vec<String>,
-    /// Tags that were answered and are in no record; meaningful when all records are given.
+    /// Tags of answered attempts without a run; meaningful only if all records are given.
     pub missing: Vec<String>,
-    /// Tags that got another request's answer or a broken one as whole.
+    /// Tags of attempts that got a corrupt response or that of another request.
     pub wrong: Vec<String>,
-    /// Runs of one key on two upstreams at the same time.
+    /// Concurrent runs of one key on two upstreams.
     pub overlaps: Vec<Overlap>,
-    /// Count of runs that were matched with a request; 0 means that nothing was checked.
+    /// Number of runs matched with a request; 0 means that nothing was checked.
     pub matched: usize,
 }
 
-/// Two runs of one key on two upstreams at the same time.
+/// Two concurrent runs of one key on two upstreams.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Overlap {
     /// Key.
     pub key: String,
     /// Run that started first.
     pub first: Run,
-    /// Run that started before the first one had ended.
+    /// Run that started before the first one ended.
     pub second: Run,
 }
 
 impl Report {
-    /// Whether no fault was found and something was checked.
+    /// Whether runs were checked and no violation was found.
     #[must_use]
     pub fn clean(&self) -> bool {
         self.matched > 0 && *self == Self { matched: self.matched, ..Self::default() }
     }
 }
 
-/// Judges the requests of a load by the records of all upstreams.
+/// Checks the requests of a load against the records of all upstreams.
 ///
-/// Runs that carry no tag of these requests are left out, and so are runs that were reverted. A run
-/// without an end is taken to have ended when it started, for its upstream may have died at any time
-/// after that.
+/// Ignores reverted runs and runs with other tags. A run without an end counts as ended at its
+/// start, because its upstream may have crashed at any time after that.
 #[must_use]
 pub fn check_records(records: &[Run], sent: &[SentRequest]) -> Report {
     let runs = by_tag(records);
@@ -71,7 +70,7 @@
     report
 }
 
-/// Runs that took effect, by the tag of their request without the try.
+/// Groups the runs that were not reverted by the tag of their request, without the attempt number.
 fn by_tag(records: &[Run]) -> HashMap<&str, Vec<&Run>> {
     let mut runs: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in records.iter().filter(|run| !run.reverted) {
@@ -102,7 +101,7 @@
 fn overlaps(key: &str, mut runs: Vec<&Run>) -> Vec<Overlap> {
     runs.sort_by_key(|run| run.start);
     let mut found = Vec::new();
-    // The run that ends last so far, for each upstream.
+    // Run with the latest end so far, by upstream.
     let mut latest: BTreeMap<&str, &Run> = BTreeMap::new();
     for run in runs {
         let others = latest.values().filter(|other| other.upstream != run.upstream);
@@ -118,18 +117,17 @@
     found
 }
 
-/// Pairs of runs in which the later one began under a lower token of the same slot, at another upstream.
+/// Finds pairs of runs of one slot where the later, at another upstream, has the lower token.
 ///
-/// A server whose keys were taken over has the lower token, so the pairs show what it ran after the
-/// takeover. Runs at one upstream may pass each other: a standby that has taken over becomes the
-/// owner, under a higher token, while its requests go on. The records are to be of one workspace,
-/// and of upstreams whose clock is the same.
+/// Such a pair shows that a former owner ran a request after the takeover. Runs at one upstream are
+/// not compared: a standby that becomes the owner gets a higher token while its earlier requests
+/// still run. The records must come from one workspace and from upstreams on one clock.
 #[must_use]
 pub fn check_tokens(records: &[Run]) -> Vec<(Run, Run)> {
     let mut runs: Vec<&Run> =
         records.iter().filter(|run| !run.reverted && !run.slot.is_empty()).collect();
     runs.sort_by_key(|run| run.start);
-    // The run with the highest token so far, for each slot and upstream.
+    // Run with the highest token so far, by slot and upstream.
     let mut highest: BTreeMap<&str, BTreeMap<&str, &Run>> = BTreeMap::new();
     let mut found = Vec::new();
     for run in runs {
@@ -145,15 +143,15 @@
     found
 }
 
-/// Reads the record that an upstream has written to a file.
+/// Reads the record file of an upstream.
 ///
 /// # Errors
 ///
-/// When the file cannot be read, or a line but the last is no run.
+/// Returns an error if the file cannot be read or a complete line is not a run.
 pub fn read_records(path: &Path) -> Result<Vec<Run>> {
     let text = fs::read_to_string(path)
         .with_context(|_| IoSnafu { what: format!("read {}", path.display()) })?;
-    // The process may have been killed within its last line.
+    // A killed process may leave an incomplete last line.
     let whole = text.rfind('\n').map_or("", |end| &text[..end]);
     let mut runs: Vec<Run> = Vec::new();
     for line in whole.lines() {
--- a/acaciaring_testing/src/log.rs
+++ b/acaciaring_testing/src/log.rs
@@ -22,27 +22,26 @@
 
 pub use self::control::{LogControl, LogCounts, LogOptions};
 
-/// Largest record in bytes.
 const MAX_RECORD_BYTES: usize = 256 * 1024;
 
-/// Threads that answer requests; a read that waits for a record holds none of them.
+/// Number of worker threads; a long-polling read occupies none of them.
 const WORKERS: usize = 64;
 
-/// How often reads whose wait has ended are looked for.
+/// Interval of the scan for long-polling reads that have timed out.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Records in a batch when the reader names no maximum.
+/// Maximum number of records in a batch if the request states none.
 const DEFAULT_BATCH: u64 = 1000;
 
-/// Bytes that decode as no record: field number 0 is illegal.
+/// Bytes that do not decode as a record: protobuf forbids field number 0.
 const CORRUPT_RECORD: [u8; 4] = [0x07, 0xff, 0xff, 0xff];
 
-/// Log service in this process; it stops when dropped.
+/// Log service that runs in this process and stops when dropped.
 pub struct LogServer {
     handle: LogHandle,
 }
 
-/// Control of a running log service.
+/// Handle that controls a running log service.
 #[derive(Clone)]
 pub struct LogHandle {
     shared: Arc<Shared>,
@@ -62,9 +61,9 @@
     hang: bool,
     delay: Duration,
     lose: u32,
-    /// Reads that wait for a record.
+    /// Long-polling reads that wait for a record.
     waiting: Vec<PendingRead>,
-    /// Requests that hang.
+    /// Requests left unanswered until `hang` is false.
     hanging: Vec<Request>,
 }
 
@@ -86,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// When the address is taken.
+    /// Returns an error if the address cannot be bound.
     pub fn start(options: LogOptions) -> Result<Self> {
         let now = Instant::now();
         let http = Http::start(options.address, options.connections, Duration::from_millis(1))?;
@@ -112,19 +111,19 @@
         Ok(Self { handle: LogHandle { shared } })
     }
 
-    /// Address of the service.
+    /// Address that the service listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.handle.shared.http.address()
     }
 
-    /// Control of the service.
+    /// Returns a handle that controls the service.
     #[must_use]
     pub fn handle(&self) -> LogHandle {
         self.handle.clone()
     }
 
-    /// Closes all connections and the address; the records are gone.
+    /// Closes the listening socket and all connections. The records are lost.
     pub fn stop(&self) {
         self.handle.shared.http.stop();
     }
@@ -137,24 +136,24 @@
 }
 
 impl LogHandle {
-    /// Carries out commands.
+    /// Applies the settings that `control` contains.
     pub fn set(&self, control: &LogControl) {
         self.shared.set(control);
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     #[must_use]
     pub fn counts(&self) -> LogCounts {
         self.shared.counts()
     }
 
-    /// Appends a record whatever the limits and faults are, and returns its offset.
+    /// Appends a record regardless of the rate limit and faults, and returns its offset.
     #[must_use = "the offset is the only trace of the record"]
     pub fn append(&self, record: Vec<u8>) -> u64 {
         self.shared.append(&mut self.shared.state.lock(), record)
     }
 
-    /// Records kept from offset `from` on, with the offset of the first.
+    /// Returns the retained records from offset `from` on, and the offset of the first one.
     #[must_use]
     pub fn records(&self, from: u64) -> (u64, Vec<Vec<u8>>) {
         let batch = self.shared.state.lock().store.batch(from, usize::MAX);
@@ -196,7 +195,7 @@
         if path == "/control" {
             return self.control(request);
         }
-        // Bodies are read before the delay: a slow caller is not the service's slowness.
+        // Reads the body before the delay, so that a slow client does not add to it.
         let body = http::body(&mut request, MAX_RECORD_BYTES);
         thread::sleep(self.state.lock().delay);
         let now = Instant::now();
@@ -262,7 +261,7 @@
         http::answer(read.request, http::bytes(body));
     }
 
-    /// Wakes the reads whose wait has ended, and in an outage all of them.
+    /// Wakes reads that have timed out; in an outage, wakes all of them.
     fn sweep(&self, now: Instant) {
         let mut state = self.state.lock();
         let all = state.outage || state.hang;
@@ -311,7 +310,7 @@
 }
 
 impl State {
-    /// Answers a request during an outage, or returns it.
+    /// Refuses or holds a request during an outage; otherwise returns it.
     fn refuse(&mut self, request: Request) -> Option<Request> {
         if self.hang {
             self.hanging.push(request);
--- a/acaciaring_testing/src/log/control.rs
+++ b/acaciaring_testing/src/log/control.rs
@@ -1,4 +1,4 @@
-//! Settings, commands and counts of the log service.
+//! Settings, commands and counters of the log service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 pub struct LogOptions {
     /// Address to listen on.
     pub address: SocketAddr,
-    /// Most records kept.
+    /// Maximum number of retained records.
     pub retention: usize,
-    /// Longest time for which a record is kept.
+    /// Retention time of a record.
     pub age: Duration,
-    /// Appends a second.
+    /// Maximum rate of appends per second.
     pub rate: u32,
-    /// Most open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
 }
 
@@ -34,47 +34,47 @@
     }
 }
 
-/// Commands to the log service; what is absent stays as it is.
+/// Commands to the log service; absent fields leave the setting unchanged.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogControl {
-    /// Answer 503 to everything.
+    /// Answers every request with status 503.
     pub outage: Option<bool>,
-    /// Answer nothing at all; connections hang until this ends and are then closed.
+    /// Leaves requests unanswered; their connections are closed when this is set to false.
     pub hang: Option<bool>,
-    /// Delay of each request before it takes effect, in milliseconds.
+    /// Delay of each request before it is processed, in milliseconds.
     pub delay: Option<u64>,
-    /// Number of next appends that take effect and whose answer is dropped.
+    /// Number of subsequent appends that are stored but get no response.
     pub lose: Option<u32>,
-    /// Most records kept.
+    /// Maximum number of retained records.
     pub retention: Option<usize>,
-    /// Longest time for which a record is kept, in milliseconds.
+    /// Retention time of a record, in milliseconds.
     pub age: Option<u64>,
-    /// Appends a second.
+    /// Maximum rate of appends per second.
     pub rate: Option<u32>,
-    /// Number of records to append now that do not decode.
+    /// Number of undecodable records to append immediately.
     pub corrupt: Option<u32>,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LogCounts {
-    /// Appends that took effect.
+    /// Records stored.
     pub appends: u64,
     /// Appends refused by the rate limit.
     pub limited: u64,
-    /// Appends that took effect and whose answer was dropped.
+    /// Records stored whose response was dropped.
     pub lost: u64,
     /// Reads answered.
     pub reads: u64,
-    /// Bytes of records appended.
+    /// Bytes of stored records.
     pub received: u64,
     /// Bytes of batches sent.
     pub sent: u64,
-    /// Requests refused in an outage.
+    /// Requests refused during an outage.
     pub refused: u64,
-    /// Offset of the oldest record kept.
+    /// Offset of the oldest retained record.
     pub oldest: u64,
-    /// Offset that the next append gets.
+    /// Offset of the next record to be appended.
     pub next: u64,
 }
--- a/acaciaring_testing/src/log/store.rs
+++ b/acaciaring_testing/src/log/store.rs
@@ -1,11 +1,11 @@
-//! Records that the log keeps, and its limits.
+//! Retained records and the append rate limit of the log.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use acaciaring_schema::log::Batch;
 
-/// Most bytes in one batch, so that a batch stays well below a caller's limits.
+/// Limit on the records of one batch, well below the response limit of clients.
 const MAX_BATCH_BYTES: usize = 1024 * 1024;
 
 pub(super) struct Store {
@@ -21,7 +21,7 @@
         Self { entries: VecDeque::new(), oldest: 1, retention, age }
     }
 
-    /// Offset that the next record gets.
+    /// Offset of the next record to be appended.
     pub(super) fn next(&self) -> u64 {
         self.oldest + self.entries.len() as u64
     }
@@ -33,7 +33,7 @@
         offset
     }
 
-    /// Removes what is older than the limits allow.
+    /// Removes the records that exceed the retention by count or age.
     pub(super) fn prune(&mut self, now: Instant) {
         while let Some((appended, _)) = self.entries.front() {
             let old = now.saturating_duration_since(*appended) > self.age;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Token bucket that holds one second's worth of appends.
+/// Token bucket with a burst of one second.
 pub(super) struct RateLimit {
     pub(super) rate: u32,
     tokens: f64,
--- a/acaciaring_testing/src/upstream.rs
+++ b/acaciaring_testing/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-in for an upstream: a server beside a member.
+//! Stand-in for an upstream: the application server that a member forwards requests to.
 
 mod announce;
 mod behaviour;
@@ -33,12 +33,12 @@
 pub use self::record::Run;
 pub(crate) use self::record::micros;
 
-/// Upstream in this process; it stops when dropped.
+/// Upstream that runs in this process and stops when dropped.
 pub struct UpstreamServer {
     handle: UpstreamHandle,
 }
 
-/// Control of a running upstream.
+/// Handle that controls a running upstream.
 #[derive(Clone)]
 pub struct UpstreamHandle {
     shared: Arc<Shared>,
@@ -48,10 +48,10 @@
     options: UpstreamOptions,
     http: Arc<Http>,
     started: Instant,
-    /// Requests running or waiting.
+    /// Requests queued or running.
     busy: AtomicUsize,
     state: Mutex<State>,
-    /// Signalled when `State::frozen` ends.
+    /// Signalled when `State::frozen` becomes false.
     unfrozen: Condvar,
     jobs: Sender<Job>,
     ended: AtomicBool,
@@ -66,7 +66,7 @@
     costs: BTreeMap<String, Duration>,
     check: Check,
     frozen: bool,
-    /// Most requests that run or wait; 0 when every request is shed.
+    /// Maximum number of queued and running requests; 0 sheds every request.
     capacity: usize,
     lose: u32,
     cut: u32,
@@ -76,21 +76,21 @@
     lie: Option<Health>,
     samples: VecDeque<(Instant, Health)>,
     tokens: Tokens,
-    /// Attempts that wait or run, by number, with the way to cancel them.
+    /// Cancellation channels of queued and running attempts, by attempt number.
     attempts: HashMap<u64, Sender<()>>,
-    /// Requests that arrived while frozen.
+    /// Requests received while frozen, handled after the freeze ends.
     held: Vec<Request>,
     record: Record,
     counts: UpstreamCounts,
 }
 
-/// When a fence is checked.
+/// When the fencing token of a request is checked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Check {
     Off,
-    /// As a request starts to run.
+    /// Before a request starts to run.
     Once,
-    /// Again at the end of its run.
+    /// Before a request starts to run and after it has run.
     Twice,
 }
 
@@ -99,12 +99,12 @@
     Stop,
 }
 
-/// Request on its way to a slot.
+/// Request queued for a worker.
 struct Attempt {
     request: Request,
     number: Option<u64>,
     deadline: Option<Instant>,
-    /// Both ends: a channel without a sender would end the run as if it were cancelled.
+    /// Includes the sender: if it were dropped, `recv_timeout` would return before the run ends.
     cancel: (Sender<()>, Receiver<()>),
 }
 
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// When the address is taken or the record's file cannot be opened.
+    /// Returns an error if the address cannot be bound or the record file cannot be opened.
     pub fn start(options: UpstreamOptions) -> Result<Self> {
         let http = Http::start(options.address, options.connections, options.connect)?;
         let file = match &options.record {
@@ -146,19 +146,19 @@
         Ok(Self { handle: UpstreamHandle { shared } })
     }
 
-    /// Address of the upstream.
+    /// Address that the upstream listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.handle.shared.http.address()
     }
 
-    /// Control of the upstream.
+    /// Returns a handle that controls the upstream.
     #[must_use]
     pub fn handle(&self) -> UpstreamHandle {
         self.handle.clone()
     }
 
-    /// Closes all connections and the address, as when the server is lost.
+    /// Closes the listening socket and all connections, as when the server crashes.
     pub fn stop(&self) {
         self.handle.shared.ended.store(true, Ordering::SeqCst);
         self.handle.shared.unfrozen.notify_all();
@@ -173,30 +173,30 @@
 }
 
 impl UpstreamHandle {
-    /// Carries out commands.
+    /// Applies the settings that `control` contains.
     pub fn set(&self, control: &UpstreamControl) {
         self.shared.set(control);
     }
 
-    /// Requests that ran, in the order of their starts.
+    /// Requests that ran, ordered by start.
     #[must_use]
     pub fn records(&self) -> Vec<Run> {
         self.shared.state.lock().record.runs.clone()
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     #[must_use]
     pub fn counts(&self) -> UpstreamCounts {
         self.shared.counts()
     }
 
-    /// Last answer of the member beside the upstream.
+    /// Latest reply of the member to an announcement.
     #[must_use]
     pub fn announced(&self) -> Option<Announced> {
         self.shared.state.lock().announced
     }
 
-    /// The upstream's own clock in milliseconds.
+    /// The upstream's clock in milliseconds.
     #[must_use]
     pub fn clock(&self) -> u64 {
         self.shared.clock()
@@ -247,7 +247,7 @@
     }
 }
 
-/// Hash of a body as answers state it: 16 hex digits of XXH3-64.
+/// Returns the XXH3-64 hash of a body as 16 hexadecimal digits, as in [`Echo::hash`].
 #[must_use]
 pub fn body_hash(body: &[u8]) -> String {
     format!("{:016x}", xxh3_64(body))
--- a/acaciaring_testing/src/upstream/announce.rs
+++ b/acaciaring_testing/src/upstream/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of an upstream to the member beside it.
+//! Periodic announcements of an upstream to its member.
 
 use std::sync::Weak;
 use std::thread;
@@ -12,7 +12,7 @@
 
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Bound on one announcement, so that a member that hangs delays the next one little.
+/// Timeout of one announcement, so that an unresponsive member hardly delays the next one.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(400);
 
 pub(super) fn run(shared: &Weak<Shared>) {
@@ -22,7 +22,7 @@
             return;
         }
         if let Err(error) = announce(&shared, &agent) {
-            tracing::debug!(%error, "announcement failed");
+            tracing::debug!(%error, "announcement to the member failed; will retry");
         }
         drop(shared);
         thread::sleep(ANNOUNCE_INTERVAL);
--- a/acaciaring_testing/src/upstream/behaviour.rs
+++ b/acaciaring_testing/src/upstream/behaviour.rs
@@ -1,4 +1,4 @@
-//! How an upstream behaves now, and the commands that change it.
+//! Simulated behaviour of an upstream and the commands that change it.
 
 use std::mem;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use super::control::{Health, Phase, UpstreamControl, UpstreamCounts};
 use super::{Check, Shared, State};
 
-/// By how much a request runs longer right after a cold start.
+/// Factor on the service time right after a cold start.
 const COLD_FACTOR: f64 = 4.0;
 
-/// Samples of the load that are kept for a health endpoint that lags.
+/// Number of load samples kept for a health endpoint that reports stale values.
 const MAX_SAMPLES: usize = 240;
 
 impl Shared {
@@ -19,7 +19,7 @@
         self.ended.load(Ordering::SeqCst)
     }
 
-    /// The upstream's own clock; it does not start at 0, so that nobody takes it for the age.
+    /// The upstream's clock in milliseconds, offset from 0 so that it cannot pass for the uptime.
     pub(super) fn clock(&self) -> u64 {
         const FIRST_MS: u64 = 1_000_000;
         let elapsed = u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
@@ -33,13 +33,13 @@
         if self.started.elapsed() < self.options.cold { Phase::Cold } else { Phase::Ready }
     }
 
-    /// Where to announce, if at all now.
+    /// Address to announce to, or `None` while announcements are disabled.
     pub(super) fn announcing(&self) -> Option<SocketAddr> {
         let state = self.state.lock();
         if state.quiet || state.frozen { None } else { state.announce }
     }
 
-    /// Time that a request for `path` runs when it starts now.
+    /// Service time of a request for `path` that starts now.
     pub(super) fn cost(&self, state: &State, path: &str) -> Duration {
         let cost = state.costs.iter().find(|(part, _)| path.contains(part.as_str()));
         let cost = cost.map_or(state.service, |(_, cost)| *cost);
@@ -55,7 +55,7 @@
         UpstreamCounts { busy: self.busy.load(Ordering::SeqCst), ..self.state.lock().counts }
     }
 
-    /// Takes a sample of the load for the health endpoint.
+    /// Records a load sample for the health endpoint.
     #[allow(clippy::cast_precision_loss)]
     pub(super) fn sample(&self) {
         let load = self.busy.load(Ordering::SeqCst) as f64 / self.options.slots.max(1) as f64;
--- a/acaciaring_testing/src/upstream/control.rs
+++ b/acaciaring_testing/src/upstream/control.rs
@@ -1,4 +1,4 @@
-//! Settings, commands and counts of an upstream.
+//! Settings, commands and counters of an upstream.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,29 +14,29 @@
 pub struct UpstreamOptions {
     /// Address to listen on.
     pub address: SocketAddr,
-    /// Name in records and answers.
+    /// Name of the upstream in records and responses.
     pub name: String,
-    /// Workspace in announcements.
+    /// Workspace that announcements name.
     pub workspace: String,
-    /// True when fences are checked; a request without one is then refused.
+    /// Checks fencing tokens and refuses requests without one.
     pub fenced: bool,
-    /// True when the fence is checked again at the end of a run, which has no effect if it is refused.
+    /// Checks the fencing token again after a run and reverts the run if it is no longer valid.
     pub recheck: bool,
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: usize,
-    /// Requests that may wait for a slot; further ones are shed.
+    /// Maximum number of queued requests; further ones are shed.
     pub queue: usize,
-    /// Most open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Time that a new connection costs.
+    /// Time that the acceptor waits after each new connection.
     pub connect: Duration,
-    /// Time that a request runs.
+    /// Service time of a request.
     pub service: Duration,
-    /// Time after the start during which requests run slower, at first four times.
+    /// Length of the cold start, in which the service time falls linearly from four times its value.
     pub cold: Duration,
-    /// Announce address of the member beside this upstream.
+    /// Address of the member that receives announcements.
     pub announce: Option<SocketAddr>,
-    /// File to which each start and end of a run is also written, one line of JSON each.
+    /// File to which the start and end of each run are appended as lines of JSON.
     pub record: Option<PathBuf>,
 }
 
@@ -60,61 +60,61 @@
     }
 }
 
-/// Commands to an upstream; what is absent stays as it is.
+/// Commands to an upstream; absent fields leave the setting unchanged.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamControl {
-    /// Announce address of the member beside this upstream.
+    /// Address of the member that receives announcements.
     pub announce: Option<SocketAddr>,
-    /// Send no announcements.
+    /// Stops announcements.
     pub quiet: Option<bool>,
-    /// Announce that this upstream drains.
+    /// Announces the phase `draining`.
     pub draining: Option<bool>,
-    /// Time that a request runs, in milliseconds.
+    /// Service time of a request, in milliseconds.
     pub service: Option<f64>,
-    /// Time that a request runs whose path contains the text, in milliseconds; replaces all earlier ones.
+    /// Service times in milliseconds by path substring; replaces the whole map.
     pub costs: Option<BTreeMap<String, f64>>,
-    /// Check fences.
+    /// Checks fencing tokens.
     pub fenced: Option<bool>,
-    /// Check the fence again at the end of a run.
+    /// Checks the fencing token again after a run.
     pub recheck: Option<bool>,
-    /// Stop in all that it does, but for commands, until this ends.
+    /// Suspends everything except commands.
     pub frozen: Option<bool>,
-    /// Shed every request.
+    /// Sheds every request.
     pub shed: Option<bool>,
-    /// Number of next answers that are dropped after the request ran.
+    /// Number of subsequent requests that run and get no response.
     pub lose: Option<u32>,
-    /// Number of next answers whose body is cut short.
+    /// Number of subsequent responses whose body is truncated.
     pub cut: Option<u32>,
-    /// Number of next answers that are late.
+    /// Number of subsequent responses that are delayed.
     pub late: Option<u32>,
-    /// By how much they are late, in milliseconds.
+    /// Delay of these responses, in milliseconds.
     pub lateness: Option<u64>,
-    /// Health endpoint: age of what it reports, in milliseconds.
+    /// Age of the sample that the health endpoint reports, in milliseconds.
     pub lag: Option<u64>,
-    /// Health endpoint: what it says instead of the truth.
+    /// False value that the health endpoint reports.
     pub lie: Option<Health>,
-    /// Health endpoint: ends the lie.
+    /// Makes the health endpoint report true values again.
     pub honest: Option<bool>,
 }
 
-/// Answer of the health endpoint.
+/// Response of the health endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Health {
-    /// Whether the upstream calls itself healthy.
+    /// Whether the upstream reports itself as healthy.
     pub healthy: bool,
-    /// Share of the slots that are in use; above 1 with requests waiting.
+    /// Queued and running requests divided by slots.
     pub load: f64,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct UpstreamCounts {
-    /// Requests that arrived.
+    /// Requests received.
     pub arrived: u64,
     /// Requests that ran.
     pub ran: u64,
-    /// Requests refused by the fence.
+    /// Requests refused because of their fencing token.
     pub fence: u64,
     /// Requests shed.
     pub shed: u64,
@@ -122,15 +122,15 @@
     pub expired: u64,
     /// Requests cancelled before they ran.
     pub cancelled: u64,
-    /// Requests whose body was not whole.
+    /// Requests whose body was incomplete or too large.
     pub broken: u64,
-    /// Answers dropped.
+    /// Responses dropped.
     pub lost: u64,
-    /// Requests running or waiting now.
+    /// Requests queued or running.
     pub busy: usize,
 }
 
-/// Phase in announcements.
+/// Lifecycle phase in announcements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Phase {
@@ -139,16 +139,16 @@
     Draining,
 }
 
-/// Answer of the member beside the upstream to an announcement.
+/// Reply of a member to an announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announced {
     /// Id of the member.
     pub member: u64,
-    /// Whether the member's lease holds.
+    /// Whether the member holds a valid lease.
     pub leased: bool,
 }
 
-/// Body of an answer.
+/// Body of a response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
     /// Header `x-acaciaring-request`.
--- a/acaciaring_testing/src/upstream/fence.rs
+++ b/acaciaring_testing/src/upstream/fence.rs
@@ -1,4 +1,4 @@
-//! Fences: the right under which a member hands a request to an upstream.
+//! Fencing tokens that protect an upstream from requests of former owners.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
     /// Opaque to the upstream.
     pub(super) slot: String,
     pub(super) token: u64,
-    /// End of the right on the upstream's clock, in milliseconds.
+    /// Expiry on the upstream's clock, in milliseconds.
     pub(super) until: u64,
 }
 
@@ -27,7 +27,7 @@
 pub(super) struct Tokens(HashMap<String, u64>);
 
 impl Tokens {
-    /// Whether a request may run when the upstream's clock shows `clock`.
+    /// Records the token; returns whether it is neither outdated nor expired at `clock` (ms).
     pub(super) fn check(&mut self, fence: &Fence, clock: u64) -> bool {
         let seen = self.0.entry(fence.slot.clone()).or_default();
         let current = fence.token >= *seen && clock < fence.until;
--- a/acaciaring_testing/src/upstream/record.rs
+++ b/acaciaring_testing/src/upstream/record.rs
@@ -1,4 +1,4 @@
-//! What an upstream remembers of the requests that ran.
+//! Record of the requests that an upstream ran.
 
 use std::fs::File;
 use std::io::Write;
@@ -11,7 +11,7 @@
 pub struct Run {
     /// Name of the upstream.
     pub upstream: String,
-    /// Place in the upstream's record, from 0.
+    /// Index in the upstream's record.
     pub seq: usize,
     /// Header `x-acaciaring-request`.
     pub request: String,
@@ -23,21 +23,21 @@
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Slot in the fence, empty without a fence.
+    /// Slot of the fencing token, empty if there is none.
     pub slot: String,
-    /// Token in the fence, 0 without a fence.
+    /// Number of the fencing token, 0 if there is none.
     pub token: u64,
     /// Start in microseconds of Unix time.
     pub start: u64,
     /// End in microseconds of Unix time, 0 while the request runs.
     pub end: u64,
-    /// True when the request was cancelled while it ran; it may have taken effect.
+    /// Whether the request was cancelled while it ran; it may have taken effect.
     pub cancelled: bool,
-    /// True when the fence was checked again at the end and refused; it took no effect.
+    /// Whether the second check refused the fencing token, so that the run took no effect.
     pub reverted: bool,
 }
 
-/// Record of runs, also written to a file when there is one, so that it outlives the process.
+/// Runs in memory and, if configured, in a file that survives the process.
 #[derive(Default)]
 pub(super) struct Record {
     pub(super) runs: Vec<Run>,
@@ -45,7 +45,7 @@
 }
 
 impl Record {
-    /// Adds a run that starts now, and returns its place.
+    /// Adds a run that starts now and returns its index.
     pub(super) fn start(&mut self, run: Run) -> usize {
         let seq = self.runs.len();
         self.runs.push(Run { seq, start: micros(), ..run });
@@ -66,12 +66,12 @@
         let Ok(mut line) = serde_json::to_string(&self.runs[seq]) else { return };
         line.push('\n');
         if let Err(error) = file.write_all(line.as_bytes()) {
-            tracing::warn!(%error, "record not written");
+            tracing::warn!(%error, "run not written to the record file; it is kept in memory only");
         }
     }
 }
 
-/// Microseconds of Unix time, comparable between processes of one machine.
+/// Unix time in microseconds, comparable between processes of one machine.
 pub(crate) fn micros() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX)
--- a/acaciaring_testing/src/upstream/work.rs
+++ b/acaciaring_testing/src/upstream/work.rs
@@ -1,4 +1,4 @@
-//! Path of a request through an upstream.
+//! Request handling of an upstream: admission, fencing, execution and response.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,16 +16,15 @@
 use super::{Attempt, Check, Job, Shared, State, body_hash};
 use crate::http::{self, Reply};
 
-/// Largest body in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Seconds after which to come back when load is shed.
+/// Value of `retry-after` in responses to shed requests.
 const RETRY_AFTER_S: &str = "1";
 
-/// How often a frozen worker looks whether the upstream has stopped.
+/// Interval at which a frozen worker checks whether the upstream has stopped.
 const FROZEN_POLL: Duration = Duration::from_millis(50);
 
-/// Why a request did not run.
+/// Reason for not running a request.
 #[derive(Clone, Copy)]
 enum Refusal {
     Fence,
@@ -34,7 +33,7 @@
     Cancelled,
 }
 
-/// What happens to an answer.
+/// Fault applied to a response.
 enum Delivery {
     Complete,
     Dropped,
@@ -121,7 +120,7 @@
         _ = self.jobs.send(Job::Run(Box::new(attempt)));
     }
 
-    /// Waits until the upstream is not frozen.
+    /// Waits while the upstream is frozen.
     fn wait_unfrozen(&self) -> MutexGuard<'_, State> {
         let mut state = self.state.lock();
         while state.frozen && !self.stopped() {
@@ -153,7 +152,7 @@
         if reverted {
             return refuse(state, attempt.request, Refusal::Fence);
         }
-        // Work that was broken off has no answer; whether it had an effect is not told.
+        // A run cancelled midway gets no response: its effect is unknown.
         let delivery = if cancelled { Delivery::Dropped } else { state.delivery() };
         drop(state);
         self.deliver(attempt.request, &body, &delivery);
@@ -218,7 +217,7 @@
 }
 
 impl State {
-    /// Decides what happens to the next answer.
+    /// Takes the fault that applies to the next response.
     fn delivery(&mut self) -> Delivery {
         if self.lose > 0 {
             self.lose -= 1;
@@ -238,7 +237,7 @@
 }
 
 impl Refusal {
-    /// Counts the refusal and makes its answer.
+    /// Counts the refusal and builds its response.
     fn count(self, counts: &mut UpstreamCounts) -> Reply {
         let (count, status, why) = match self {
             Self::Fence => (&mut counts.fence, 409, "fence"),
