--- a/acaciaring_testing/src/upstream/control.rs
+++ b/acaciaring_testing/src/upstream/control.rs
@@ -32,7 +32,7 @@
     pub connect: Duration,
     /// Service time of a request.
     pub service: Duration,
-    /// Length of the cold start, in which the service time falls linearly from four times its value.
+    /// Length of the cold start; the service time falls linearly from four times its value.
     pub cold: Duration,
     /// Address of the member that receives announcements.
     pub announce: Option<SocketAddr>,
