--- a/acaciaring_testing/src/harness.rs
+++ b/acaciaring_testing/src/harness.rs
@@ -18,7 +18,7 @@
 pub use self::tls::{Authority, Identity};
 
 /// How often a condition is looked at.
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until `condition` holds.
 ///
@@ -31,7 +31,7 @@
         if Instant::now() >= end {
             return TimeoutSnafu { what, millis: bound.as_millis() }.fail();
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/acaciaring_testing/src/http.rs
+++ b/acaciaring_testing/src/http.rs
@@ -16,7 +16,7 @@
 use tiny_http::{Header, Request, Response, Server};
 
 use crate::error::{Error, JsonSnafu, Result};
-use crate::link::{LOOPBACK, Link, LinkOptions, Spread};
+use crate::link::{Balancer, LOOPBACK, Link, LinkOptions};
 
 /// Answer that is complete in memory.
 pub(crate) type Reply = Response<Cursor<Vec<u8>>>;
@@ -26,10 +26,10 @@
 /// Guards against a request that nobody reads for seconds: `tiny_http` gives a new connection to an
 /// idle thread that it may have given another one a moment ago, and the connection then waits until
 /// some thread has lost its own. Each server keeps four threads, so below that none waits.
-const SHARE: usize = 3;
+const SERVER_LIMIT: usize = 3;
 
 /// How often a thread that waits for a request looks whether the server has stopped.
-const RECHECK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) struct Http {
     servers: Arc<Servers>,
@@ -49,7 +49,8 @@
     fn choose(&self, counts: &HashMap<SocketAddr, usize>) -> Option<SocketAddr> {
         let mut list = self.list.lock();
         let addresses = list.iter().filter_map(|server| server.server_addr().to_ip());
-        let free = |address: &SocketAddr| counts.get(address).is_none_or(|count| *count < SHARE);
+        let free =
+            |address: &SocketAddr| counts.get(address).is_none_or(|count| *count < SERVER_LIMIT);
         if let Some(address) = addresses.into_iter().find(free) {
             return Some(address);
         }
@@ -69,13 +70,18 @@
 }
 
 impl Http {
-    /// Listens on `address`; a new connection costs `cost`, and at most `limit` are open.
-    pub(crate) fn start(address: SocketAddr, limit: usize, cost: Duration) -> Result<Arc<Self>> {
+    /// Listens on `address`; a new connection costs `accept_delay`, and at most `limit` are open.
+    pub(crate) fn start(
+        address: SocketAddr,
+        limit: usize,
+        accept_delay: Duration,
+    ) -> Result<Arc<Self>> {
         let (sender, requests) = crossbeam_channel::unbounded();
         let servers = Arc::new(Servers { list: Mutex::default(), requests: sender });
         let chooser = Arc::clone(&servers);
-        let spread: Spread = Box::new(move |counts| chooser.choose(counts));
-        let options = LinkOptions { target: None, spread: Some(spread), limit, cost, seed: 0 };
+        let balancer: Balancer = Box::new(move |counts| chooser.choose(counts));
+        let options =
+            LinkOptions { target: None, balancer: Some(balancer), limit, accept_delay, seed: 0 };
         let link = Link::start(address, options)?;
         Ok(Arc::new(Self { servers, link, requests, stopped: AtomicBool::new(false) }))
     }
@@ -87,7 +93,7 @@
     /// Waits for the next request; none when the server has stopped.
     pub(crate) fn receive(&self) -> Option<Request> {
         while !self.stopped.load(Ordering::SeqCst) {
-            if let Ok(request) = self.requests.recv_timeout(RECHECK) {
+            if let Ok(request) = self.requests.recv_timeout(POLL_INTERVAL) {
                 return Some(request);
             }
         }
@@ -96,22 +102,22 @@
 
     /// Closes the connection of a request without an answer.
     pub(crate) fn close(&self, request: Request) {
-        if let Some(back) = request.remote_addr() {
-            self.link.close(*back);
+        if let Some(peer) = request.remote_addr() {
+            self.link.close(*peer);
         }
         drop(request.into_writer());
     }
 
     /// Answers with `body[..length]` where the head promises all of `body`, then closes the connection.
-    pub(crate) fn cut(&self, request: Request, body: &[u8], length: usize) {
-        let back = request.remote_addr().copied();
+    pub(crate) fn truncate(&self, request: Request, body: &[u8], length: usize) {
+        let peer = request.remote_addr().copied();
         let mut writer = request.into_writer();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         _ = writer.write_all(head.as_bytes());
         _ = writer.write_all(&body[..length]);
         _ = writer.flush();
-        if let Some(back) = back {
-            self.link.close(back);
+        if let Some(peer) = peer {
+            self.link.close(peer);
         }
     }
 
@@ -141,7 +147,7 @@
 }
 
 /// Answer to a command that is not understood.
-pub(crate) fn refusal(error: &Error) -> Reply {
+pub(crate) fn bad_request(error: &Error) -> Reply {
     bytes(error.to_string().into_bytes()).with_status_code(400)
 }
 
--- a/acaciaring_testing/src/link.rs
+++ b/acaciaring_testing/src/link.rs
@@ -21,15 +21,15 @@
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Delay that one lost segment costs a TCP connection.
-const RETRANSMIT: Duration = Duration::from_millis(200);
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
 /// How often a stopped or blocked half of a connection looks again.
-const RECHECK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Bound on a connection to the target.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-const CHUNK: usize = 64 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
 
 /// Direction of traffic through a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -64,18 +64,18 @@
 }
 
 /// Chooses the target of a new connection by the open connections to each target.
-pub(crate) type Spread =
+pub(crate) type Balancer =
     Box<dyn Fn(&HashMap<SocketAddr, usize>) -> Option<SocketAddr> + Send + Sync>;
 
 pub(crate) struct LinkOptions {
     /// Connections are closed at once while there is none.
     pub(crate) target: Option<SocketAddr>,
     /// Chooses targets in place of `target`.
-    pub(crate) spread: Option<Spread>,
+    pub(crate) balancer: Option<Balancer>,
     /// Most open connections; further ones are closed at once.
     pub(crate) limit: usize,
     /// Time that a new connection costs.
-    pub(crate) cost: Duration,
+    pub(crate) accept_delay: Duration,
     pub(crate) seed: u64,
 }
 
@@ -90,18 +90,18 @@
     target: Mutex<Option<SocketAddr>>,
     faults: Mutex<Faults>,
     changed: Condvar,
-    open: Mutex<HashMap<u64, Open>>,
+    open: Mutex<HashMap<u64, Connection>>,
     next: AtomicU64,
     rng: Mutex<StdRng>,
     stopped: AtomicBool,
 }
 
-struct Open {
+struct Connection {
     client: TcpStream,
     server: TcpStream,
     target: SocketAddr,
     /// Address under which the target sees this connection.
-    back: SocketAddr,
+    local: SocketAddr,
     silent: Arc<AtomicBool>,
     halves: u8,
 }
@@ -161,10 +161,10 @@
         open.len()
     }
 
-    /// Closes the connection that the target sees under `back`, once what the target wrote is passed on.
-    pub(crate) fn close(&self, back: SocketAddr) {
+    /// Closes the connection that the target sees under `local`, once what the target wrote is passed on.
+    pub(crate) fn close(&self, local: SocketAddr) {
         let open = self.shared.open.lock();
-        if let Some(connection) = open.values().find(|connection| connection.back == back) {
+        if let Some(connection) = open.values().find(|connection| connection.local == local) {
             _ = connection.server.shutdown(Shutdown::Both);
         }
     }
@@ -201,13 +201,13 @@
         if let Err(error) = connect(shared, client) {
             tracing::debug!(%error, "connection to the target failed");
         }
-        thread::sleep(shared.options.cost);
+        thread::sleep(shared.options.accept_delay);
     }
 }
 
 fn connect(shared: &Arc<Shared>, client: TcpStream) -> std::io::Result<()> {
     let Some(target) = shared.choose() else { return Ok(()) };
-    let server = TcpStream::connect_timeout(&target, CONNECT)?;
+    let server = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT)?;
     client.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let id = shared.next.fetch_add(1, Ordering::SeqCst);
@@ -223,8 +223,8 @@
         })
     };
     let halves = [half(Direction::Up, &client, &server)?, half(Direction::Down, &server, &client)?];
-    let back = server.local_addr()?;
-    let open = Open { client, server, target, back, silent: Arc::clone(&silent), halves: 2 };
+    let local = server.local_addr()?;
+    let open = Connection { client, server, target, local, silent: Arc::clone(&silent), halves: 2 };
     shared.open.lock().insert(id, open);
     for half in halves {
         let shared = Arc::clone(shared);
@@ -238,7 +238,7 @@
 
 impl Half {
     fn run(&self, shared: &Shared) {
-        let mut chunk = vec![0; CHUNK];
+        let mut chunk = vec![0; CHUNK_BYTES];
         loop {
             let length = (&self.from).read(&mut chunk).unwrap_or(0);
             if !shared.pass(self) {
@@ -263,12 +263,12 @@
 impl Shared {
     /// Chooses the target of a new connection.
     fn choose(&self) -> Option<SocketAddr> {
-        let Some(spread) = &self.options.spread else { return *self.target.lock() };
+        let Some(balancer) = &self.options.balancer else { return *self.target.lock() };
         let mut counts = HashMap::new();
         for connection in self.open.lock().values() {
             *counts.entry(connection.target).or_default() += 1;
         }
-        spread(&counts)
+        balancer(&counts)
     }
 
     /// Waits until traffic of this half may pass; false when the connection is silent for good.
@@ -278,13 +278,13 @@
             && !half.silent.load(Ordering::SeqCst)
             && !self.stopped.load(Ordering::SeqCst)
         {
-            self.changed.wait_for(&mut faults, RECHECK);
+            self.changed.wait_for(&mut faults, POLL_INTERVAL);
         }
         let Faults { delay, loss, .. } = *faults;
         drop(faults);
         thread::sleep(Duration::from_millis(delay));
         if loss > 0.0 && self.rng.lock().random_bool(loss.min(1.0)) {
-            thread::sleep(RETRANSMIT);
+            thread::sleep(RETRANSMIT_DELAY);
         }
         !half.silent.load(Ordering::SeqCst)
     }
--- a/acaciaring_testing/src/log.rs
+++ b/acaciaring_testing/src/log.rs
@@ -274,7 +274,7 @@
         if request.method() == &Method::Post {
             match http::command(&mut request) {
                 Ok(control) => self.set(&control),
-                Err(error) => return http::answer(request, http::refusal(&error)),
+                Err(error) => return http::answer(request, http::bad_request(&error)),
             }
         }
         http::answer(request, http::json(&self.counts()));
--- a/acaciaring_testing/src/network.rs
+++ b/acaciaring_testing/src/network.rs
@@ -8,7 +8,7 @@
 use crate::proxy::{ProxyHandle, ProxyOptions, ProxyServer, Transport};
 
 /// Last byte of the first member's IP address.
-const FIRST: u8 = 10;
+const FIRST_HOST: u8 = 10;
 
 /// One UDP proxy in front of each member and one TCP proxy between it and the log.
 ///
@@ -33,8 +33,8 @@
     ///
     /// When a proxy, the daemon or its upstream cannot be started.
     pub fn add(&mut self, cluster: &mut Cluster, options: VmOptions) -> Result<usize> {
-        let number = u8::try_from(self.nodes.len()).unwrap_or(u8::MAX - FIRST);
-        let address = IpAddr::from(Ipv4Addr::new(127, 0, 1, FIRST + number));
+        let number = u8::try_from(self.nodes.len()).unwrap_or(u8::MAX - FIRST_HOST);
+        let address = IpAddr::from(Ipv4Addr::new(127, 0, 1, FIRST_HOST + number));
         let peer = ProxyServer::start(ProxyOptions {
             transport: Transport::Udp,
             ..ProxyOptions::default()
--- a/acaciaring_testing/src/proxy.rs
+++ b/acaciaring_testing/src/proxy.rs
@@ -14,7 +14,7 @@
 use crate::udp::UdpLink;
 
 /// Most connections to the control address.
-const CONTROL_LIMIT: usize = 64;
+const MAX_CONTROLLERS: usize = 64;
 
 /// Protocol that a proxy passes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -106,15 +106,15 @@
         let ProxyOptions { transport, address, target, seed } = options;
         let relay = match transport {
             Transport::Tcp => {
-                let (limit, cost) = (usize::MAX, Duration::ZERO);
+                let (limit, accept_delay) = (usize::MAX, Duration::ZERO);
                 Relay::Tcp(Link::start(
                     address,
-                    LinkOptions { target, spread: None, limit, cost, seed },
+                    LinkOptions { target, balancer: None, limit, accept_delay, seed },
                 )?)
             }
             Transport::Udp => Relay::Udp(UdpLink::start(address, target, seed)?),
         };
-        let http = Http::start(LOOPBACK, CONTROL_LIMIT, Duration::from_millis(1))?;
+        let http = Http::start(LOOPBACK, MAX_CONTROLLERS, Duration::from_millis(1))?;
         let handle = ProxyHandle { shared: Arc::new(Shared { relay, http }) };
         let server = handle.clone();
         thread::spawn(move || {
@@ -188,7 +188,7 @@
     pub fn heal(&self) {
         self.set(&ProxyControl { heal: true, ..ProxyControl::default() });
         if let Relay::Udp(link) = &self.shared.relay {
-            link.join_sources();
+            link.heal_sources();
         }
     }
 
@@ -204,7 +204,7 @@
         match &self.shared.relay {
             Relay::Tcp(_) => DatagramCounts::default(),
             Relay::Udp(link) => {
-                let (bytes, count) = link.arrived();
+                let (bytes, count) = link.received();
                 DatagramCounts { count, bytes }
             }
         }
@@ -220,7 +220,7 @@
         if request.method() == &Method::Post {
             match http::command::<ProxyControl>(&mut request) {
                 Ok(control) => self.set(&control),
-                Err(error) => return http::answer(request, http::refusal(&error)),
+                Err(error) => return http::answer(request, http::bad_request(&error)),
             }
         }
         http::answer(request, http::json(&self.faults()));
--- a/acaciaring_testing/src/udp.rs
+++ b/acaciaring_testing/src/udp.rs
@@ -17,10 +17,10 @@
 use crate::link::{Direction, Faults, LOOPBACK};
 
 /// How often a thread that waits for datagrams looks whether the link has stopped.
-const RECHECK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Largest datagram.
-const DATAGRAM: usize = 65536;
+const MAX_DATAGRAM_BYTES: usize = 65536;
 
 /// Listening address that passes datagrams on to a target, one outgoing socket for each source.
 pub(crate) struct UdpLink {
@@ -36,7 +36,7 @@
     cuts: Mutex<HashSet<(IpAddr, Direction)>>,
     rng: Mutex<StdRng>,
     flows: Mutex<HashMap<SocketAddr, Arc<Flow>>>,
-    late: Sender<Late>,
+    delayed: Sender<Delayed>,
     stopped: AtomicBool,
     bytes: AtomicU64,
     datagrams: AtomicU64,
@@ -50,7 +50,7 @@
 }
 
 /// Datagram that is delayed.
-struct Late {
+struct Delayed {
     due: Instant,
     direction: Direction,
     flow: Arc<Flow>,
@@ -64,9 +64,9 @@
         seed: u64,
     ) -> Result<Self> {
         let socket = UdpSocket::bind(address).context(IoSnafu { what: "bind" })?;
-        socket.set_read_timeout(Some(RECHECK)).context(IoSnafu { what: "bind" })?;
+        socket.set_read_timeout(Some(POLL_INTERVAL)).context(IoSnafu { what: "bind" })?;
         let address = socket.local_addr().context(IoSnafu { what: "bind" })?;
-        let (late, queue) = crossbeam_channel::unbounded();
+        let (delayed, queue) = crossbeam_channel::unbounded();
         let shared = Arc::new(Shared {
             socket,
             target: Mutex::new(target),
@@ -74,15 +74,15 @@
             cuts: Mutex::default(),
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
             flows: Mutex::default(),
-            late,
+            delayed,
             stopped: AtomicBool::new(false),
             bytes: AtomicU64::new(0),
             datagrams: AtomicU64::new(0),
         });
         let receiver = Arc::clone(&shared);
         thread::spawn(move || receive(&receiver));
-        let delayer = Arc::clone(&shared);
-        thread::spawn(move || delay(&delayer, &queue));
+        let sender = Arc::clone(&shared);
+        thread::spawn(move || send_delayed(&sender, &queue));
         Ok(Self { address, shared })
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Ends the cuts of single sources.
-    pub(crate) fn join_sources(&self) {
+    pub(crate) fn heal_sources(&self) {
         self.shared.cuts.lock().clear();
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Bytes and datagrams that have arrived from either side.
-    pub(crate) fn arrived(&self) -> (u64, u64) {
+    pub(crate) fn received(&self) -> (u64, u64) {
         let Shared { bytes, datagrams, .. } = &*self.shared;
         (bytes.load(Ordering::Relaxed), datagrams.load(Ordering::Relaxed))
     }
@@ -148,7 +148,7 @@
 
 /// Passes datagrams of all sources on to the target.
 fn receive(shared: &Arc<Shared>) {
-    let mut datagram = vec![0; DATAGRAM];
+    let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
     while !shared.stopped() {
         let Ok((length, source)) = shared.socket.recv_from(&mut datagram) else { continue };
         match flow(shared, source) {
@@ -168,17 +168,17 @@
     }
     let socket = UdpSocket::bind(LOOPBACK)?;
     socket.connect(target)?;
-    socket.set_read_timeout(Some(RECHECK))?;
+    socket.set_read_timeout(Some(POLL_INTERVAL))?;
     let flow = Arc::new(Flow { source, socket, silent: AtomicBool::new(false) });
     flows.insert(source, Arc::clone(&flow));
     let (shared, replies) = (Arc::clone(shared), Arc::clone(&flow));
-    thread::spawn(move || reply(&shared, &replies));
+    thread::spawn(move || relay_replies(&shared, &replies));
     Ok(Some(flow))
 }
 
 /// Passes the target's datagrams back to one source.
-fn reply(shared: &Shared, flow: &Arc<Flow>) {
-    let mut datagram = vec![0; DATAGRAM];
+fn relay_replies(shared: &Shared, flow: &Arc<Flow>) {
+    let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
     while !shared.stopped() && !flow.silent.load(Ordering::SeqCst) {
         // An error is a timeout, or the news that the target's port is closed.
         let Ok(length) = flow.socket.recv(&mut datagram) else { continue };
@@ -187,11 +187,11 @@
 }
 
 /// Sends delayed datagrams when they are due, in the order in which they came.
-fn delay(shared: &Shared, queue: &Receiver<Late>) {
+fn send_delayed(shared: &Shared, queue: &Receiver<Delayed>) {
     while !shared.stopped() {
-        let Ok(late) = queue.recv_timeout(RECHECK) else { continue };
-        thread::sleep(late.due.saturating_duration_since(Instant::now()));
-        shared.send(&late.flow, late.direction, &late.datagram);
+        let Ok(delayed) = queue.recv_timeout(POLL_INTERVAL) else { continue };
+        thread::sleep(delayed.due.saturating_duration_since(Instant::now()));
+        shared.send(&delayed.flow, delayed.direction, &delayed.datagram);
     }
 }
 
@@ -213,7 +213,7 @@
         }
         let due = Instant::now() + Duration::from_millis(faults.delay);
         let datagram = datagram.to_vec();
-        _ = self.late.send(Late { due, direction, flow: Arc::clone(flow), datagram });
+        _ = self.delayed.send(Delayed { due, direction, flow: Arc::clone(flow), datagram });
     }
 
     fn send(&self, flow: &Flow, direction: Direction, datagram: &[u8]) {
--- a/acaciaring_testing/src/upstream/work.rs
+++ b/acaciaring_testing/src/upstream/work.rs
@@ -90,7 +90,7 @@
         if request.method() == &Method::Post {
             match http::command(&mut request) {
                 Ok(control) => self.set(&control),
-                Err(error) => return http::answer(request, http::refusal(&error)),
+                Err(error) => return http::answer(request, http::bad_request(&error)),
             }
         }
         http::answer(request, http::json(&self.counts()));
@@ -206,7 +206,7 @@
             Delivery::Dropped => self.http.close(request),
             Delivery::Truncated => {
                 let body = serde_json::to_vec(&echo).unwrap_or_default();
-                self.http.cut(request, &body, body.len() / 2);
+                self.http.truncate(request, &body, body.len() / 2);
             }
             Delivery::Delayed(by) => {
                 thread::sleep(*by);
