--- a/acaciaring_testing/src/error.rs
+++ b/acaciaring_testing/src/error.rs
@@ -5,66 +5,66 @@
 
 use snafu::Snafu;
 
-/// Result of a stand-in or helper.
+/// Result of an operation on a stand-in or test helper.
 pub type Result<T> = result::Result<T, Error>;
 
-/// Failure to set up or to drive a stand-in.
+/// Failure to start or control a stand-in.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[non_exhaustive]
 pub enum Error {
-    /// The operating system refused.
+    /// An operation of the operating system failed.
     #[snafu(display("{what}: {source}"))]
     Io {
-        /// What was tried.
+        /// Operation that failed.
         what: String,
         /// Cause.
         source: io::Error,
     },
-    /// An HTTP server did not start or did not answer.
+    /// A stand-in did not answer a command.
     #[snafu(display("HTTP: {message}"))]
     Server {
         /// Cause.
         message: String,
     },
-    /// A certificate was not made.
+    /// A certificate could not be created.
     #[snafu(display("certificate: {source}"))]
     Certificate {
         /// Cause.
         source: rcgen::Error,
     },
-    /// Options or commands are not what the stand-in understands.
+    /// JSON of options, commands, responses or records is invalid.
     #[snafu(display("options: {source}"))]
     Json {
         /// Cause.
         source: serde_json::Error,
     },
-    /// Options are of no use.
+    /// Options are invalid.
     #[snafu(display("options: {what}"))]
     Options {
-        /// What is missing.
+        /// Reason.
         what: String,
     },
-    /// There was no answer over HTTP.
+    /// An HTTP request got no response.
     #[snafu(display("no answer from {address}: {source}"))]
     Http {
-        /// Address that was asked.
+        /// Address of the server.
         address: std::net::SocketAddr,
         /// Cause.
         source: ureq::Error,
     },
-    /// An answer was not the expected one.
+    /// A response was not the expected one.
     #[snafu(display("unexpected: {what}"))]
     Answer {
-        /// What came instead.
+        /// Description of the response.
         what: String,
     },
-    /// A condition did not come true in time.
+    /// A condition did not hold in time.
     #[snafu(display("no {what} within {millis} ms"))]
     Timeout {
-        /// What was awaited.
+        /// Condition.
         what: String,
-        /// Bound in milliseconds.
+        /// Timeout in milliseconds.
         millis: u128,
     },
 }
--- a/acaciaring_testing/src/harness.rs
+++ b/acaciaring_testing/src/harness.rs
@@ -1,4 +1,4 @@
-//! Helpers for tests with real processes.
+//! Helpers for tests that start processes.
 
 mod process;
 mod remote;
@@ -17,14 +17,14 @@
 pub use self::remote::{command, records};
 pub use self::tls::{Authority, Identity};
 
-/// How often a condition is looked at.
+/// Interval at which a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until `condition` holds.
 ///
 /// # Errors
 ///
-/// When it does not hold within `bound`.
+/// Returns an error if it does not hold within `bound`.
 pub fn wait_until(what: &str, bound: Duration, mut condition: impl FnMut() -> bool) -> Result<()> {
     let end = Instant::now() + bound;
     while !condition() {
@@ -36,18 +36,18 @@
     Ok(())
 }
 
-/// Directory for one test, removed when dropped.
+/// Temporary directory of a test, removed when dropped.
 #[derive(Debug)]
 pub struct TempDir {
     path: PathBuf,
 }
 
 impl TempDir {
-    /// Makes a new directory.
+    /// Creates a new directory.
     ///
     /// # Errors
     ///
-    /// When the operating system refuses.
+    /// Returns an error if an operation on the file system fails.
     pub fn new() -> Result<Self> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// When the operating system refuses.
+    /// Returns an error if an operation on the file system fails.
     pub fn write(&self, name: &str, text: &str) -> Result<PathBuf> {
         let path = self.path.join(name);
         fs::write(&path, text).context(IoSnafu { what: "write a file" })?;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Path of a program of this workspace that was built beside the running test.
+/// Path of a program of this Cargo workspace, built in the same profile as the running test.
 #[must_use]
 pub fn program(name: &str) -> Option<PathBuf> {
     let test = env::current_exe().ok()?;
--- a/acaciaring_testing/src/harness/process.rs
+++ b/acaciaring_testing/src/harness/process.rs
@@ -16,8 +16,8 @@
 
 /// Child process, killed when dropped.
 ///
-/// Its standard input stays open as long as this value lives; it is dropped with the test, so a
-/// process that ends with its input outlives no test, even one that was killed.
+/// Its standard input stays open as long as this value lives. A program that exits at the end of
+/// its input thus cannot outlive the test, even if the test is killed.
 pub struct Process {
     child: Child,
     input: Option<ChildStdin>,
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     ///
-    /// When the operating system refuses.
+    /// Returns an error if the process cannot be spawned.
     pub fn spawn<A: AsRef<OsStr>>(
         program: &Path,
         args: impl IntoIterator<Item = A>,
@@ -37,11 +37,11 @@
         Self::spawn_with(Command::new(program).args(args))
     }
 
-    /// Starts a command, with its standard input and output in the test's hands.
+    /// Starts a command with piped standard input and output.
     ///
     /// # Errors
     ///
-    /// When the operating system refuses.
+    /// Returns an error if the process cannot be spawned.
     pub fn spawn_with(command: &mut Command) -> Result<Self> {
         command.stdin(Stdio::piped()).stdout(Stdio::piped());
         let mut child = command.spawn().context(IoSnafu { what: "spawn" })?;
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// When there is no such line within `bound`, or the output ends.
+    /// Returns an error if there is no such line within `bound` or the output ends.
     pub fn line(&self, prefix: &str, bound: Duration) -> Result<String> {
         let end = Instant::now() + bound;
         while let Ok(line) = self.lines.recv_deadline(end) {
@@ -78,47 +78,47 @@
         self.child.id()
     }
 
-    /// Closes the process's standard input, at which a stand-in ends.
+    /// Closes the standard input of the process, upon which a stand-in exits.
     pub fn close(&mut self) {
         self.input = None;
     }
 
-    /// Ends the process at once (SIGKILL).
+    /// Kills the process (SIGKILL).
     pub fn kill(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
     }
 
-    /// Asks the process to end (SIGTERM).
+    /// Requests the process to terminate (SIGTERM).
     pub fn term(&mut self) {
         self.signal(Signal::TERM);
     }
 
-    /// Stops the process without ending it (SIGSTOP).
+    /// Suspends the process (SIGSTOP).
     pub fn freeze(&mut self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a frozen process go on (SIGCONT).
+    /// Resumes a suspended process (SIGCONT).
     pub fn thaw(&mut self) {
         self.signal(Signal::CONT);
     }
 
-    /// Tells the process to read its settings again (SIGHUP).
+    /// Requests the process to reload its settings (SIGHUP).
     pub fn hang_up(&mut self) {
         self.signal(Signal::HUP);
     }
 
-    /// Whether the process has ended, and how.
+    /// Exit status, or `None` while the process runs.
     pub fn exited(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits.
     ///
     /// # Errors
     ///
-    /// When it still runs after `bound`.
+    /// Returns an error if it still runs after `bound`.
     pub fn wait(&mut self, bound: Duration) -> Result<ExitStatus> {
         let mut status = None;
         wait_until("exit", bound, || {
@@ -128,7 +128,7 @@
         status.map_or_else(|| TimeoutSnafu { what: "exit", millis: bound.as_millis() }.fail(), Ok)
     }
 
-    /// Sends a signal, unless the process has ended and its id may belong to another.
+    /// Sends a signal unless the process has exited, as its id may have been reused.
     fn signal(&mut self, signal: Signal) {
         if self.exited().is_none() {
             _ = kill_process(Pid::from_child(&self.child), signal);
--- a/acaciaring_testing/src/harness/remote.rs
+++ b/acaciaring_testing/src/harness/remote.rs
@@ -1,4 +1,4 @@
-//! Commands to stand-ins that run as processes of their own.
+//! Commands to stand-ins that run as separate processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::error::{Error, JsonSnafu, Result};
 use crate::upstream::Run;
 
-/// Bound on one command.
+/// Timeout of a command.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends a command to the control address of a stand-in and reads its answer.
+/// Sends a command to the control address of a stand-in and returns its response.
 ///
 /// # Errors
 ///
-/// When there is no answer, or not the expected one.
+/// Returns an error if there is no response or it cannot be decoded.
 pub fn command<T: DeserializeOwned>(address: SocketAddr, control: &impl Serialize) -> Result<T> {
     let body = serde_json::to_vec(control).context(JsonSnafu)?;
     let post = agent().post(format!("http://{address}/control"));
@@ -26,13 +26,13 @@
     decode(answer)
 }
 
-/// Reads the runs that an upstream has recorded.
+/// Fetches the runs that an upstream has recorded.
 ///
 /// # Errors
 ///
-/// When there is no answer, or not the expected one.
+/// Returns an error if there is no response or it cannot be decoded.
 pub fn records(address: SocketAddr) -> Result<Vec<Run>> {
-    // A long record exceeds the limit that `read_to_vec` sets.
+    // A long record exceeds the default limit of `read_to_vec`.
     let get = agent().get(format!("http://{address}/control/record"));
     let answer = get
         .call()
--- a/acaciaring_testing/src/harness/tls.rs
+++ b/acaciaring_testing/src/harness/tls.rs
@@ -8,10 +8,10 @@
 use crate::error::{CertificateSnafu, Result};
 use crate::harness::TempDir;
 
-/// Name for which members' certificates are issued.
+/// Subject alternative name of the members' certificates.
 const SERVER_NAME: &str = "acaciaring";
 
-/// Certificate authority of a test; a second one is foreign to the first.
+/// Certificate authority of a test.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
     /// PEM file of the authority's certificate.
@@ -28,11 +28,11 @@
 }
 
 impl Authority {
-    /// Makes an authority and writes `<name>.pem` into `dir`.
+    /// Creates an authority and writes its certificate to `<name>.pem` in `dir`.
     ///
     /// # Errors
     ///
-    /// When the certificate cannot be made or written.
+    /// Returns an error if the certificate cannot be created or written.
     pub fn new(dir: &TempDir, name: &str) -> Result<Self> {
         let mut params = CertificateParams::default();
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -44,11 +44,11 @@
         Ok(Self { issuer: Issuer::new(params, key), certificate: path })
     }
 
-    /// Issues a certificate for `acaciaring` and writes `<name>.crt` and `<name>.key` into `dir`.
+    /// Issues a certificate for `acaciaring` and writes `<name>.crt` and `<name>.key` to `dir`.
     ///
     /// # Errors
     ///
-    /// When the certificate cannot be made or written.
+    /// Returns an error if the certificate cannot be created or written.
     pub fn issue(&self, dir: &TempDir, name: &str) -> Result<Identity> {
         let names = vec![SERVER_NAME.to_owned()];
         let mut params = CertificateParams::new(names).context(CertificateSnafu)?;
--- a/acaciaring_testing/src/http.rs
+++ b/acaciaring_testing/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP server of a stand-in: `tiny_http` behind a link, so that connections can be limited and dropped.
+//! HTTP server of a stand-in: `tiny_http` behind a link that limits and drops connections.
 
 use std::collections::HashMap;
 use std::io::{Cursor, Read, Write};
@@ -18,17 +18,17 @@
 use crate::error::{Error, JsonSnafu, Result};
 use crate::link::{Balancer, LOOPBACK, Link, LinkOptions};
 
-/// Answer that is complete in memory.
+/// Response with its body in memory.
 pub(crate) type Reply = Response<Cursor<Vec<u8>>>;
 
-/// Most connections of one server of `tiny_http`.
+/// Maximum number of connections per `tiny_http` server.
 ///
-/// Guards against a request that nobody reads for seconds: `tiny_http` gives a new connection to an
-/// idle thread that it may have given another one a moment ago, and the connection then waits until
-/// some thread has lost its own. Each server keeps four threads, so below that none waits.
+/// Guards against requests that stay unread for seconds: `tiny_http` may assign a new connection to
+/// a thread that has just been given another one, and the connection then waits for a free thread.
+/// Each server keeps four threads, so with fewer connections none waits.
 const SERVER_LIMIT: usize = 3;
 
-/// How often a thread that waits for a request looks whether the server has stopped.
+/// Interval at which a thread that waits for a request checks whether the server has stopped.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) struct Http {
@@ -38,14 +38,14 @@
     stopped: AtomicBool,
 }
 
-/// Servers of `tiny_http`, started as connections come.
+/// Pool of `tiny_http` servers that grows with the number of connections.
 struct Servers {
     list: Mutex<Vec<Arc<Server>>>,
     requests: Sender<Request>,
 }
 
 impl Servers {
-    /// Returns the address of a server with room for one more connection.
+    /// Returns the address of a server with spare capacity, starting one if necessary.
     fn choose(&self, counts: &HashMap<SocketAddr, usize>) -> Option<SocketAddr> {
         let mut list = self.list.lock();
         let addresses = list.iter().filter_map(|server| server.server_addr().to_ip());
@@ -70,7 +70,7 @@
 }
 
 impl Http {
-    /// Listens on `address`; a new connection costs `accept_delay`, and at most `limit` are open.
+    /// Listens on `address` with at most `limit` connections, accepting one per `accept_delay`.
     pub(crate) fn start(
         address: SocketAddr,
         limit: usize,
@@ -90,7 +90,7 @@
         self.link.address()
     }
 
-    /// Waits for the next request; none when the server has stopped.
+    /// Waits for the next request; returns `None` once the server has stopped.
     pub(crate) fn receive(&self) -> Option<Request> {
         while !self.stopped.load(Ordering::SeqCst) {
             if let Ok(request) = self.requests.recv_timeout(POLL_INTERVAL) {
@@ -100,7 +100,7 @@
         None
     }
 
-    /// Closes the connection of a request without an answer.
+    /// Closes the connection of a request without a response.
     pub(crate) fn close(&self, request: Request) {
         if let Some(peer) = request.remote_addr() {
             self.link.close(*peer);
@@ -108,7 +108,7 @@
         drop(request.into_writer());
     }
 
-    /// Answers with `body[..length]` where the head promises all of `body`, then closes the connection.
+    /// Sends `body[..length]` with the content length of all of `body` and closes the connection.
     pub(crate) fn truncate(&self, request: Request, body: &[u8], length: usize) {
         let peer = request.remote_addr().copied();
         let mut writer = request.into_writer();
@@ -130,11 +130,11 @@
     }
 }
 
-/// Sends an answer; a caller that has gone away is no failure.
+/// Sends a response. A client that has disconnected is not an error.
 pub(crate) fn answer(request: Request, reply: Reply) {
-    // The default threshold would send long answers in chunks, without a length.
+    // Above the default threshold, `tiny_http` would use chunked encoding without a content length.
     if let Err(error) = request.respond(reply.with_chunked_threshold(usize::MAX)) {
-        tracing::debug!(%error, "answer not sent");
+        tracing::debug!(%error, "response not sent");
     }
 }
 
@@ -146,7 +146,7 @@
     Response::from_data(body)
 }
 
-/// Answer to a command that is not understood.
+/// Response to a command that cannot be parsed.
 pub(crate) fn bad_request(error: &Error) -> Reply {
     bytes(error.to_string().into_bytes()).with_status_code(400)
 }
@@ -171,7 +171,7 @@
     found.map(|h| h.value.as_str())
 }
 
-/// Reads the body; none when the caller sent less than it stated, or more than `limit`.
+/// Reads the body; returns `None` if it is shorter than its stated length or longer than `limit`.
 pub(crate) fn body(request: &mut Request, limit: usize) -> Option<Vec<u8>> {
     let stated = request.body_length();
     let mut body = Vec::new();
@@ -181,13 +181,13 @@
     (whole && body.len() <= limit).then_some(body)
 }
 
-/// Reads a command in JSON.
+/// Parses the JSON command in the body of a request.
 pub(crate) fn command<T: DeserializeOwned>(request: &mut Request) -> Result<T> {
     let body = body(request, usize::MAX / 2).unwrap_or_default();
     serde_json::from_slice(&body).context(JsonSnafu)
 }
 
-/// Number given for `name` in the query of `url`.
+/// Numeric value of the query parameter `name` of `url`.
 pub(crate) fn query(url: &str, name: &str) -> Option<u64> {
     let (_, query) = url.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/acaciaring_testing/src/lib.rs
+++ b/acaciaring_testing/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for the systems around acaciaring, helpers for tests with real processes, and a load generator.
+//! Stand-ins for the systems around acaciaring, helpers for tests that start processes, and a load
+//! generator.
 //!
-//! Each stand-in runs in the process of a test, or as a process of its own (`acaciaring-standin`).
+//! Each stand-in runs in the process of a test or as a separate process (`acaciaring-standin`).
 
 mod cluster;
 pub mod demo;
--- a/acaciaring_testing/src/link.rs
+++ b/acaciaring_testing/src/link.rs
@@ -1,4 +1,4 @@
-//! TCP link between a listening address and a target, with faults on command.
+//! Fault-injecting TCP link between a listening address and a target.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -20,13 +20,13 @@
 pub(crate) const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Delay that one lost segment costs a TCP connection.
+/// Delay that stands for the retransmission of a lost TCP segment.
 const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
-/// How often a stopped or blocked half of a connection looks again.
+/// Interval at which a blocked half of a connection checks its state.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Bound on a connection to the target.
+/// Timeout of a connection attempt to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 const CHUNK_BYTES: usize = 64 * 1024;
@@ -34,9 +34,9 @@
 /// Direction of traffic through a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Direction {
-    /// From the caller to the target.
+    /// From the client to the target.
     Up,
-    /// From the target to the caller.
+    /// From the target to the client.
     Down,
 }
 
@@ -44,13 +44,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Nothing passes from caller to target.
+    /// Blocks traffic from client to target.
     pub cut_up: bool,
-    /// Nothing passes from target to caller.
+    /// Blocks traffic from target to client.
     pub cut_down: bool,
-    /// Added to each chunk or datagram, in milliseconds.
+    /// Delay of each TCP chunk or datagram, in milliseconds.
     pub delay: u64,
-    /// Share of datagrams that are lost, 0 to 1; a TCP chunk is late by 200 ms instead.
+    /// Probability of losing a datagram, 0 to 1. A TCP chunk is delayed by 200 ms instead.
     pub loss: f64,
 }
 
@@ -63,23 +63,23 @@
     }
 }
 
-/// Chooses the target of a new connection by the open connections to each target.
+/// Chooses the target of a new connection, given the number of open connections per target.
 pub(crate) type Balancer =
     Box<dyn Fn(&HashMap<SocketAddr, usize>) -> Option<SocketAddr> + Send + Sync>;
 
 pub(crate) struct LinkOptions {
-    /// Connections are closed at once while there is none.
+    /// Target of connections; without one, connections are closed immediately.
     pub(crate) target: Option<SocketAddr>,
-    /// Chooses targets in place of `target`.
+    /// Chooses the target of each connection instead of `target`.
     pub(crate) balancer: Option<Balancer>,
-    /// Most open connections; further ones are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub(crate) limit: usize,
-    /// Time that a new connection costs.
+    /// Time that the acceptor waits after each new connection.
     pub(crate) accept_delay: Duration,
     pub(crate) seed: u64,
 }
 
-/// Listening address that passes each connection on to a target.
+/// Listening socket that forwards each connection to a target.
 pub(crate) struct Link {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -100,7 +100,7 @@
     client: TcpStream,
     server: TcpStream,
     target: SocketAddr,
-    /// Address under which the target sees this connection.
+    /// Local address of `server`, which the target sees as its peer.
     local: SocketAddr,
     silent: Arc<AtomicBool>,
     halves: u8,
@@ -147,12 +147,12 @@
         self.shared.changed.notify_all();
     }
 
-    /// Passes new connections on to another target.
+    /// Forwards new connections to another target.
     pub(crate) fn retarget(&self, target: SocketAddr) {
         *self.shared.target.lock() = Some(target);
     }
 
-    /// Stops the traffic of all connections that are open now, for good and without closing them.
+    /// Permanently drops the traffic of all open connections without closing them.
     pub(crate) fn silence(&self) -> usize {
         let open = self.shared.open.lock();
         for connection in open.values() {
@@ -161,7 +161,7 @@
         open.len()
     }
 
-    /// Closes the connection that the target sees under `local`, once what the target wrote is passed on.
+    /// Closes the connection with this local address, after forwarding what the target has written.
     pub(crate) fn close(&self, local: SocketAddr) {
         let open = self.shared.open.lock();
         if let Some(connection) = open.values().find(|connection| connection.local == local) {
@@ -173,7 +173,7 @@
         if self.shared.stopped.swap(true, Ordering::SeqCst) {
             return;
         }
-        // Wakes the acceptor, which then drops the listener.
+        // Wakes the acceptor so that it drops the listener.
         _ = TcpStream::connect(self.address);
         for connection in self.shared.open.lock().values() {
             _ = connection.client.shutdown(Shutdown::Both);
@@ -199,7 +199,7 @@
             continue;
         }
         if let Err(error) = connect(shared, client) {
-            tracing::debug!(%error, "connection to the target failed");
+            tracing::debug!(%error, "cannot connect to the target; closing the client connection");
         }
         thread::sleep(shared.options.accept_delay);
     }
@@ -242,7 +242,7 @@
         loop {
             let length = (&self.from).read(&mut chunk).unwrap_or(0);
             if !shared.pass(self) {
-                // The connection is silent: what arrives is lost, also the end of the stream.
+                // The connection is silenced: drops all data and the end of the stream.
                 if length == 0 {
                     return;
                 }
@@ -271,7 +271,7 @@
         balancer(&counts)
     }
 
-    /// Waits until traffic of this half may pass; false when the connection is silent for good.
+    /// Applies blocking, delay and loss to this half; returns false if the connection is silenced.
     fn pass(&self, half: &Half) -> bool {
         let mut faults = self.faults.lock();
         while faults.cut(half.direction)
@@ -289,7 +289,7 @@
         !half.silent.load(Ordering::SeqCst)
     }
 
-    /// Forgets a connection when both of its halves have ended.
+    /// Removes a connection when both halves have ended.
     fn end(&self, id: u64) {
         let mut open = self.open.lock();
         let Some(connection) = open.get_mut(&id) else { return };
--- a/acaciaring_testing/src/network.rs
+++ b/acaciaring_testing/src/network.rs
@@ -1,4 +1,4 @@
-//! Network between the members of a system and to the log, with cuts on command.
+//! Fault-injecting network between the members of a cluster and from each member to the log.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -7,14 +7,13 @@
 use crate::link::Direction;
 use crate::proxy::{ProxyHandle, ProxyOptions, ProxyServer, Transport};
 
-/// Last byte of the first member's IP address.
 const FIRST_HOST: u8 = 10;
 
-/// One UDP proxy in front of each member and one TCP proxy between it and the log.
+/// A UDP proxy in front of each member and a TCP proxy between each member and the log.
 ///
-/// Each member has its own IP address on the loopback interface, and all its datagrams leave from
-/// there, also those of connections from new ports. So a member's proxy tells by the source which
-/// member a datagram comes from, and each direction between two members can be cut alone.
+/// Each member sends all its datagrams from its own loopback address, whatever the port. A proxy
+/// thus identifies the sender by the source address, and each direction between two members can be
+/// blocked separately.
 #[derive(Default)]
 pub struct Network {
     nodes: Vec<Node>,
@@ -27,11 +26,11 @@
 }
 
 impl Network {
-    /// Starts a VM behind its proxies and returns its index; all VMs of the system are added so.
+    /// Starts a VM behind its proxies and returns its index; each VM of the cluster needs this.
     ///
     /// # Errors
     ///
-    /// When a proxy, the daemon or its upstream cannot be started.
+    /// Returns an error if a proxy, the daemon or its upstream cannot be started.
     pub fn add(&mut self, cluster: &mut Cluster, options: VmOptions) -> Result<usize> {
         let number = u8::try_from(self.nodes.len()).unwrap_or(u8::MAX - FIRST_HOST);
         let address = IpAddr::from(Ipv4Addr::new(127, 0, 1, FIRST_HOST + number));
@@ -55,11 +54,11 @@
         Ok(index)
     }
 
-    /// Starts a VM anew behind its proxies, in the place of one that has ended.
+    /// Restarts a stopped VM behind its proxies.
     ///
     /// # Errors
     ///
-    /// When the daemon or its upstream cannot be started.
+    /// Returns an error if the daemon or its upstream cannot be started.
     pub fn replace(&self, cluster: &mut Cluster, index: usize) -> Result<()> {
         cluster.replace(index)?;
         self.connect(index, cluster.vms[index].peer);
@@ -71,15 +70,15 @@
         self.nodes[index].peer.handle().set(&control);
     }
 
-    /// Cuts or joins the way of datagrams from one member to another.
+    /// Blocks or unblocks datagrams from one member to another.
     pub fn cut(&self, from: usize, to: usize, cut: bool) {
         let (from, to) = (&self.nodes[from], &self.nodes[to]);
         to.peer.handle().cut_source(from.address, Direction::Up, cut);
-        // Answers on connections that `to` has opened come through the proxy of `from`.
+        // Replies on connections that `to` has opened pass through the proxy of `from`.
         from.peer.handle().cut_source(to.address, Direction::Down, cut);
     }
 
-    /// Cuts or joins both ways between two groups of members.
+    /// Blocks or unblocks both directions between two groups of members.
     pub fn partition(&self, one: &[usize], other: &[usize], cut: bool) {
         for a in one {
             for b in other {
@@ -89,12 +88,12 @@
         }
     }
 
-    /// Cuts or joins the way of a member to the log and back.
+    /// Blocks or unblocks both directions between a member and the log.
     pub fn cut_log(&self, member: usize, cut: bool) {
         self.nodes[member].log.handle().cut(cut);
     }
 
-    /// Ends all cuts.
+    /// Unblocks all traffic and ends delay and loss.
     pub fn heal(&self) {
         for node in &self.nodes {
             node.peer.handle().heal();
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Control of the proxy in front of a member.
+    /// Returns a handle that controls the proxy in front of a member.
     #[must_use]
     pub fn proxy(&self, member: usize) -> ProxyHandle {
         self.nodes[member].peer.handle()
--- a/acaciaring_testing/src/proxy.rs
+++ b/acaciaring_testing/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxy with faults on command, between one listening address and one target.
+//! Fault-injecting proxy between a listening address and a target.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 use crate::link::{Direction, Faults, LOOPBACK, Link, LinkOptions};
 use crate::udp::UdpLink;
 
-/// Most connections to the control address.
+/// Maximum number of connections to the control address.
 const MAX_CONTROLLERS: usize = 64;
 
-/// Protocol that a proxy passes on.
+/// Protocol that a proxy forwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Transport {
-    /// Connections.
+    /// TCP connections.
     Tcp,
-    /// Datagrams, with one outgoing socket for each source address.
+    /// UDP datagrams, with one outgoing socket per source address.
     Udp,
 }
 
@@ -32,9 +32,9 @@
     pub transport: Transport,
     /// Address to listen on.
     pub address: SocketAddr,
-    /// Target; it may be set later, and nothing passes before.
+    /// Target. It may be set later; until then nothing is forwarded.
     pub target: Option<SocketAddr>,
-    /// Seed of losses.
+    /// Seed of the simulated loss.
     pub seed: u64,
 }
 
@@ -44,43 +44,43 @@
     }
 }
 
-/// Commands to a proxy; what is absent stays as it is.
+/// Commands to a proxy; absent fields leave the setting unchanged.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProxyControl {
     /// Target of new connections and of all datagrams.
     pub target: Option<SocketAddr>,
-    /// Cut both ways.
+    /// Blocks or unblocks both directions.
     pub cut: Option<bool>,
-    /// Cut from caller to target.
+    /// Blocks or unblocks traffic from client to target.
     pub cut_up: Option<bool>,
-    /// Cut from target to caller.
+    /// Blocks or unblocks traffic from target to client.
     pub cut_down: Option<bool>,
-    /// Delay in milliseconds.
+    /// Delay of each TCP chunk or datagram, in milliseconds.
     pub delay: Option<u64>,
-    /// Share of lost datagrams, 0 to 1; a TCP chunk is late by 200 ms instead.
+    /// Probability of losing a datagram, 0 to 1. A TCP chunk is delayed by 200 ms instead.
     pub loss: Option<f64>,
-    /// Old connections, or sources of datagrams, go silent for good without being closed.
+    /// Permanently drops the traffic of present connections, or UDP sources, without closing them.
     pub silence: bool,
-    /// Ends cuts, delay and losses; silent connections stay silent.
+    /// Ends blocking, delay and loss; silenced connections stay silent.
     pub heal: bool,
 }
 
-/// Datagrams that have arrived at a proxy.
+/// Datagrams that a proxy received from both sides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DatagramCounts {
-    /// Count.
+    /// Number of datagrams.
     pub count: u64,
-    /// Bytes of their payloads; IP and UDP add 28 bytes to each.
+    /// Total payload in bytes; IP and UDP headers add 28 bytes per datagram.
     pub bytes: u64,
 }
 
-/// Proxy in this process; it stops when dropped.
+/// Proxy that runs in this process and stops when dropped.
 pub struct ProxyServer {
     handle: ProxyHandle,
 }
 
-/// Control of a running proxy.
+/// Handle that controls a running proxy.
 #[derive(Clone)]
 pub struct ProxyHandle {
     shared: Arc<Shared>,
@@ -97,11 +97,11 @@
 }
 
 impl ProxyServer {
-    /// Starts the proxy and its control address.
+    /// Starts the proxy and the HTTP server of its control address.
     ///
     /// # Errors
     ///
-    /// When an address is taken.
+    /// Returns an error if an address cannot be bound.
     pub fn start(options: ProxyOptions) -> Result<Self> {
         let ProxyOptions { transport, address, target, seed } = options;
         let relay = match transport {
@@ -125,7 +125,7 @@
         Ok(Self { handle })
     }
 
-    /// Address that callers use in place of the target's.
+    /// Address that clients connect to instead of the target.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.handle.shared.relay.address()
@@ -137,13 +137,13 @@
         self.handle.shared.http.address()
     }
 
-    /// Control of the proxy.
+    /// Returns a handle that controls the proxy.
     #[must_use]
     pub fn handle(&self) -> ProxyHandle {
         self.handle.clone()
     }
 
-    /// Closes all connections and both addresses.
+    /// Closes all connections and both listening sockets.
     pub fn stop(&self) {
         self.handle.shared.http.stop();
         self.handle.shared.relay.stop();
@@ -157,7 +157,7 @@
 }
 
 impl ProxyHandle {
-    /// Carries out commands.
+    /// Applies the settings that `control` contains.
     pub fn set(&self, control: &ProxyControl) {
         let relay = &self.shared.relay;
         if let Some(target) = control.target {
@@ -169,22 +169,22 @@
         }
     }
 
-    /// Cuts or joins both ways.
+    /// Blocks or unblocks both directions.
     pub fn cut(&self, cut: bool) {
         self.set(&ProxyControl { cut: Some(cut), ..ProxyControl::default() });
     }
 
-    /// Cuts or joins one direction of the datagrams of the sources with this IP address.
+    /// Blocks or unblocks one direction of the datagrams of all sources with this IP address.
     ///
-    /// A TCP proxy has no such cut and ignores it.
+    /// A TCP proxy does not support this and only logs a warning.
     pub fn cut_source(&self, source: IpAddr, direction: Direction, cut: bool) {
         match &self.shared.relay {
-            Relay::Tcp(_) => tracing::warn!("a TCP proxy cuts no single source"),
+            Relay::Tcp(_) => tracing::warn!("a TCP proxy cannot block a single source; ignored"),
             Relay::Udp(link) => link.cut_source(source, direction, cut),
         }
     }
 
-    /// Ends cuts, delay and losses.
+    /// Ends blocking, delay and loss.
     pub fn heal(&self) {
         self.set(&ProxyControl { heal: true, ..ProxyControl::default() });
         if let Relay::Udp(link) = &self.shared.relay {
@@ -192,13 +192,13 @@
         }
     }
 
-    /// Silences the connections or sources that are known now; returns how many.
+    /// Permanently drops the traffic of present connections or sources and returns their number.
     #[must_use = "0 means that nothing went silent"]
     pub fn silence(&self) -> usize {
         self.shared.relay.silence()
     }
 
-    /// Datagrams that have arrived from either side, none for connections.
+    /// Datagrams received from both sides; zero for a TCP proxy.
     #[must_use]
     pub fn datagrams(&self) -> DatagramCounts {
         match &self.shared.relay {
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Faults in force.
+    /// Active faults.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.shared.relay.faults()
--- a/acaciaring_testing/src/udp.rs
+++ b/acaciaring_testing/src/udp.rs
@@ -1,4 +1,4 @@
-//! UDP link between a listening address and a target, with faults on command.
+//! Fault-injecting UDP link between a listening address and a target.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr, UdpSocket};
@@ -16,13 +16,12 @@
 use crate::error::{IoSnafu, Result};
 use crate::link::{Direction, Faults, LOOPBACK};
 
-/// How often a thread that waits for datagrams looks whether the link has stopped.
+/// Interval at which a waiting thread checks whether the link has stopped.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Largest datagram.
 const MAX_DATAGRAM_BYTES: usize = 65536;
 
-/// Listening address that passes datagrams on to a target, one outgoing socket for each source.
+/// Listening socket that forwards datagrams to a target, with one outgoing socket per source.
 pub(crate) struct UdpLink {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -32,7 +31,7 @@
     socket: UdpSocket,
     target: Mutex<Option<SocketAddr>>,
     faults: Mutex<Faults>,
-    /// Cuts of single sources, beside the faults of all.
+    /// Blocked directions of single sources, in addition to `faults`.
     cuts: Mutex<HashSet<(IpAddr, Direction)>>,
     rng: Mutex<StdRng>,
     flows: Mutex<HashMap<SocketAddr, Arc<Flow>>>,
@@ -49,7 +48,6 @@
     silent: AtomicBool,
 }
 
-/// Datagram that is delayed.
 struct Delayed {
     due: Instant,
     direction: Direction,
@@ -98,7 +96,7 @@
         *self.shared.faults.lock() = faults;
     }
 
-    /// Cuts or joins one direction of the traffic of a source.
+    /// Blocks or unblocks one direction of the traffic of a source.
     pub(crate) fn cut_source(&self, source: IpAddr, direction: Direction, cut: bool) {
         let mut cuts = self.shared.cuts.lock();
         if cut {
@@ -108,19 +106,19 @@
         }
     }
 
-    /// Ends the cuts of single sources.
+    /// Unblocks all sources.
     pub(crate) fn heal_sources(&self) {
         self.shared.cuts.lock().clear();
     }
 
-    /// Sends datagrams of all sources to another target from now on.
+    /// Forwards datagrams of all sources to another target and drops the existing flows.
     pub(crate) fn retarget(&self, target: SocketAddr) {
         *self.shared.target.lock() = Some(target);
         self.silence();
         self.shared.flows.lock().clear();
     }
 
-    /// Drops all datagrams from and to the sources that are known now, for good.
+    /// Permanently drops all datagrams from and to the known sources.
     pub(crate) fn silence(&self) -> usize {
         let flows = self.shared.flows.lock();
         for flow in flows.values() {
@@ -129,7 +127,7 @@
         flows.len()
     }
 
-    /// Bytes and datagrams that have arrived from either side.
+    /// Number of bytes and datagrams received from both sides.
     pub(crate) fn received(&self) -> (u64, u64) {
         let Shared { bytes, datagrams, .. } = &*self.shared;
         (bytes.load(Ordering::Relaxed), datagrams.load(Ordering::Relaxed))
@@ -146,7 +144,7 @@
     }
 }
 
-/// Passes datagrams of all sources on to the target.
+/// Forwards datagrams of all sources to the target.
 fn receive(shared: &Arc<Shared>) {
     let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
     while !shared.stopped() {
@@ -154,12 +152,12 @@
         match flow(shared, source) {
             Ok(Some(flow)) => shared.pass(&flow, Direction::Up, &datagram[..length]),
             Ok(None) => {}
-            Err(error) => tracing::warn!(%error, "no socket for a source"),
+            Err(error) => tracing::warn!(%error, "cannot open a socket; dropping the datagram"),
         }
     }
 }
 
-/// Flow of a source; none while there is no target.
+/// Returns the flow of a source, or `None` while no target is set.
 fn flow(shared: &Arc<Shared>, source: SocketAddr) -> std::io::Result<Option<Arc<Flow>>> {
     let Some(target) = *shared.target.lock() else { return Ok(None) };
     let mut flows = shared.flows.lock();
@@ -176,17 +174,17 @@
     Ok(Some(flow))
 }
 
-/// Passes the target's datagrams back to one source.
+/// Forwards the target's datagrams to one source.
 fn relay_replies(shared: &Shared, flow: &Arc<Flow>) {
     let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
     while !shared.stopped() && !flow.silent.load(Ordering::SeqCst) {
-        // An error is a timeout, or the news that the target's port is closed.
+        // An error is a timeout or an ICMP message that the target's port is closed.
         let Ok(length) = flow.socket.recv(&mut datagram) else { continue };
         shared.pass(flow, Direction::Down, &datagram[..length]);
     }
 }
 
-/// Sends delayed datagrams when they are due, in the order in which they came.
+/// Sends delayed datagrams when they are due, in the order of their arrival.
 fn send_delayed(shared: &Shared, queue: &Receiver<Delayed>) {
     while !shared.stopped() {
         let Ok(delayed) = queue.recv_timeout(POLL_INTERVAL) else { continue };
