--- a/acaciaring_testing/tests/harness.rs
+++ b/acaciaring_testing/tests/harness.rs
@@ -39,7 +39,7 @@
 // An upstream is stopped in the middle of a request and goes on later; then it is
 // lost for good, and its record outlives it.
 #[test]
-fn frozen_upstream_goes_on_and_its_record_outlives_it() {
+fn suspended_upstream_resumes_and_its_record_outlives_it() {
     let dir = TempDir::new().unwrap();
     let record = dir.path().join("record");
     let file = record.to_str().unwrap();
--- a/acaciaring_testing/tests/load.rs
+++ b/acaciaring_testing/tests/load.rs
@@ -16,7 +16,7 @@
     header.map(|header| header.value.to_string()).unwrap_or_default()
 }
 
-fn named(name: &str, value: &str) -> Header {
+fn response_header(name: &str, value: &str) -> Header {
     Header::from_bytes(name, value).unwrap()
 }
 
@@ -31,8 +31,8 @@
             let tag = header(&request, "x-load-tag");
             if tag.ends_with(".0") {
                 let refusal = Response::empty(503)
-                    .with_header(named("x-acaciaring-verdict", "not-run"))
-                    .with_header(named("x-acaciaring-reason", "busy"));
+                    .with_header(response_header("x-acaciaring-verdict", "not-run"))
+                    .with_header(response_header("x-acaciaring-reason", "busy"));
                 request.respond(refusal).unwrap();
                 continue;
             }
@@ -46,7 +46,7 @@
                 hash: body_hash(&body),
             };
             let answer = Response::from_data(serde_json::to_vec(&echo).unwrap())
-                .with_header(named("x-acaciaring-verdict", "answered"));
+                .with_header(response_header("x-acaciaring-verdict", "answered"));
             request.respond(answer).unwrap();
         }
     });
--- a/acaciaring_testing/tests/measure.rs
+++ b/acaciaring_testing/tests/measure.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn gap_is_told_without_the_usual_one() {
+fn longest_gap_excludes_the_median_gap() {
     assert_eq!(longest_gap(&[10, 20, 30, 40], 0, 50), 0);
     assert_eq!(longest_gap(&[40, 10, 20, 30, 140, 150], 0, 160), 90);
 }
--- a/acaciaring_testing/tests/proxy.rs
+++ b/acaciaring_testing/tests/proxy.rs
@@ -14,7 +14,7 @@
 use common::{BOUND, post};
 
 /// Wait after which traffic counts as stopped.
-const QUIET: Duration = Duration::from_millis(300);
+const BLOCKED_AFTER: Duration = Duration::from_millis(300);
 
 /// Server that sends back what it gets.
 fn tcp_echo() -> SocketAddr {
@@ -73,31 +73,31 @@
 // Something between the two ends has lost track of a connection. Both ends
 // believe that it is open, nothing arrives any more, and a new connection works.
 #[test]
-fn silence_takes_old_tcp_connections_only() {
+fn silence_affects_existing_tcp_connections_only() {
     let proxy = proxy(Transport::Tcp, tcp_echo());
     let old = tcp_caller(&proxy);
     assert!(tcp_echoes(&old, 1, BOUND));
     assert_eq!(proxy.handle().silence(), 1);
-    old.set_read_timeout(Some(QUIET)).unwrap();
+    old.set_read_timeout(Some(BLOCKED_AFTER)).unwrap();
     (&old).write_all(&[2]).unwrap();
     let error = (&old).read(&mut [0]).expect_err("neither an answer nor the end of the stream");
     assert_eq!(error.kind(), std::io::ErrorKind::WouldBlock);
     assert!(tcp_echoes(&tcp_caller(&proxy), 3, BOUND));
     proxy.handle().heal();
-    assert!(!tcp_echoes(&old, 4, QUIET));
+    assert!(!tcp_echoes(&old, 4, BLOCKED_AFTER));
 }
 
 // The same for datagrams: a known source goes silent, a new source is served.
 #[test]
-fn silence_takes_old_udp_sources_only() {
+fn silence_affects_known_udp_sources_only() {
     let proxy = proxy(Transport::Udp, udp_echo());
     let old = udp_caller(&proxy);
     assert!(udp_echoes(&old, 1, BOUND));
     assert_eq!(proxy.handle().silence(), 1);
-    assert!(!udp_echoes(&old, 2, QUIET));
+    assert!(!udp_echoes(&old, 2, BLOCKED_AFTER));
     assert!(udp_echoes(&udp_caller(&proxy), 3, BOUND));
     proxy.handle().heal();
-    assert!(!udp_echoes(&old, 4, QUIET));
+    assert!(!udp_echoes(&old, 4, BLOCKED_AFTER));
 }
 
 #[test]
@@ -106,7 +106,7 @@
     let caller = tcp_caller(&proxy);
     assert!(tcp_echoes(&caller, 1, BOUND));
     proxy.handle().cut(true);
-    assert!(!tcp_echoes(&caller, 2, QUIET));
+    assert!(!tcp_echoes(&caller, 2, BLOCKED_AFTER));
     proxy.handle().heal();
     caller.set_read_timeout(Some(BOUND)).unwrap();
     let mut answer = [0];
@@ -127,7 +127,7 @@
     let (_, source) = target.recv_from(&mut datagram).unwrap();
     assert_eq!(datagram, [7]);
     target.send_to(&[8], source).unwrap();
-    caller.set_read_timeout(Some(QUIET)).unwrap();
+    caller.set_read_timeout(Some(BLOCKED_AFTER)).unwrap();
     assert!(caller.recv(&mut datagram).is_err());
     post(proxy.control(), "/control", br#"{"heal": true}"#).unwrap();
     target.send_to(&[9], source).unwrap();
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn loss_takes_a_share_of_datagrams() {
+fn loss_drops_some_datagrams() {
     const SENT: u8 = 200;
     let proxy = proxy(Transport::Udp, udp_echo());
     let caller = udp_caller(&proxy);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn replies_find_their_sources() {
+fn replies_reach_their_sources() {
     let proxy = proxy(Transport::Udp, udp_echo());
     let callers: Vec<UdpSocket> = (0..8).map(|_| udp_caller(&proxy)).collect();
     for (byte, caller) in (0u8..).zip(&callers) {
@@ -185,8 +185,8 @@
         let proxy = ProxyServer::start(options).unwrap();
         proxy.handle().set(&ProxyControl { target: Some(target), ..ProxyControl::default() });
         wait_until("echo", BOUND, || match transport {
-            Transport::Tcp => tcp_echoes(&tcp_caller(&proxy), 5, QUIET),
-            Transport::Udp => udp_echoes(&udp_caller(&proxy), 5, QUIET),
+            Transport::Tcp => tcp_echoes(&tcp_caller(&proxy), 5, BLOCKED_AFTER),
+            Transport::Udp => udp_echoes(&udp_caller(&proxy), 5, BLOCKED_AFTER),
         })
         .unwrap();
     }
--- a/acaciaring_testing/tests/upstream.rs
+++ b/acaciaring_testing/tests/upstream.rs
@@ -36,7 +36,7 @@
 // A former owner was paused and hands over a request late. The upstream's clock
 // has reached the end of the lease, or a newer owner has been there: the request does not run.
 #[test]
-fn fence_refuses_an_old_token_and_a_lapsed_lease() {
+fn fence_refuses_an_old_token_and_an_expired_lease() {
     let upstream = UpstreamServer::start(UpstreamOptions::default()).unwrap();
     assert_eq!(fenced(&upstream, "3", 10, 60_000).status, 200);
     assert_eq!(fenced(&upstream, "3", 12, 60_000).status, 200);
@@ -127,7 +127,7 @@
 
 // The upstream freezes and returns as if nothing had happened: what came meanwhile then runs.
 #[test]
-fn frozen_upstream_goes_on_after_the_thaw() {
+fn frozen_upstream_resumes_after_the_freeze() {
     let upstream = UpstreamServer::start(unfenced()).unwrap();
     upstream.handle().set(&UpstreamControl { frozen: Some(true), ..UpstreamControl::default() });
     let address = upstream.address();
