--- a/acaciaring_testing/tests/common/mod.rs
+++ b/acaciaring_testing/tests/common/mod.rs
@@ -1,20 +1,19 @@
-//! Client calls that the tests of the stand-ins share.
+//! HTTP client helpers for the tests of the stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use ureq::Agent;
 
-/// Bound on waits; far above what a stand-in needs.
+/// Timeout of requests and waits.
 pub const BOUND: Duration = Duration::from_secs(10);
 
-/// Agent that gives up after `timeout` and hands over every status.
+/// Creates a client with a timeout that returns responses of every status.
 pub fn agent(timeout: Duration) -> Agent {
     let config = Agent::config_builder().http_status_as_error(false).timeout_global(Some(timeout));
     config.build().new_agent()
 }
 
-/// Status, headers by name and body of a `GET`.
 pub fn get(
     address: SocketAddr,
     path: &str,
--- a/acaciaring_testing/tests/harness.rs
+++ b/acaciaring_testing/tests/harness.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes, and the helpers that drive them.
+//! Tests of stand-ins that run as processes and of the test helpers.
 
 #[allow(dead_code)]
 mod common;
@@ -36,8 +36,7 @@
     assert!(last.wait(BOUND).unwrap().success());
 }
 
-// An upstream is stopped in the middle of a request and goes on later; then it is
-// lost for good, and its record outlives it.
+// An upstream is suspended during a request and resumed. Its record file survives a kill.
 #[test]
 fn suspended_upstream_resumes_and_its_record_outlives_it() {
     let dir = TempDir::new().unwrap();
--- a/acaciaring_testing/tests/load.rs
+++ b/acaciaring_testing/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load generator and its judgement of records.
+//! Tests of the load generator and its checks of records.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
     Header::from_bytes(name, value).unwrap()
 }
 
-/// Entry that refuses each first try as not run, and answers `/swap` with another caller's answer.
+/// Entry that refuses each first attempt as `not-run` and answers `/swap` for another request.
 fn entry() -> SocketAddr {
     let server = Arc::new(Server::http("127.0.0.1:0").unwrap());
     let address = server.server_addr().to_ip().unwrap();
@@ -187,7 +187,7 @@
         let tags = ["a", "b", "c"].into_iter().zip(keys);
         tags.map(|(tag, key)| sent(tag, key, &[Verdict::Answered])).collect::<Vec<_>>()
     };
-    // A long run on `u` covers a short one there and the start of one on `v`.
+    // A long run on `u` overlaps with a short one on `u` and the start of one on `v`.
     let records = [run("u", "a.0", 10, 50), run("u", "b.0", 11, 12), run("v", "c.0", 40, 60)];
     let report = check_records(&records, &requests(["k", "k", "k"]));
     assert_eq!(report.overlaps.len(), 1);
@@ -199,8 +199,8 @@
     assert!(report.overlaps.is_empty());
 }
 
-// A server goes on for a moment after its keys were taken over, between two requests of the new
-// server: nothing overlaps, and yet it has served what it no longer owned.
+// A former owner runs a request after the takeover, between two runs of the new owner, so that no
+// runs overlap.
 #[test]
 fn a_run_under_an_older_token_is_found() {
     let run = |upstream: &str, token, start| Run {
--- a/acaciaring_testing/tests/log.rs
+++ b/acaciaring_testing/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log service's own behaviour, over HTTP.
+//! Tests of the log stand-in over HTTP.
 
 #[allow(dead_code)]
 mod common;
@@ -36,8 +36,7 @@
     assert_eq!(batch.entries, [b"b".to_vec()]);
 }
 
-// A proposer sees its append fail. The log had stored the record before the
-// connection broke, so the record stands although nobody was told.
+// The connection breaks after the log has stored a record: the append fails, the record remains.
 #[test]
 fn lost_answer_has_taken_effect() {
     let log = LogServer::start(LogOptions::default()).unwrap();
@@ -47,8 +46,7 @@
     assert_eq!(read(log.address(), "from=1").entries, [b"lost".to_vec(), b"kept".to_vec()]);
 }
 
-// A reader that was away asks for a record that the log no longer keeps. The
-// batch starts at the oldest one kept, so that the reader sees the gap.
+// A read of a record beyond the retention starts at the oldest retained one, which reveals the gap.
 #[test]
 fn retention_by_count_moves_the_oldest_offset() {
     let log = LogServer::start(LogOptions { retention: 2, ..LogOptions::default() }).unwrap();
@@ -100,8 +98,7 @@
     assert_eq!(append(log.address(), b"x"), 1);
 }
 
-// Requests hang without an answer. They did not take effect, and their
-// connections are closed when the outage ends.
+// Requests left unanswered store nothing, and their connections are closed when the hang ends.
 #[test]
 fn hanging_requests_take_no_effect() {
     let log = LogServer::start(LogOptions::default()).unwrap();
@@ -113,7 +110,7 @@
     assert_eq!(append(log.address(), b"y"), 1);
 }
 
-// Many members wait for the next record. Appends go on, and one record wakes all readers.
+// Many long-polling reads do not delay appends, and one record completes all of them.
 #[test]
 fn waiting_readers_do_not_block_appends() {
     const READERS: usize = 150;
--- a/acaciaring_testing/tests/measure.rs
+++ b/acaciaring_testing/tests/measure.rs
@@ -1,4 +1,4 @@
-//! Arithmetic of the measures.
+//! Tests of the metrics computed by the experiments.
 
 use acaciaring_testing::Run;
 use acaciaring_testing::experiment::{Imbalance, churn, imbalance, longest_gap, unavailable};
--- a/acaciaring_testing/tests/proxy.rs
+++ b/acaciaring_testing/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy's own behaviour, over TCP and UDP.
+//! Tests of the proxy over TCP and UDP.
 
 #[allow(dead_code)]
 mod common;
@@ -13,10 +13,10 @@
 
 use common::{BOUND, post};
 
-/// Wait after which traffic counts as stopped.
+/// Time without a response after which traffic counts as blocked.
 const BLOCKED_AFTER: Duration = Duration::from_millis(300);
 
-/// Server that sends back what it gets.
+/// Starts an echo server.
 fn tcp_echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -55,7 +55,7 @@
     socket
 }
 
-/// Sends one byte and tells whether it came back within `bound`.
+/// Sends one byte and returns whether it is echoed within `bound`.
 fn tcp_echoes(mut stream: &TcpStream, byte: u8, bound: Duration) -> bool {
     stream.set_read_timeout(Some(bound)).unwrap();
     stream.write_all(&[byte]).unwrap();
@@ -70,8 +70,8 @@
     socket.recv(&mut answer).is_ok() && answer[0] == byte
 }
 
-// Something between the two ends has lost track of a connection. Both ends
-// believe that it is open, nothing arrives any more, and a new connection works.
+// Models a middlebox that has lost its connection state: established connections pass no more data
+// but are not closed, and new connections work.
 #[test]
 fn silence_affects_existing_tcp_connections_only() {
     let proxy = proxy(Transport::Tcp, tcp_echo());
@@ -87,7 +87,7 @@
     assert!(!tcp_echoes(&old, 4, BLOCKED_AFTER));
 }
 
-// The same for datagrams: a known source goes silent, a new source is served.
+// Likewise for datagrams: those of a known source are dropped, those of a new source pass.
 #[test]
 fn silence_affects_known_udp_sources_only() {
     let proxy = proxy(Transport::Udp, udp_echo());
@@ -114,7 +114,7 @@
     assert_eq!(answer, [2]);
 }
 
-// Only the way back is cut: the target gets the request, the caller no answer.
+// Only the direction to the client is blocked: the target gets the request, the client no reply.
 #[test]
 fn one_way_cut_lets_the_other_way_pass() {
     let target = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -177,7 +177,7 @@
     assert!(start.elapsed() >= Duration::from_millis(100));
 }
 
-// The target's address is known only after the proxy's: the target is set later.
+// The address of the target may become known only after that of the proxy.
 #[test]
 fn target_may_be_set_later() {
     for (transport, target) in [(Transport::Tcp, tcp_echo()), (Transport::Udp, udp_echo())] {
--- a/acaciaring_testing/tests/upstream.rs
+++ b/acaciaring_testing/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream's own behaviour, over HTTP.
+//! Tests of the upstream stand-in over HTTP.
 
 #[allow(dead_code)]
 mod common;
@@ -14,7 +14,7 @@
     UpstreamOptions { fenced: false, ..UpstreamOptions::default() }
 }
 
-/// Sends a request under a fence that holds for `left` ms.
+/// Sends a request with a fencing token that expires in `left` ms.
 fn fenced(upstream: &UpstreamServer, slot: &str, token: u64, left: u64) -> Answer {
     let until = upstream.handle().clock() + left;
     let fence = format!("{slot};{token};{until}");
@@ -33,8 +33,8 @@
     assert!(records[0].end >= records[0].start);
 }
 
-// A former owner was paused and hands over a request late. The upstream's clock
-// has reached the end of the lease, or a newer owner has been there: the request does not run.
+// A former owner resumes from a pause and forwards a request after its lease has expired or a newer
+// owner has sent one: the request does not run.
 #[test]
 fn fence_refuses_an_old_token_and_an_expired_lease() {
     let upstream = UpstreamServer::start(UpstreamOptions::default()).unwrap();
@@ -49,8 +49,8 @@
     assert_eq!(tokens, [10, 12, 11]);
 }
 
-// A request runs longer than the lease of the member that handed it over. With
-// a second check at its end it takes no effect and is refused.
+// A request runs longer than the lease of the member that forwarded it. The second check refuses
+// and reverts it.
 #[test]
 fn second_check_reverts_a_run_that_outlived_its_lease() {
     let options = UpstreamOptions { recheck: true, ..UpstreamOptions::default() };
@@ -65,7 +65,7 @@
     assert!(!upstream.handle().records().last().unwrap().reverted);
 }
 
-// The answer is dropped after the request ran: the caller sees a broken connection.
+// The response is dropped after the request has run: the client sees a closed connection.
 #[test]
 fn dropped_answer_has_run() {
     let upstream = UpstreamServer::start(unfenced()).unwrap();
@@ -75,7 +75,7 @@
     assert_eq!(post(upstream.address(), "/x", b"").unwrap().status, 200);
 }
 
-// The upstream dies in the middle of its answer: the head is whole, the body is shorter than stated.
+// Models a crash during the response: the head is complete, the body shorter than stated.
 #[test]
 fn cut_body_is_shorter_than_stated() {
     let upstream = UpstreamServer::start(unfenced()).unwrap();
@@ -121,11 +121,11 @@
     wait_until("run", BOUND, || upstream.handle().records().len() == 1).unwrap();
     let answer = post(address, "/acaciaring/cancel/7", b"").unwrap();
     assert_eq!(answer.body, br#"{"known":true}"#);
-    assert!(caller.join().unwrap().is_err(), "work that was broken off has no answer");
+    assert!(caller.join().unwrap().is_err(), "a cancelled run must get no response");
     assert!(upstream.handle().records()[0].cancelled);
 }
 
-// The upstream freezes and returns as if nothing had happened: what came meanwhile then runs.
+// Requests received while the upstream is frozen run when the freeze ends.
 #[test]
 fn frozen_upstream_resumes_after_the_freeze() {
     let upstream = UpstreamServer::start(unfenced()).unwrap();
