--- a/acaciaring_testing/src/experiment/table.rs
+++ b/acaciaring_testing/src/experiment/table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Write as _};
 
-use crate::load::Told;
+use crate::load::Verdict;
 
 use super::trial::Outcome;
 
@@ -77,7 +77,7 @@
                 unavailable.total / unavailable.keys.max(1) / 1000
             ),
             format!("{:.0}", outcome.goodput),
-            told_count(outcome, Told::Unknown).to_string(),
+            told_count(outcome, Verdict::Unknown).to_string(),
             outcome.duplicates.to_string(),
             outcome.refused.to_string(),
             (outcome.wrong + outcome.missing).to_string(),
@@ -130,7 +130,7 @@
     ]);
     for outcome in outcomes {
         let mut cells = run_cells(outcome);
-        let kinds = [Told::Answered, Told::NotRun, Told::Unknown, Told::Nothing];
+        let kinds = [Verdict::Answered, Verdict::NotRun, Verdict::Unknown, Verdict::Nothing];
         cells.extend(kinds.map(|kind| told_count(outcome, kind).to_string()));
         cells.push(format_reasons(&outcome.reasons));
         table.add_row(cells);
@@ -143,7 +143,7 @@
     vec![deployment.name().into(), scenario.name().into(), baseline.name.into()]
 }
 
-fn told_count(outcome: &Outcome, told: Told) -> u64 {
+fn told_count(outcome: &Outcome, told: Verdict) -> u64 {
     outcome.told.get(&told).copied().unwrap_or_default()
 }
 
--- a/acaciaring_testing/src/experiment/trial/outcome.rs
+++ b/acaciaring_testing/src/experiment/trial/outcome.rs
@@ -10,7 +10,7 @@
 use crate::experiment::probe::PROBE_SUFFIX;
 use crate::experiment::scenario::Scenario;
 use crate::experiment::system::System;
-use crate::load::{ClassFigures, LoadFigures, Report, Told};
+use crate::load::{ClassFigures, LoadFigures, Report, Verdict};
 use crate::upstream::Run;
 
 use super::TrialOptions;
@@ -43,7 +43,7 @@
     /// Figures by request class.
     pub classes: BTreeMap<String, ClassFigures>,
     /// Number of attempts by result.
-    pub told: BTreeMap<Told, u64>,
+    pub told: BTreeMap<Verdict, u64>,
     /// Number of requests by the reason of their last attempt.
     pub reasons: BTreeMap<String, u64>,
     /// At-most-once requests that were executed more than once; must be 0.
--- a/acaciaring_testing/src/http.rs
+++ b/acaciaring_testing/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP server of a stand-in: `tiny_http` behind a link, so that connections can be limited and dropped.
+//! HTTP server of a stand-in: `tiny_http` behind a link that limits and drops connections.
 
 use std::collections::HashMap;
 use std::io::{Cursor, Read, Write};
@@ -16,20 +16,20 @@
 use tiny_http::{Header, Request, Response, Server};
 
 use crate::error::{Error, JsonSnafu, Result};
-use crate::link::{LOOPBACK, Link, LinkOptions, Spread};
+use crate::link::{Balancer, LOOPBACK, Link, LinkOptions};
 
-/// Answer that is complete in memory.
+/// Response with its body in memory.
 pub(crate) type Reply = Response<Cursor<Vec<u8>>>;
 
-/// Most connections of one server of `tiny_http`.
+/// Maximum number of connections per `tiny_http` server.
 ///
-/// Guards against a request that nobody reads for seconds: `tiny_http` gives a new connection to an
-/// idle thread that it may have given another one a moment ago, and the connection then waits until
-/// some thread has lost its own. Each server keeps four threads, so below that none waits.
-const SHARE: usize = 3;
+/// Guards against requests that stay unread for seconds: `tiny_http` may assign a new connection to
+/// a thread that has just been given another one, and the connection then waits for a free thread.
+/// Each server keeps four threads, so with fewer connections none waits.
+const SERVER_LIMIT: usize = 3;
 
-/// How often a thread that waits for a request looks whether the server has stopped.
-const RECHECK: Duration = Duration::from_millis(100);
+/// Interval at which a thread that waits for a request checks whether the server has stopped.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(crate) struct Http {
     servers: Arc<Servers>,
@@ -38,18 +38,19 @@
     stopped: AtomicBool,
 }
 
-/// Servers of `tiny_http`, started as connections come.
+/// Pool of `tiny_http` servers that grows with the number of connections.
 struct Servers {
     list: Mutex<Vec<Arc<Server>>>,
     requests: Sender<Request>,
 }
 
 impl Servers {
-    /// Returns the address of a server with room for one more connection.
+    /// Returns the address of a server with spare capacity, starting one if necessary.
     fn choose(&self, counts: &HashMap<SocketAddr, usize>) -> Option<SocketAddr> {
         let mut list = self.list.lock();
         let addresses = list.iter().filter_map(|server| server.server_addr().to_ip());
-        let free = |address: &SocketAddr| counts.get(address).is_none_or(|count| *count < SHARE);
+        let free =
+            |address: &SocketAddr| counts.get(address).is_none_or(|count| *count < SERVER_LIMIT);
         if let Some(address) = addresses.into_iter().find(free) {
             return Some(address);
         }
@@ -69,13 +70,18 @@
 }
 
 impl Http {
-    /// Listens on `address`; a new connection costs `cost`, and at most `limit` are open.
-    pub(crate) fn start(address: SocketAddr, limit: usize, cost: Duration) -> Result<Arc<Self>> {
+    /// Listens on `address` with at most `limit` connections, accepting one per `accept_delay`.
+    pub(crate) fn start(
+        address: SocketAddr,
+        limit: usize,
+        accept_delay: Duration,
+    ) -> Result<Arc<Self>> {
         let (sender, requests) = crossbeam_channel::unbounded();
         let servers = Arc::new(Servers { list: Mutex::default(), requests: sender });
         let chooser = Arc::clone(&servers);
-        let spread: Spread = Box::new(move |counts| chooser.choose(counts));
-        let options = LinkOptions { target: None, spread: Some(spread), limit, cost, seed: 0 };
+        let balancer: Balancer = Box::new(move |counts| chooser.choose(counts));
+        let options =
+            LinkOptions { target: None, balancer: Some(balancer), limit, accept_delay, seed: 0 };
         let link = Link::start(address, options)?;
         Ok(Arc::new(Self { servers, link, requests, stopped: AtomicBool::new(false) }))
     }
@@ -84,34 +90,34 @@
         self.link.address()
     }
 
-    /// Waits for the next request; none when the server has stopped.
+    /// Waits for the next request; returns `None` once the server has stopped.
     pub(crate) fn receive(&self) -> Option<Request> {
         while !self.stopped.load(Ordering::SeqCst) {
-            if let Ok(request) = self.requests.recv_timeout(RECHECK) {
+            if let Ok(request) = self.requests.recv_timeout(POLL_INTERVAL) {
                 return Some(request);
             }
         }
         None
     }
 
-    /// Closes the connection of a request without an answer.
+    /// Closes the connection of a request without a response.
     pub(crate) fn close(&self, request: Request) {
-        if let Some(back) = request.remote_addr() {
-            self.link.close(*back);
+        if let Some(peer) = request.remote_addr() {
+            self.link.close(*peer);
         }
         drop(request.into_writer());
     }
 
-    /// Answers with `body[..length]` where the head promises all of `body`, then closes the connection.
-    pub(crate) fn cut(&self, request: Request, body: &[u8], length: usize) {
-        let back = request.remote_addr().copied();
+    /// Sends `body[..length]` with the content length of all of `body` and closes the connection.
+    pub(crate) fn truncate(&self, request: Request, body: &[u8], length: usize) {
+        let peer = request.remote_addr().copied();
         let mut writer = request.into_writer();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         _ = writer.write_all(head.as_bytes());
         _ = writer.write_all(&body[..length]);
         _ = writer.flush();
-        if let Some(back) = back {
-            self.link.close(back);
+        if let Some(peer) = peer {
+            self.link.close(peer);
         }
     }
 
@@ -124,11 +130,11 @@
     }
 }
 
-/// Sends an answer; a caller that has gone away is no failure.
+/// Sends a response. A client that has disconnected is not an error.
 pub(crate) fn answer(request: Request, reply: Reply) {
-    // The default threshold would send long answers in chunks, without a length.
+    // Above the default threshold, `tiny_http` would use chunked encoding without a content length.
     if let Err(error) = request.respond(reply.with_chunked_threshold(usize::MAX)) {
-        tracing::debug!(%error, "answer not sent");
+        tracing::debug!(%error, "response not sent");
     }
 }
 
@@ -140,8 +146,8 @@
     Response::from_data(body)
 }
 
-/// Answer to a command that is not understood.
-pub(crate) fn refusal(error: &Error) -> Reply {
+/// Response to a command that cannot be parsed.
+pub(crate) fn bad_request(error: &Error) -> Reply {
     bytes(error.to_string().into_bytes()).with_status_code(400)
 }
 
@@ -165,7 +171,7 @@
     found.map(|h| h.value.as_str())
 }
 
-/// Reads the body; none when the caller sent less than it stated, or more than `limit`.
+/// Reads the body; returns `None` if it is shorter than its stated length or longer than `limit`.
 pub(crate) fn body(request: &mut Request, limit: usize) -> Option<Vec<u8>> {
     let stated = request.body_length();
     let mut body = Vec::new();
@@ -175,13 +181,13 @@
     (whole && body.len() <= limit).then_some(body)
 }
 
-/// Reads a command in JSON.
+/// Parses the JSON command in the body of a request.
 pub(crate) fn command<T: DeserializeOwned>(request: &mut Request) -> Result<T> {
     let body = body(request, usize::MAX / 2).unwrap_or_default();
     serde_json::from_slice(&body).context(JsonSnafu)
 }
 
-/// Number given for `name` in the query of `url`.
+/// Numeric value of the query parameter `name` of `url`.
 pub(crate) fn query(url: &str, name: &str) -> Option<u64> {
     let (_, query) = url.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/acaciaring_testing/src/lib.rs
+++ b/acaciaring_testing/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for the systems around acaciaring, helpers for tests with real processes, and a load generator.
+//! Stand-ins for the systems around acaciaring, helpers for tests that start processes, and a load
+//! generator.
 //!
-//! Each stand-in runs in the process of a test, or as a process of its own (`acaciaring-standin`).
+//! Each stand-in runs in the process of a test or as a separate process (`acaciaring-standin`).
 
 mod cluster;
 pub mod demo;
@@ -22,13 +23,13 @@
 pub use crate::error::{Error, Result};
 pub use crate::link::{Direction, Faults};
 pub use crate::load::{
-    ClassFigures, LoadClass, LoadFigures, LoadOptions, Overlap, Report, Sent, Told, check_records,
-    check_tokens, read_records, run_load,
+    ClassFigures, LoadClass, LoadFigures, LoadOptions, Overlap, Report, SentRequest, Verdict,
+    check_records, check_tokens, read_records, run_load,
 };
 pub use crate::log::{LogControl, LogCounts, LogHandle, LogOptions, LogServer};
 pub use crate::network::Network;
 pub use crate::proxy::{
-    Datagrams, ProxyControl, ProxyHandle, ProxyOptions, ProxyServer, Transport,
+    DatagramCounts, ProxyControl, ProxyHandle, ProxyOptions, ProxyServer, Transport,
 };
 pub use crate::upstream::{
     Announced, Echo, Health, Run, UpstreamControl, UpstreamCounts, UpstreamHandle, UpstreamOptions,
--- a/acaciaring_testing/src/link.rs
+++ b/acaciaring_testing/src/link.rs
@@ -1,4 +1,4 @@
-//! TCP link between a listening address and a target, with faults on command.
+//! Fault-injecting TCP link between a listening address and a target.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -20,23 +20,23 @@
 pub(crate) const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Delay that one lost segment costs a TCP connection.
-const RETRANSMIT: Duration = Duration::from_millis(200);
+/// Delay that stands for the retransmission of a lost TCP segment.
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 
-/// How often a stopped or blocked half of a connection looks again.
-const RECHECK: Duration = Duration::from_millis(50);
+/// Interval at which a blocked half of a connection checks its state.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Bound on a connection to the target.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Timeout of a connection attempt to the target.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-const CHUNK: usize = 64 * 1024;
+const CHUNK_BYTES: usize = 64 * 1024;
 
 /// Direction of traffic through a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Direction {
-    /// From the caller to the target.
+    /// From the client to the target.
     Up,
-    /// From the target to the caller.
+    /// From the target to the client.
     Down,
 }
 
@@ -44,13 +44,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Nothing passes from caller to target.
+    /// Blocks traffic from client to target.
     pub cut_up: bool,
-    /// Nothing passes from target to caller.
+    /// Blocks traffic from target to client.
     pub cut_down: bool,
-    /// Added to each chunk or datagram, in milliseconds.
+    /// Delay of each TCP chunk or datagram, in milliseconds.
     pub delay: u64,
-    /// Share of datagrams that are lost, 0 to 1; a TCP chunk is late by 200 ms instead.
+    /// Probability of losing a datagram, 0 to 1. A TCP chunk is delayed by 200 ms instead.
     pub loss: f64,
 }
 
@@ -63,23 +63,23 @@
     }
 }
 
-/// Chooses the target of a new connection by the open connections to each target.
-pub(crate) type Spread =
+/// Chooses the target of a new connection, given the number of open connections per target.
+pub(crate) type Balancer =
     Box<dyn Fn(&HashMap<SocketAddr, usize>) -> Option<SocketAddr> + Send + Sync>;
 
 pub(crate) struct LinkOptions {
-    /// Connections are closed at once while there is none.
+    /// Target of connections; without one, connections are closed immediately.
     pub(crate) target: Option<SocketAddr>,
-    /// Chooses targets in place of `target`.
-    pub(crate) spread: Option<Spread>,
-    /// Most open connections; further ones are closed at once.
+    /// Chooses the target of each connection instead of `target`.
+    pub(crate) balancer: Option<Balancer>,
+    /// Maximum number of open connections; further ones are closed immediately.
     pub(crate) limit: usize,
-    /// Time that a new connection costs.
-    pub(crate) cost: Duration,
+    /// Time that the acceptor waits after each new connection.
+    pub(crate) accept_delay: Duration,
     pub(crate) seed: u64,
 }
 
-/// Listening address that passes each connection on to a target.
+/// Listening socket that forwards each connection to a target.
 pub(crate) struct Link {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -90,18 +90,18 @@
     target: Mutex<Option<SocketAddr>>,
     faults: Mutex<Faults>,
     changed: Condvar,
-    open: Mutex<HashMap<u64, Open>>,
+    open: Mutex<HashMap<u64, Connection>>,
     next: AtomicU64,
     rng: Mutex<StdRng>,
     stopped: AtomicBool,
 }
 
-struct Open {
+struct Connection {
     client: TcpStream,
     server: TcpStream,
     target: SocketAddr,
-    /// Address under which the target sees this connection.
-    back: SocketAddr,
+    /// Local address of `server`, which the target sees as its peer.
+    local: SocketAddr,
     silent: Arc<AtomicBool>,
     halves: u8,
 }
@@ -147,12 +147,12 @@
         self.shared.changed.notify_all();
     }
 
-    /// Passes new connections on to another target.
+    /// Forwards new connections to another target.
     pub(crate) fn retarget(&self, target: SocketAddr) {
         *self.shared.target.lock() = Some(target);
     }
 
-    /// Stops the traffic of all connections that are open now, for good and without closing them.
+    /// Permanently drops the traffic of all open connections without closing them.
     pub(crate) fn silence(&self) -> usize {
         let open = self.shared.open.lock();
         for connection in open.values() {
@@ -161,10 +161,10 @@
         open.len()
     }
 
-    /// Closes the connection that the target sees under `back`, once what the target wrote is passed on.
-    pub(crate) fn close(&self, back: SocketAddr) {
+    /// Closes the connection with this local address, after forwarding what the target has written.
+    pub(crate) fn close(&self, local: SocketAddr) {
         let open = self.shared.open.lock();
-        if let Some(connection) = open.values().find(|connection| connection.back == back) {
+        if let Some(connection) = open.values().find(|connection| connection.local == local) {
             _ = connection.server.shutdown(Shutdown::Both);
         }
     }
@@ -173,7 +173,7 @@
         if self.shared.stopped.swap(true, Ordering::SeqCst) {
             return;
         }
-        // Wakes the acceptor, which then drops the listener.
+        // Wakes the acceptor so that it drops the listener.
         _ = TcpStream::connect(self.address);
         for connection in self.shared.open.lock().values() {
             _ = connection.client.shutdown(Shutdown::Both);
@@ -199,15 +199,15 @@
             continue;
         }
         if let Err(error) = connect(shared, client) {
-            tracing::debug!(%error, "connection to the target failed");
+            tracing::debug!(%error, "cannot connect to the target; closing the client connection");
         }
-        thread::sleep(shared.options.cost);
+        thread::sleep(shared.options.accept_delay);
     }
 }
 
 fn connect(shared: &Arc<Shared>, client: TcpStream) -> std::io::Result<()> {
     let Some(target) = shared.choose() else { return Ok(()) };
-    let server = TcpStream::connect_timeout(&target, CONNECT)?;
+    let server = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT)?;
     client.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let id = shared.next.fetch_add(1, Ordering::SeqCst);
@@ -223,8 +223,8 @@
         })
     };
     let halves = [half(Direction::Up, &client, &server)?, half(Direction::Down, &server, &client)?];
-    let back = server.local_addr()?;
-    let open = Open { client, server, target, back, silent: Arc::clone(&silent), halves: 2 };
+    let local = server.local_addr()?;
+    let open = Connection { client, server, target, local, silent: Arc::clone(&silent), halves: 2 };
     shared.open.lock().insert(id, open);
     for half in halves {
         let shared = Arc::clone(shared);
@@ -238,11 +238,11 @@
 
 impl Half {
     fn run(&self, shared: &Shared) {
-        let mut chunk = vec![0; CHUNK];
+        let mut chunk = vec![0; CHUNK_BYTES];
         loop {
             let length = (&self.from).read(&mut chunk).unwrap_or(0);
             if !shared.pass(self) {
-                // The connection is silent: what arrives is lost, also the end of the stream.
+                // The connection is silenced: drops all data and the end of the stream.
                 if length == 0 {
                     return;
                 }
@@ -263,33 +263,33 @@
 impl Shared {
     /// Chooses the target of a new connection.
     fn choose(&self) -> Option<SocketAddr> {
-        let Some(spread) = &self.options.spread else { return *self.target.lock() };
+        let Some(balancer) = &self.options.balancer else { return *self.target.lock() };
         let mut counts = HashMap::new();
         for connection in self.open.lock().values() {
             *counts.entry(connection.target).or_default() += 1;
         }
-        spread(&counts)
+        balancer(&counts)
     }
 
-    /// Waits until traffic of this half may pass; false when the connection is silent for good.
+    /// Applies blocking, delay and loss to this half; returns false if the connection is silenced.
     fn pass(&self, half: &Half) -> bool {
         let mut faults = self.faults.lock();
         while faults.cut(half.direction)
             && !half.silent.load(Ordering::SeqCst)
             && !self.stopped.load(Ordering::SeqCst)
         {
-            self.changed.wait_for(&mut faults, RECHECK);
+            self.changed.wait_for(&mut faults, POLL_INTERVAL);
         }
         let Faults { delay, loss, .. } = *faults;
         drop(faults);
         thread::sleep(Duration::from_millis(delay));
         if loss > 0.0 && self.rng.lock().random_bool(loss.min(1.0)) {
-            thread::sleep(RETRANSMIT);
+            thread::sleep(RETRANSMIT_DELAY);
         }
         !half.silent.load(Ordering::SeqCst)
     }
 
-    /// Forgets a connection when both of its halves have ended.
+    /// Removes a connection when both halves have ended.
     fn end(&self, id: u64) {
         let mut open = self.open.lock();
         let Some(connection) = open.get_mut(&id) else { return };
--- a/acaciaring_testing/src/load/caller.rs
+++ b/acaciaring_testing/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller of a load.
+//! Client thread of a load.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -9,21 +9,20 @@
 use ureq::http::Response;
 use ureq::{Agent, Body};
 
-use super::{LoadClass, LoadOptions, Sent, Told};
+use super::{LoadClass, LoadOptions, SentRequest, Verdict};
 use crate::error::{OptionsSnafu, Result};
 use crate::upstream::{Echo, body_hash, micros};
 
-/// Longest wait before a retry, whatever the answer asks for.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+/// Upper bound on the wait before a retry.
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// Wait before a retry when the answer asks for none.
-const WAIT: Duration = Duration::from_millis(20);
+/// Wait before a retry if the response requests none.
+const RETRY_WAIT: Duration = Duration::from_millis(20);
 
-/// Keys that change together.
-const HOTTEST: u64 = 13;
+/// Number of hottest keys that are replaced together.
+const HOT_KEYS: u64 = 13;
 
-/// Byte that bodies are filled with.
-const FILL: u8 = b'x';
+const BODY_FILL: u8 = b'x';
 
 pub(super) struct Caller<'a> {
     options: &'a LoadOptions,
@@ -34,7 +33,7 @@
     end: Instant,
 }
 
-/// Request before it is sent.
+/// Request to be sent.
 struct Draft<'a> {
     class: &'a LoadClass,
     tag: String,
@@ -42,22 +41,22 @@
     body: Vec<u8>,
 }
 
-/// What came back from one try.
+/// Response to one attempt.
 struct Reply {
-    told: Told,
+    outcome: Verdict,
     status: u16,
     reason: Option<String>,
     wait: Option<Duration>,
 }
 
-/// Refuses options with which no request can be made.
+/// Rejects options that permit no request.
 pub(super) fn validate(options: &LoadOptions) -> Result<()> {
     let what = if options.entries.is_empty() {
-        "no entry"
+        "no entry address given"
     } else if options.classes.iter().all(|class| class.weight == 0) {
-        "no class with a weight"
+        "no request class has a weight above 0"
     } else if options.keys == 0 || options.tries == 0 {
-        "no keys or no tries"
+        "keys and tries must be above 0"
     } else {
         return Ok(());
     };
@@ -80,7 +79,7 @@
         }
     }
 
-    pub(super) fn run(mut self) -> Vec<Sent> {
+    pub(super) fn run(mut self) -> Vec<SentRequest> {
         let mut sent = Vec::new();
         while self.pace(sent.len()) {
             let request = self.request(sent.len());
@@ -89,7 +88,7 @@
         sent
     }
 
-    /// Waits until the next request is due; false at the end of the load.
+    /// Waits until the next request is due; returns false at the end of the load.
     #[allow(clippy::cast_precision_loss)]
     fn pace(&self, sent: usize) -> bool {
         if self.options.rate > 0.0 {
@@ -100,14 +99,14 @@
         Instant::now() < self.end
     }
 
-    fn request(&mut self, place: usize) -> Sent {
+    fn request(&mut self, place: usize) -> SentRequest {
         let options = self.options;
         let class = self.class();
         let key = class.path.contains("{key}").then(|| self.key());
         let tag = format!("{:x}-{}-{place}", options.seed, self.number);
         let path = class.path.replace("{key}", key.as_deref().unwrap_or_default());
-        let draft = Draft { class, path, tag: tag.clone(), body: vec![FILL; class.body] };
-        let mut sent = Sent {
+        let draft = Draft { class, path, tag: tag.clone(), body: vec![BODY_FILL; class.body] };
+        let mut sent = SentRequest {
             tag,
             class: class.name.clone(),
             key,
@@ -121,14 +120,14 @@
         for number in 0..options.tries as usize {
             let entry = options.entries[(self.number + number) % options.entries.len()];
             let reply = self.send(&draft, entry, number);
-            sent.tries.push(reply.told);
+            sent.tries.push(reply.outcome);
             sent.status = reply.status;
             sent.reason = reply.reason;
-            if matches!(reply.told, Told::Answered | Told::Wrong) {
+            if matches!(reply.outcome, Verdict::Answered | Verdict::Wrong) {
                 break;
             }
             if number + 1 < options.tries as usize {
-                thread::sleep(reply.wait.unwrap_or(WAIT).min(LONGEST_WAIT));
+                thread::sleep(reply.wait.unwrap_or(RETRY_WAIT).min(MAX_RETRY_WAIT));
             }
         }
         sent.end = micros();
@@ -147,21 +146,21 @@
         chosen.unwrap_or(&classes[0])
     }
 
-    /// Draws a key whose logarithm is uniform, which is close to Zipf's law with exponent 1.
+    /// Draws a key with a log-uniform rank, which approximates a Zipf distribution with exponent 1.
     #[allow(clippy::cast_precision_loss, clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn key(&mut self) -> String {
         let uniform: f64 = self.rng.random();
         let rank = (self.options.keys as f64 + 1.0).powf(uniform) as u64;
         let rank = rank.clamp(1, self.options.keys);
-        match self.changed() {
+        match self.hot_changes() {
             0 => format!("key-{rank}"),
-            _ if rank > HOTTEST => format!("key-{rank}"),
+            _ if rank > HOT_KEYS => format!("key-{rank}"),
             change => format!("hot-{change}-{rank}"),
         }
     }
 
-    /// How often the hottest keys have changed by now.
-    fn changed(&self) -> usize {
+    /// Number of times that the hottest keys have been replaced.
+    fn hot_changes(&self) -> usize {
         let elapsed = self.start.elapsed().as_millis();
         self.options.changes.iter().filter(|at| u128::from(**at) <= elapsed).count()
     }
@@ -171,8 +170,8 @@
         match self.call(draft, entry, &tag) {
             Ok(response) => Reply::read(response, draft, &tag, self.options.direct),
             Err(error) => {
-                tracing::debug!(%error, tag, "no answer");
-                Reply { told: Told::Nothing, status: 0, reason: None, wait: None }
+                tracing::debug!(%error, tag, "attempt got no response");
+                Reply { outcome: Verdict::Nothing, status: 0, reason: None, wait: None }
             }
         }
     }
@@ -215,26 +214,27 @@
         let reason = header("x-acaciaring-reason");
         let wait = header("x-acaciaring-retry-ms").and_then(|millis| millis.parse().ok());
         let status = response.status().as_u16();
-        let told = match response.body_mut().read_to_vec() {
-            Ok(body) => told(verdict.as_deref(), &body, draft, tag),
-            Err(_) => Told::Nothing,
+        let outcome = match response.body_mut().read_to_vec() {
+            Ok(body) => classify(verdict.as_deref(), &body, draft, tag),
+            Err(_) => Verdict::Nothing,
         };
-        Self { told, status, reason, wait: wait.map(Duration::from_millis) }
+        Self { outcome, status, reason, wait: wait.map(Duration::from_millis) }
     }
 }
 
-fn told(verdict: Option<&str>, body: &[u8], draft: &Draft<'_>, tag: &str) -> Told {
+fn classify(verdict: Option<&str>, body: &[u8], draft: &Draft<'_>, tag: &str) -> Verdict {
     match verdict {
-        Some("answered") if own(body, draft, tag) => Told::Answered,
-        Some("answered") => Told::Wrong,
-        Some("not-run") => Told::NotRun,
-        Some("unknown") => Told::Unknown,
-        Some(_) | None => Told::Nothing,
+        Some("answered") if matches_request(body, draft, tag) => Verdict::Answered,
+        Some("answered") => Verdict::Wrong,
+        Some("not-run") => Verdict::NotRun,
+        Some("unknown") => Verdict::Unknown,
+        Some(_) | None => Verdict::Nothing,
     }
 }
 
-/// Whether an answer belongs to the request; a repeated one may carry the answer of an earlier try.
-fn own(body: &[u8], draft: &Draft<'_>, tag: &str) -> bool {
+/// Whether a response belongs to the request. With an idempotency key, a retry may get the response
+/// to an earlier attempt.
+fn matches_request(body: &[u8], draft: &Draft<'_>, tag: &str) -> bool {
     let Ok(echo) = serde_json::from_slice::<Echo>(body) else { return false };
     let same_tag = echo.tag == tag
         || draft.class.once && echo.tag.rsplit_once('.').is_some_and(|(tag, _)| tag == draft.tag);
--- a/acaciaring_testing/src/log.rs
+++ b/acaciaring_testing/src/log.rs
@@ -18,31 +18,30 @@
 use crate::error::Result;
 use crate::http::{self, Http};
 
-use self::store::{Limit, Store};
+use self::store::{RateLimit, Store};
 
 pub use self::control::{LogControl, LogCounts, LogOptions};
 
-/// Largest record in bytes.
-const RECORD: usize = 256 * 1024;
+const MAX_RECORD_BYTES: usize = 256 * 1024;
 
-/// Threads that answer requests; a read that waits for a record holds none of them.
+/// Number of worker threads; a long-polling read occupies none of them.
 const WORKERS: usize = 64;
 
-/// How often reads whose wait has ended are looked for.
-const SWEEP: Duration = Duration::from_millis(5);
+/// Interval of the scan for long-polling reads that have timed out.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Records in a batch when the reader names no maximum.
-const DEFAULT_MAX: u64 = 1000;
+/// Maximum number of records in a batch if the request states none.
+const DEFAULT_BATCH: u64 = 1000;
 
-/// Bytes that decode as no record: field number 0 is illegal.
-const CORRUPT: [u8; 4] = [0x07, 0xff, 0xff, 0xff];
+/// Bytes that do not decode as a record: protobuf forbids field number 0.
+const CORRUPT_RECORD: [u8; 4] = [0x07, 0xff, 0xff, 0xff];
 
-/// Log service in this process; it stops when dropped.
+/// Log service that runs in this process and stops when dropped.
 pub struct LogServer {
     handle: LogHandle,
 }
 
-/// Control of a running log service.
+/// Handle that controls a running log service.
 #[derive(Clone)]
 pub struct LogHandle {
     shared: Arc<Shared>,
@@ -56,25 +55,25 @@
 
 struct State {
     store: Store,
-    limit: Limit,
+    limit: RateLimit,
     counts: LogCounts,
     outage: bool,
     hang: bool,
     delay: Duration,
     lose: u32,
-    /// Reads that wait for a record.
-    parked: Vec<Read>,
-    /// Requests that hang.
+    /// Long-polling reads that wait for a record.
+    waiting: Vec<PendingRead>,
+    /// Requests left unanswered until `hang` is false.
     hanging: Vec<Request>,
 }
 
 enum Job {
     Request(Request),
-    Read(Read),
+    Read(PendingRead),
     Stop,
 }
 
-struct Read {
+struct PendingRead {
     request: Request,
     from: u64,
     max: usize,
@@ -86,20 +85,20 @@
     ///
     /// # Errors
     ///
-    /// When the address is taken.
+    /// Returns an error if the address cannot be bound.
     pub fn start(options: LogOptions) -> Result<Self> {
         let now = Instant::now();
         let http = Http::start(options.address, options.connections, Duration::from_millis(1))?;
         let (jobs, queue) = crossbeam_channel::unbounded();
         let state = State {
             store: Store::new(options.retention, options.age),
-            limit: Limit::new(now, options.rate),
+            limit: RateLimit::new(now, options.rate),
             counts: LogCounts::default(),
             outage: false,
             hang: false,
             delay: Duration::ZERO,
             lose: 0,
-            parked: Vec::new(),
+            waiting: Vec::new(),
             hanging: Vec::new(),
         };
         let shared = Arc::new(Shared { http, state: Mutex::new(state), jobs });
@@ -112,19 +111,19 @@
         Ok(Self { handle: LogHandle { shared } })
     }
 
-    /// Address of the service.
+    /// Address that the service listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.handle.shared.http.address()
     }
 
-    /// Control of the service.
+    /// Returns a handle that controls the service.
     #[must_use]
     pub fn handle(&self) -> LogHandle {
         self.handle.clone()
     }
 
-    /// Closes all connections and the address; the records are gone.
+    /// Closes the listening socket and all connections. The records are lost.
     pub fn stop(&self) {
         self.handle.shared.http.stop();
     }
@@ -137,24 +136,24 @@
 }
 
 impl LogHandle {
-    /// Carries out commands.
+    /// Applies the settings that `control` contains.
     pub fn set(&self, control: &LogControl) {
         self.shared.set(control);
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     #[must_use]
     pub fn counts(&self) -> LogCounts {
         self.shared.counts()
     }
 
-    /// Appends a record whatever the limits and faults are, and returns its offset.
+    /// Appends a record regardless of the rate limit and faults, and returns its offset.
     #[must_use = "the offset is the only trace of the record"]
     pub fn append(&self, record: Vec<u8>) -> u64 {
         self.shared.append(&mut self.shared.state.lock(), record)
     }
 
-    /// Records kept from offset `from` on, with the offset of the first.
+    /// Returns the retained records from offset `from` on, and the offset of the first one.
     #[must_use]
     pub fn records(&self, from: u64) -> (u64, Vec<Vec<u8>>) {
         let batch = self.shared.state.lock().store.batch(from, usize::MAX);
@@ -168,7 +167,7 @@
         while let Some(shared) = sweeper.upgrade() {
             shared.sweep(Instant::now());
             drop(shared);
-            thread::sleep(SWEEP);
+            thread::sleep(SWEEP_INTERVAL);
         }
     });
     while let Some(request) = shared.http.receive() {
@@ -196,19 +195,19 @@
         if path == "/control" {
             return self.control(request);
         }
-        // Bodies are read before the delay: a slow caller is not the service's slowness.
-        let body = http::body(&mut request, RECORD);
+        // Reads the body before the delay, so that a slow client does not add to it.
+        let body = http::body(&mut request, MAX_RECORD_BYTES);
         thread::sleep(self.state.lock().delay);
         let now = Instant::now();
         match (request.method(), path) {
             (Method::Post, "/v1/records") => self.post(request, body, now),
             (Method::Get, "/v1/records") => {
-                let max = http::query(&url, "max").unwrap_or(DEFAULT_MAX);
+                let max = http::query(&url, "max").unwrap_or(DEFAULT_BATCH);
                 let wait = http::query(&url, "wait").unwrap_or(0);
                 let from = http::query(&url, "from").unwrap_or(1);
                 let max = usize::try_from(max).unwrap_or(usize::MAX);
                 self.read(
-                    Read { request, from, max, until: now + Duration::from_millis(wait) },
+                    PendingRead { request, from, max, until: now + Duration::from_millis(wait) },
                     now,
                 );
             }
@@ -240,20 +239,20 @@
         state.counts.appends += 1;
         state.counts.received += record.len() as u64;
         let offset = state.store.append(Instant::now(), record);
-        for read in state.parked.extract_if(.., |read| read.from <= offset) {
+        for read in state.waiting.extract_if(.., |read| read.from <= offset) {
             _ = self.jobs.send(Job::Read(read));
         }
         offset
     }
 
-    fn read(&self, mut read: Read, now: Instant) {
+    fn read(&self, mut read: PendingRead, now: Instant) {
         let mut state = self.state.lock();
         let Some(request) = state.refuse(read.request) else { return };
         read.request = request;
         state.store.prune(now);
         let waits = read.from >= state.store.next() && now < read.until;
         if waits {
-            return state.parked.push(read);
+            return state.waiting.push(read);
         }
         let body = state.store.batch(read.from, read.max).encode_to_vec();
         state.counts.reads += 1;
@@ -262,11 +261,11 @@
         http::answer(read.request, http::bytes(body));
     }
 
-    /// Wakes the reads whose wait has ended, and in an outage all of them.
+    /// Wakes reads that have timed out; in an outage, wakes all of them.
     fn sweep(&self, now: Instant) {
         let mut state = self.state.lock();
         let all = state.outage || state.hang;
-        for read in state.parked.extract_if(.., |read| all || read.until <= now) {
+        for read in state.waiting.extract_if(.., |read| all || read.until <= now) {
             _ = self.jobs.send(Job::Read(read));
         }
     }
@@ -275,7 +274,7 @@
         if request.method() == &Method::Post {
             match http::command(&mut request) {
                 Ok(control) => self.set(&control),
-                Err(error) => return http::answer(request, http::refusal(&error)),
+                Err(error) => return http::answer(request, http::bad_request(&error)),
             }
         }
         http::answer(request, http::json(&self.counts()));
@@ -291,10 +290,10 @@
         state.store.age = control.age.map_or(state.store.age, Duration::from_millis);
         state.store.prune(Instant::now());
         if let Some(rate) = control.rate {
-            state.limit = Limit::new(Instant::now(), rate);
+            state.limit = RateLimit::new(Instant::now(), rate);
         }
         for _ in 0..control.corrupt.unwrap_or(0) {
-            self.append(&mut state, CORRUPT.to_vec());
+            self.append(&mut state, CORRUPT_RECORD.to_vec());
         }
         if !state.hang {
             for request in mem::take(&mut state.hanging) {
@@ -311,7 +310,7 @@
 }
 
 impl State {
-    /// Answers a request during an outage, or returns it.
+    /// Refuses or holds a request during an outage; otherwise returns it.
     fn refuse(&mut self, request: Request) -> Option<Request> {
         if self.hang {
             self.hanging.push(request);
--- a/acaciaring_testing/src/log/store.rs
+++ b/acaciaring_testing/src/log/store.rs
@@ -1,12 +1,12 @@
-//! Records that the log keeps, and its limits.
+//! Retained records and the append rate limit of the log.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use acaciaring_schema::log::Batch;
 
-/// Most bytes in one batch, so that a batch stays well below a caller's limits.
-const BATCH: usize = 1024 * 1024;
+/// Limit on the records of one batch, well below the response limit of clients.
+const MAX_BATCH_BYTES: usize = 1024 * 1024;
 
 pub(super) struct Store {
     entries: VecDeque<(Instant, Vec<u8>)>,
@@ -21,7 +21,7 @@
         Self { entries: VecDeque::new(), oldest: 1, retention, age }
     }
 
-    /// Offset that the next record gets.
+    /// Offset of the next record to be appended.
     pub(super) fn next(&self) -> u64 {
         self.oldest + self.entries.len() as u64
     }
@@ -33,7 +33,7 @@
         offset
     }
 
-    /// Removes what is older than the limits allow.
+    /// Removes the records that exceed the retention by count or age.
     pub(super) fn prune(&mut self, now: Instant) {
         while let Some((appended, _)) = self.entries.front() {
             let old = now.saturating_duration_since(*appended) > self.age;
@@ -48,7 +48,7 @@
     pub(super) fn batch(&self, from: u64, max: usize) -> Batch {
         let start = from.max(self.oldest);
         let skipped = usize::try_from(start - self.oldest).unwrap_or(usize::MAX);
-        let mut left = BATCH;
+        let mut left = MAX_BATCH_BYTES;
         let mut entries = Vec::new();
         for (_, record) in self.entries.iter().skip(skipped).take(max) {
             if !entries.is_empty() && record.len() > left {
@@ -61,22 +61,22 @@
     }
 }
 
-/// Token bucket that holds one second's worth of appends.
-pub(super) struct Limit {
+/// Token bucket with a burst of one second.
+pub(super) struct RateLimit {
     pub(super) rate: u32,
     tokens: f64,
-    filled: Instant,
+    refilled: Instant,
 }
 
-impl Limit {
+impl RateLimit {
     pub(super) fn new(now: Instant, rate: u32) -> Self {
-        Self { rate, tokens: f64::from(rate), filled: now }
+        Self { rate, tokens: f64::from(rate), refilled: now }
     }
 
     pub(super) fn take(&mut self, now: Instant) -> bool {
         let rate = f64::from(self.rate);
-        let elapsed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = now;
+        let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
+        self.refilled = now;
         self.tokens = (self.tokens + elapsed * rate).min(rate);
         let allowed = self.tokens >= 1.0;
         if allowed {
--- a/acaciaring_testing/src/upstream/announce.rs
+++ b/acaciaring_testing/src/upstream/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of an upstream to the member beside it.
+//! Periodic announcements of an upstream to its member.
 
 use std::sync::Weak;
 use std::thread;
@@ -10,22 +10,22 @@
 use super::control::Announced;
 use super::{Check, Shared};
 
-const INTERVAL: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Bound on one announcement, so that a member that hangs delays the next one little.
-const TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of one announcement, so that an unresponsive member hardly delays the next one.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_millis(400);
 
 pub(super) fn run(shared: &Weak<Shared>) {
-    let agent = Agent::config_builder().timeout_global(Some(TIMEOUT)).build().new_agent();
+    let agent = Agent::config_builder().timeout_global(Some(ANNOUNCE_TIMEOUT)).build().new_agent();
     while let Some(shared) = shared.upgrade() {
         if shared.stopped() {
             return;
         }
         if let Err(error) = announce(&shared, &agent) {
-            tracing::debug!(%error, "announcement failed");
+            tracing::debug!(%error, "announcement to the member failed; will retry");
         }
         drop(shared);
-        thread::sleep(INTERVAL);
+        thread::sleep(ANNOUNCE_INTERVAL);
     }
 }
 
--- a/acaciaring_testing/src/upstream/behaviour.rs
+++ b/acaciaring_testing/src/upstream/behaviour.rs
@@ -1,4 +1,4 @@
-//! How an upstream behaves now, and the commands that change it.
+//! Simulated behaviour of an upstream and the commands that change it.
 
 use std::mem;
 use std::net::SocketAddr;
@@ -8,22 +8,22 @@
 use super::control::{Health, Phase, UpstreamControl, UpstreamCounts};
 use super::{Check, Shared, State};
 
-/// By how much a request runs longer right after a cold start.
-const COLD: f64 = 4.0;
+/// Factor on the service time right after a cold start.
+const COLD_FACTOR: f64 = 4.0;
 
-/// Samples of the load that are kept for a health endpoint that lags.
-const SAMPLES: usize = 240;
+/// Number of load samples kept for a health endpoint that reports stale values.
+const MAX_SAMPLES: usize = 240;
 
 impl Shared {
     pub(super) fn stopped(&self) -> bool {
         self.ended.load(Ordering::SeqCst)
     }
 
-    /// The upstream's own clock; it does not start at 0, so that nobody takes it for the age.
+    /// The upstream's clock in milliseconds, offset from 0 so that it cannot pass for the uptime.
     pub(super) fn clock(&self) -> u64 {
-        const FIRST: u64 = 1_000_000;
+        const FIRST_MS: u64 = 1_000_000;
         let elapsed = u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
-        FIRST.saturating_add(elapsed)
+        FIRST_MS.saturating_add(elapsed)
     }
 
     pub(super) fn phase(&self) -> Phase {
@@ -33,13 +33,13 @@
         if self.started.elapsed() < self.options.cold { Phase::Cold } else { Phase::Ready }
     }
 
-    /// Where to announce, if at all now.
+    /// Address to announce to, or `None` while announcements are disabled.
     pub(super) fn announcing(&self) -> Option<SocketAddr> {
         let state = self.state.lock();
         if state.quiet || state.frozen { None } else { state.announce }
     }
 
-    /// Time that a request for `path` runs when it starts now.
+    /// Service time of a request for `path` that starts now.
     pub(super) fn cost(&self, state: &State, path: &str) -> Duration {
         let cost = state.costs.iter().find(|(part, _)| path.contains(part.as_str()));
         let cost = cost.map_or(state.service, |(_, cost)| *cost);
@@ -48,20 +48,20 @@
         if age >= cold {
             return cost;
         }
-        cost.mul_f64(1.0 + (COLD - 1.0) * (1.0 - age / cold))
+        cost.mul_f64(1.0 + (COLD_FACTOR - 1.0) * (1.0 - age / cold))
     }
 
     pub(super) fn counts(&self) -> UpstreamCounts {
         UpstreamCounts { busy: self.busy.load(Ordering::SeqCst), ..self.state.lock().counts }
     }
 
-    /// Takes a sample of the load for the health endpoint.
+    /// Records a load sample for the health endpoint.
     #[allow(clippy::cast_precision_loss)]
     pub(super) fn sample(&self) {
         let load = self.busy.load(Ordering::SeqCst) as f64 / self.options.slots.max(1) as f64;
         let mut state = self.state.lock();
         let health = Health { healthy: !state.draining, load };
-        if state.samples.len() == SAMPLES {
+        if state.samples.len() == MAX_SAMPLES {
             state.samples.pop_front();
         }
         state.samples.push_back((Instant::now(), health));
@@ -83,9 +83,10 @@
         state.announce = control.announce.or(state.announce);
         state.quiet = control.quiet.unwrap_or(state.quiet);
         state.draining = control.draining.unwrap_or(state.draining);
-        state.service = control.service.map_or(state.service, millis);
+        state.service = control.service.map_or(state.service, duration_ms);
         if let Some(costs) = &control.costs {
-            state.costs = costs.iter().map(|(part, cost)| (part.clone(), millis(*cost))).collect();
+            state.costs =
+                costs.iter().map(|(part, cost)| (part.clone(), duration_ms(*cost))).collect();
         }
         let fenced = control.fenced.unwrap_or(state.check != Check::Off);
         let recheck = control.recheck.unwrap_or(state.check == Check::Twice);
@@ -105,7 +106,7 @@
         if state.frozen {
             return;
         }
-        self.thawed.notify_all();
+        self.unfrozen.notify_all();
         let held = mem::take(&mut state.held);
         drop(state);
         for request in held {
@@ -114,6 +115,6 @@
     }
 }
 
-fn millis(value: f64) -> Duration {
+fn duration_ms(value: f64) -> Duration {
     Duration::from_secs_f64(value.max(0.0) / 1000.0)
 }
