--- a/acaciaring/src/check.rs
+++ b/acaciaring/src/check.rs
@@ -53,22 +53,23 @@
         }
     }
     sources.sort_by_key(|source| source.document.kind);
-    faults.extend(doubles(&sources));
+    faults.extend(duplicates(&sources));
     faults.extend(check_routes(&sources));
     ensure!(faults.is_empty(), InvalidSnafu { faults });
     Ok(sources)
 }
 
 /// Lists the documents that two files hold.
-fn doubles(sources: &[Source]) -> Vec<Fault> {
-    let double = |(index, source): (usize, &Source)| {
-        let earlier = sources[..index].iter().find(|other| same(&other.document, &source.document));
+fn duplicates(sources: &[Source]) -> Vec<Fault> {
+    let duplicate = |(index, source): (usize, &Source)| {
+        let earlier =
+            sources[..index].iter().find(|other| same_document(&other.document, &source.document));
         earlier.map(|earlier| fault(source, "name", format!("is in {} too", earlier.file)))
     };
-    sources.iter().enumerate().filter_map(double).collect()
+    sources.iter().enumerate().filter_map(duplicate).collect()
 }
 
-fn same(one: &Document, other: &Document) -> bool {
+fn same_document(one: &Document, other: &Document) -> bool {
     one.kind == other.kind && one.name == other.name
 }
 
@@ -86,7 +87,7 @@
                 faults.extend(message.map(|message| fault(source, "name", message)));
                 routes.push(route);
             }
-            Err(found) => faults.extend(found.into_iter().map(|fault| name_file(sources, fault))),
+            Err(found) => faults.extend(found.into_iter().map(|fault| with_file(sources, fault))),
         }
     }
     faults.dedup();
@@ -127,7 +128,7 @@
 }
 
 /// Replaces the name of a document in a fault by its file.
-fn name_file(sources: &[Source], fault: Fault) -> Fault {
+fn with_file(sources: &[Source], fault: Fault) -> Fault {
     let source = sources.iter().find(|source| source.document.name == fault.document);
     let document = source.map_or(fault.document, |source| Name::clone(&source.file));
     Fault { document, ..fault }
--- a/acaciaring/src/client.rs
+++ b/acaciaring/src/client.rs
@@ -13,16 +13,16 @@
 use crate::error::{MalformedSnafu, RefusedSnafu, ToolError, UnreachableSnafu, UsageSnafu};
 
 /// Time in which a connection must be made; after it the next member is asked.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time to read; a member that is paused must not use up the whole time of a command.
-const READ: Duration = Duration::from_secs(3);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time to publish; a member waits up to 8 s for the log before it answers 504.
-const PUBLISH: Duration = Duration::from_secs(9);
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(9);
 
 /// Least time for a request, also when the time of the command is over.
-const CALL_MIN: Duration = Duration::from_millis(100);
+const TIMEOUT_MIN: Duration = Duration::from_millis(100);
 
 /// Asks members in order until one answers.
 pub(crate) struct Client {
@@ -50,7 +50,7 @@
     /// The request was not sent.
     Connect(String),
     /// The request was sent; it may have taken effect.
-    Lost(String),
+    Read(String),
 }
 
 impl Client {
@@ -60,7 +60,7 @@
     }
 
     /// Returns true when the time of the command is over.
-    pub(crate) fn late(&self, now: Instant) -> bool {
+    pub(crate) fn deadline_passed(&self, now: Instant) -> bool {
         now >= self.deadline
     }
 
@@ -74,12 +74,12 @@
         let mut tried = Vec::new();
         for member in &self.members {
             let request =
-                self.agent(READ).get(url(*member, path)).query_pairs(query.iter().copied());
-            match finish(request.call()) {
+                self.agent(READ_TIMEOUT).get(url(*member, path)).query_pairs(query.iter().copied());
+            match read_response(request.call()) {
                 Ok((200, text)) => return serde_json::from_str(&text).context(MalformedSnafu),
                 Ok((status, text)) if status < 500 => return refused(status, &text),
                 Ok((status, text)) => tried.push((*member, format!("{status} {}", message(&text)))),
-                Err(CallError::Connect(why) | CallError::Lost(why)) => tried.push((*member, why)),
+                Err(CallError::Connect(why) | CallError::Read(why)) => tried.push((*member, why)),
             }
         }
         UnreachableSnafu { members: tried }.fail()
@@ -91,11 +91,11 @@
         let body = serde_json::to_string(request).context(MalformedSnafu)?;
         let mut tried = Vec::new();
         for member in &self.members {
-            let post = self.agent(PUBLISH).post(url(*member, admin::PUBLISH));
+            let post = self.agent(PUBLISH_TIMEOUT).post(url(*member, admin::PUBLISH));
             let post = post.header("content-type", "application/json");
-            match finish(post.send(&body)) {
+            match read_response(post.send(&body)) {
                 Ok((status, text)) => return publish_reply(status, &text),
-                Err(CallError::Lost(why)) => {
+                Err(CallError::Read(why)) => {
                     return Ok(PublishReply::Unknown(format!("{member}: {why}")));
                 }
                 Err(CallError::Connect(why)) => tried.push((*member, why)),
@@ -110,12 +110,12 @@
     }
 
     /// Returns a new agent, so that no connection is used again after it has failed.
-    fn agent(&self, time: Duration) -> Agent {
-        let left = self.deadline.saturating_duration_since(Instant::now());
+    fn agent(&self, timeout: Duration) -> Agent {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
         let config = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_connect(Some(CONNECT.min(left.max(CALL_MIN))))
-            .timeout_global(Some(time.min(left.max(CALL_MIN))))
+            .timeout_connect(Some(CONNECT_TIMEOUT.min(remaining.max(TIMEOUT_MIN))))
+            .timeout_global(Some(timeout.min(remaining.max(TIMEOUT_MIN))))
             .max_idle_connections(0)
             .proxy(None)
             .build();
@@ -128,11 +128,11 @@
 }
 
 /// Takes the status and the whole body of an answer.
-fn finish(result: Result<Response<Body>, ureq::Error>) -> Result<(u16, String), CallError> {
+fn read_response(result: Result<Response<Body>, ureq::Error>) -> Result<(u16, String), CallError> {
     let response = result.map_err(|error| call_error(&error))?;
     let status = response.status().as_u16();
     let text = response.into_body().read_to_string();
-    let text = text.map_err(|error| CallError::Lost(error.to_string()))?;
+    let text = text.map_err(|error| CallError::Read(error.to_string()))?;
     Ok((status, text))
 }
 
@@ -143,7 +143,7 @@
         ureq::Error::Io(error) => error.kind() != io::ErrorKind::ConnectionRefused,
         _ => true,
     };
-    if sent { CallError::Lost(error.to_string()) } else { CallError::Connect(error.to_string()) }
+    if sent { CallError::Read(error.to_string()) } else { CallError::Connect(error.to_string()) }
 }
 
 fn publish_reply(status: u16, text: &str) -> Result<PublishReply, ToolError> {
--- a/acaciaring/src/error.rs
+++ b/acaciaring/src/error.rs
@@ -16,7 +16,7 @@
     Usage { message: &'static str },
     #[snafu(display("cannot read {}", path.display()))]
     Read { path: PathBuf, source: io::Error },
-    #[snafu(display("{} faults\n{}", faults.len(), lines(faults)))]
+    #[snafu(display("{} faults\n{}", faults.len(), join_faults(faults)))]
     Invalid { faults: Vec<Fault> },
     #[snafu(display(
         "conflict: {kind} {name} builds on version {base}, but version {current} is in force"
@@ -25,10 +25,10 @@
     #[snafu(display("pending: version {offset} is not yet in force at {}", vms.join(", ")))]
     Pending { offset: Offset, vms: Vec<Name> },
     #[snafu(display("no final answer in time: {kind} {name} may have been published ({last})"))]
-    Unsettled { kind: DocumentKind, name: Name, last: String },
+    Unconfirmed { kind: DocumentKind, name: Name, last: String },
     #[snafu(display("not published in time, and it never will be: {kind} {name} ({last})"))]
     NotAppended { kind: DocumentKind, name: Name, last: String },
-    #[snafu(display("no member can be reached ({})", tried(members)))]
+    #[snafu(display("no member can be reached ({})", join_members(members)))]
     Unreachable { members: Vec<(SocketAddr, String)> },
     #[snafu(display("the member refused ({status}): {message}"))]
     Refused { status: u16, message: String },
@@ -46,18 +46,18 @@
             Self::Usage { .. } => 2,
             Self::Read { .. } | Self::Invalid { .. } => 3,
             Self::Conflict { .. } => 4,
-            Self::Pending { .. } | Self::Unsettled { .. } | Self::NotAppended { .. } => 5,
+            Self::Pending { .. } | Self::Unconfirmed { .. } | Self::NotAppended { .. } => 5,
             Self::Unreachable { .. } => 6,
         }
     }
 }
 
-fn lines(faults: &[Fault]) -> String {
+fn join_faults(faults: &[Fault]) -> String {
     let lines: Vec<_> = faults.iter().map(Fault::to_string).collect();
     lines.join("\n")
 }
 
-fn tried(members: &[(SocketAddr, String)]) -> String {
+fn join_members(members: &[(SocketAddr, String)]) -> String {
     let members: Vec<_> =
         members.iter().map(|(address, why)| format!("{address}: {why}")).collect();
     members.join("; ")
--- a/acaciaring/src/flags.rs
+++ b/acaciaring/src/flags.rs
@@ -82,18 +82,18 @@
 /// Why a word of the command line is not known.
 #[derive(Debug, Snafu)]
 #[snafu(display("expected {expected}"))]
-pub(crate) struct WordError {
+pub(crate) struct ArgumentError {
     expected: &'static str,
 }
 
 impl FromStr for Format {
-    type Err = WordError;
+    type Err = ArgumentError;
 
-    fn from_str(text: &str) -> Result<Self, WordError> {
+    fn from_str(text: &str) -> Result<Self, ArgumentError> {
         match text {
             "table" => Ok(Self::Table),
             "json" => Ok(Self::Json),
-            _ => WordSnafu { expected: "table or json" }.fail(),
+            _ => ArgumentSnafu { expected: "table or json" }.fail(),
         }
     }
 }
@@ -121,10 +121,10 @@
 pub(crate) struct Kind(pub(crate) DocumentKind);
 
 impl FromStr for Kind {
-    type Err = WordError;
+    type Err = ArgumentError;
 
-    fn from_str(text: &str) -> Result<Self, WordError> {
+    fn from_str(text: &str) -> Result<Self, ArgumentError> {
         let kind = DocumentKind::from_text(text).map(Self);
-        kind.ok_or(WordError { expected: "template or parameters" })
+        kind.ok_or(ArgumentError { expected: "template or parameters" })
     }
 }
--- a/acaciaring/src/main.rs
+++ b/acaciaring/src/main.rs
@@ -19,7 +19,7 @@
 use crate::report::Report;
 
 /// Exit code for a command line that is not valid.
-const USAGE: u8 = 2;
+const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     match Acaciaring::from_env() {
@@ -31,7 +31,7 @@
         }
         Err(error) => {
             eprintln!("acaciaring: {error}; see --help");
-            ExitCode::from(USAGE)
+            ExitCode::from(USAGE_EXIT_CODE)
         }
     }
 }
--- a/acaciaring/src/publish.rs
+++ b/acaciaring/src/publish.rs
@@ -17,14 +17,14 @@
 use crate::check;
 use crate::client::{Client, PublishReply};
 use crate::error::{
-    ConflictSnafu, InvalidSnafu, NotAppendedSnafu, PendingSnafu, ToolError, UnknownDocumentSnafu,
-    UnsettledSnafu, UsageSnafu,
+    ConflictSnafu, InvalidSnafu, NotAppendedSnafu, PendingSnafu, ToolError, UnconfirmedSnafu,
+    UnknownDocumentSnafu, UsageSnafu,
 };
 use crate::flags;
 use crate::report::Report;
 
 /// Pause before a request is repeated.
-pub(crate) const PAUSE: Duration = Duration::from_millis(200);
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Step that a document has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -67,7 +67,7 @@
 /// Publishes files in order, templates first; stops at the first failure.
 pub(crate) fn run(client: &Client, command: &flags::Publish) -> Outcome {
     match prepare(command) {
-        Ok(changes) => follow(client, &changes, command.base),
+        Ok(changes) => apply(client, &changes, command.base),
         Err(error) => Err(error).into(),
     }
 }
@@ -80,7 +80,7 @@
         retired: true,
         fields: Vec::new(),
     };
-    follow(client, &[change], command.base)
+    apply(client, &[change], command.base)
 }
 
 /// Change that an operator wants.
@@ -98,7 +98,7 @@
     }
 
     /// Returns true when a document in force is what the change would make of it.
-    fn is(&self, document: &PublishedDocument) -> bool {
+    fn matches(&self, document: &PublishedDocument) -> bool {
         let value =
             |field: &DocumentField| [&field.section, &field.key, &field.value].map(Name::clone);
         let same = self.fields.iter().map(value).eq(document.fields.iter().map(value));
@@ -118,8 +118,8 @@
     Ok(sources.into_iter().map(|source| Change::new(source.document)).collect())
 }
 
-fn follow(client: &Client, changes: &[Change], base: Option<Offset>) -> Outcome {
-    let mut progress: Vec<_> = changes.iter().map(start).collect();
+fn apply(client: &Client, changes: &[Change], base: Option<Offset>) -> Outcome {
+    let mut progress: Vec<_> = changes.iter().map(initial_progress).collect();
     let mut failure = None;
     for (change, progress) in changes.iter().zip(&mut progress) {
         if let Err(error) = publish(client, change, base, progress) {
@@ -130,7 +130,7 @@
     Outcome { report: Some(report(&progress)), failure }
 }
 
-fn start(change: &Change) -> Progress {
+fn initial_progress(change: &Change) -> Progress {
     Progress {
         kind: change.kind,
         name: Name::clone(&change.name),
@@ -151,7 +151,7 @@
     let start = Instant::now();
     let (base, unchanged) = match base {
         Some(base) => (base, None),
-        None => current(client, change)?,
+        None => current_version(client, change)?,
     };
     progress.base = Some(base);
     let version = match unchanged {
@@ -167,14 +167,17 @@
 }
 
 /// Returns the version on which a change builds, and the same again when nothing would change.
-fn current(client: &Client, change: &Change) -> Result<(Offset, Option<Offset>), ToolError> {
+fn current_version(
+    client: &Client,
+    change: &Change,
+) -> Result<(Offset, Option<Offset>), ToolError> {
     let documents: Documents = client.get(admin::DOCUMENTS, &[])?;
     let found = change.find(&documents);
     if change.retired {
         found.context(UnknownDocumentSnafu { name: &*change.name })?;
     }
     let version = found.map_or(0, |document| document.version);
-    let unchanged = found.is_some_and(|document| change.is(document));
+    let unchanged = found.is_some_and(|document| change.matches(document));
     Ok((version, unchanged.then_some(version)))
 }
 
@@ -184,12 +187,12 @@
 /// lost after the record had been appended, a later one has no second effect.
 fn send(client: &Client, change: &Change, base: Offset) -> Result<Offset, ToolError> {
     let request = request(change, base);
-    let mut doubt = false;
+    let mut uncertain = false;
     loop {
         let last = match client.publish(&request) {
             Ok(PublishReply::Published(published)) => return Ok(published.offset),
             Ok(PublishReply::Invalid(Invalid { faults })) => return InvalidSnafu { faults }.fail(),
-            Ok(PublishReply::Conflict(Conflict { current })) if !doubt => {
+            Ok(PublishReply::Conflict(Conflict { current })) if !uncertain => {
                 return conflict(change, base, current);
             }
             Ok(PublishReply::Conflict(Conflict { current })) => {
@@ -197,19 +200,21 @@
             }
             Ok(PublishReply::Refused(why)) => why,
             Ok(PublishReply::Unknown(why)) => {
-                doubt = true;
+                uncertain = true;
                 why
             }
-            Err(ToolError::Unreachable { .. }) if doubt => "no member can be reached".to_owned(),
+            Err(ToolError::Unreachable { .. }) if uncertain => {
+                "no member can be reached".to_owned()
+            }
             Err(error) => return Err(error),
         };
-        if doubt && let Some(outcome) = settle(client, change, base) {
+        if uncertain && let Some(outcome) = resolve_lost_response(client, change, base) {
             return outcome;
         }
-        if client.late(Instant::now()) {
-            return out_of_time(change, doubt, last);
+        if client.deadline_passed(Instant::now()) {
+            return timeout_error(change, uncertain, last);
         }
-        thread::sleep(PAUSE);
+        thread::sleep(RETRY_DELAY);
     }
 }
 
@@ -229,10 +234,14 @@
 /// The member that is asked next may have been replaced and not know the
 /// record's id: it would answer that the change conflicts with itself. While
 /// the base is still in force, the record may yet come, and nothing is decided.
-fn settle(client: &Client, change: &Change, base: Offset) -> Option<Result<Offset, ToolError>> {
+fn resolve_lost_response(
+    client: &Client,
+    change: &Change,
+    base: Offset,
+) -> Option<Result<Offset, ToolError>> {
     let documents: Documents = client.get(admin::DOCUMENTS, &[]).ok()?;
     let document = change.find(&documents).filter(|document| document.version > base)?;
-    if change.is(document) {
+    if change.matches(document) {
         return Some(Ok(document.version));
     }
     Some(conflict(change, base, document.version))
@@ -242,10 +251,10 @@
     ConflictSnafu { kind: change.kind, name: Name::clone(&change.name), base, current }.fail()
 }
 
-fn out_of_time(change: &Change, doubt: bool, last: String) -> Result<Offset, ToolError> {
+fn timeout_error(change: &Change, uncertain: bool, last: String) -> Result<Offset, ToolError> {
     let (kind, name) = (change.kind, Name::clone(&change.name));
-    if doubt {
-        return UnsettledSnafu { kind, name, last }.fail();
+    if uncertain {
+        return UnconfirmedSnafu { kind, name, last }.fail();
     }
     NotAppendedSnafu { kind, name, last }.fail()
 }
@@ -265,10 +274,10 @@
         if pending.is_empty() {
             return Ok(());
         }
-        if client.late(Instant::now()) {
+        if client.deadline_passed(Instant::now()) {
             return PendingSnafu { offset, vms: pending.clone() }.fail();
         }
-        thread::sleep(PAUSE);
+        thread::sleep(RETRY_DELAY);
     }
 }
 
--- a/acaciaring/src/report.rs
+++ b/acaciaring/src/report.rs
@@ -7,7 +7,7 @@
 use crate::flags::Format;
 
 /// Blanks between two columns.
-const GAP: usize = 2;
+const COLUMN_GAP: usize = 2;
 
 /// What a command shows.
 pub(crate) struct Report {
@@ -23,21 +23,21 @@
 impl Report {
     /// Returns a report of one table; `json` holds the same for programs.
     pub(crate) fn new(header: &[&str], rows: Vec<Vec<String>>, json: Value) -> Self {
-        Self { tables: Vec::new(), json }.with(header, rows)
+        Self { tables: Vec::new(), json }.with_table(header, rows)
     }
 
     /// Returns this report with a further table.
-    pub(crate) fn with(mut self, header: &[&str], rows: Vec<Vec<String>>) -> Self {
+    pub(crate) fn with_table(mut self, header: &[&str], rows: Vec<Vec<String>>) -> Self {
         let header = header.iter().copied().map(str::to_owned).collect();
         self.tables.push(Table { header, rows });
         self
     }
 
     /// Returns this report with the time until all of it was in force everywhere.
-    pub(crate) fn after(mut self, time: Duration) -> Self {
-        let millis = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
+    pub(crate) fn with_elapsed(mut self, elapsed: Duration) -> Self {
+        let millis = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
         self.json["millis"] = json!(millis);
-        self.with(&["IN FORCE AFTER"], vec![vec![format!("{millis} ms")]])
+        self.with_table(&["IN FORCE AFTER"], vec![vec![format!("{millis} ms")]])
     }
 
     /// Returns the text of the report.
@@ -64,7 +64,7 @@
 
     fn line(&self, cells: &[String]) -> String {
         let cell = |(column, cell): (usize, &String)| {
-            let width = self.width(column) + GAP;
+            let width = self.width(column) + COLUMN_GAP;
             format!("{cell:width$}")
         };
         let line: String = cells.iter().enumerate().map(cell).collect();
--- a/acaciaring/src/show.rs
+++ b/acaciaring/src/show.rs
@@ -15,19 +15,19 @@
 use crate::Outcome;
 use crate::client::Client;
 use crate::error::{PendingSnafu, ToolError, UnknownDocumentSnafu};
-use crate::publish::{PAUSE, lagging};
+use crate::publish::{RETRY_DELAY, lagging};
 use crate::report::Report;
 
 /// Shows the documents in force, and how far each member is.
 pub(crate) fn in_force(client: &Client, name: Option<&str>, wait: bool) -> Outcome {
     let start = Instant::now();
-    match look(client, name, wait) {
+    match fetch(client, name, wait) {
         Ok((documents, members)) => {
-            let offset = newest(&documents);
+            let offset = newest_version(&documents);
             let report = in_force_report(name, offset, &documents, &members);
             let vms = lagging(members, offset);
             let report =
-                if wait && vms.is_empty() { report.after(start.elapsed()) } else { report };
+                if wait && vms.is_empty() { report.with_elapsed(start.elapsed()) } else { report };
             let failure = (!vms.is_empty()).then(|| PendingSnafu { offset, vms }.build());
             Outcome { report: Some(report), failure }
         }
@@ -36,22 +36,22 @@
 }
 
 /// Looks once, or until the documents are in force everywhere.
-fn look(
+fn fetch(
     client: &Client,
     name: Option<&str>,
     wait: bool,
 ) -> Result<(Vec<PublishedDocument>, InForce), ToolError> {
     loop {
         let (documents, members) = documents(client, name)?;
-        let lags = !lagging(members.clone(), newest(&documents)).is_empty();
-        if !wait || !lags || client.late(Instant::now()) {
+        let lags = !lagging(members.clone(), newest_version(&documents)).is_empty();
+        if !wait || !lags || client.deadline_passed(Instant::now()) {
             return Ok((documents, members));
         }
-        thread::sleep(PAUSE);
+        thread::sleep(RETRY_DELAY);
     }
 }
 
-fn newest(documents: &[PublishedDocument]) -> Offset {
+fn newest_version(documents: &[PublishedDocument]) -> Offset {
     documents.iter().map(|document| document.version).max().unwrap_or(0)
 }
 
@@ -64,7 +64,7 @@
         documents.retain(|document| &*document.name == name);
         ensure!(!documents.is_empty(), UnknownDocumentSnafu { name });
     }
-    let offset = newest(&documents);
+    let offset = newest_version(&documents);
     let members = client.get(admin::IN_FORCE, &[("offset", &offset.to_string())])?;
     Ok((documents, members))
 }
@@ -87,10 +87,10 @@
     let json = json!({"documents": documents, "members": members});
     let report = Report::new(&["KIND", "NAME", "VERSION", "STATE"], rows.collect(), json);
     let report = match name {
-        Some(_) => report.with(&["SECTION", "KEY", "VALUE"], values(documents)),
+        Some(_) => report.with_table(&["SECTION", "KEY", "VALUE"], values(documents)),
         None => report,
     };
-    report.with(&["MEMBER", "VM", "APPLIED", "IN FORCE"], member_rows(members, offset))
+    report.with_table(&["MEMBER", "VM", "APPLIED", "IN FORCE"], member_rows(members, offset))
 }
 
 fn values(documents: &[PublishedDocument]) -> Vec<Vec<String>> {
@@ -134,7 +134,7 @@
         ("served by", member(&owner.serves)),
         ("reason", explain(&owner)),
     ];
-    let rows = rows.into_iter().map(|(what, value)| vec![what.to_owned(), value]);
+    let rows = rows.into_iter().map(|(label, value)| vec![label.to_owned(), value]);
     Ok(Report::new(&["WHAT", "VALUE"], rows.collect(), json!(owner)))
 }
 
--- a/acaciaring/tests/daemons/main.rs
+++ b/acaciaring/tests/daemons/main.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 
-use system::{CONTRACTS, GUICHET, Run, System, alone, examples, run};
+use system::{CONTRACTS, GUICHET, Run, System, examples, lock_system, run};
 
 fn parsed(run: &Run) -> Value {
     assert_eq!(run.code, 0, "{run:?}");
@@ -25,7 +25,7 @@
 // force at every member, and the owners, members and loads are looked at through another.
 #[test]
 fn the_examples_are_published_and_shown() {
-    let _alone = alone();
+    let _guard = lock_system();
     let system = System::start("");
     let files = examples();
     let files: Vec<&str> = files.iter().map(String::as_str).collect();
@@ -43,7 +43,7 @@
     assert_eq!(table.code, 0, "{table:?}");
     assert!(table.out.contains(CONTRACTS) && table.out.contains("vm-3"), "{table:?}");
 
-    system.settle();
+    system.wait_for_owners();
     let owner = parsed(&system.json(1, &["owner", CONTRACTS, "k1"]));
     let serves = owner["serves"]["vm"].as_str().expect("someone serves the key");
     assert!(["vm-0", "vm-1", "vm-2"].contains(&serves), "{owner}");
@@ -58,10 +58,10 @@
 
     let address = system.address(0);
     drop(system);
-    let nobody = run(&["--member", &address, "members"]);
-    assert_eq!(nobody.code, 6, "{nobody:?}");
-    let nobody = run(&[&["--member", &address, "publish"], files.as_slice()].concat());
-    assert_eq!(nobody.code, 6, "{nobody:?}");
+    let unreachable = run(&["--member", &address, "members"]);
+    assert_eq!(unreachable.code, 6, "{unreachable:?}");
+    let unreachable = run(&[&["--member", &address, "publish"], files.as_slice()].concat());
+    assert_eq!(unreachable.code, 6, "{unreachable:?}");
 }
 
 // Two operators have read the same version and publish at the same moment through two members.
@@ -69,7 +69,7 @@
 // in force now. What does not build is refused with its place, and changes nothing.
 #[test]
 fn a_conflict_and_a_fault_change_nothing() {
-    let _alone = alone();
+    let _guard = lock_system();
     let system = System::start("");
     let files = examples();
     let files: Vec<&str> = files.iter().map(String::as_str).collect();
@@ -90,15 +90,16 @@
         let mut codes: Vec<_> = runs.iter().map(|run| run.code).collect();
         codes.sort_unstable();
         assert_eq!(codes, [0, 4], "{runs:?}");
-        let told = runs.iter().find(|run| run.code == 4).expect("one lost");
-        assert!(told.err.contains(&format!("version {base} is in force")), "{told:?}");
+        let loser = runs.iter().find(|run| run.code == 4).expect("one lost");
+        assert!(loser.err.contains(&format!("version {base} is in force")), "{loser:?}");
     }
 
     let broken = system.parameters("2s\n\n[workspace]\nregion = free-state");
     let line = fs::read_to_string(&broken).expect("a file").lines().count();
     for command in ["check", "publish"] {
         let files = [&[command], files.as_slice(), &[broken.as_str()]].concat();
-        let files: Vec<_> = files.into_iter().filter(|file| !file.ends_with(&own())).collect();
+        let files: Vec<_> =
+            files.into_iter().filter(|file| !file.ends_with(&contracts_path())).collect();
         let invalid = system.tool(0, &files);
         assert_eq!(invalid.code, 3, "{invalid:?}");
         let place = format!("{broken}:{line}: workspace.region");
@@ -108,7 +109,7 @@
 }
 
 /// End of the path of the file that [`System::parameters`] stands for.
-fn own() -> String {
+fn contracts_path() -> String {
     format!("parameters/{CONTRACTS}.ini")
 }
 
@@ -122,7 +123,7 @@
 // into force there by itself, and `in-force` shows it.
 #[test]
 fn a_frozen_member_is_waited_for() {
-    let _alone = alone();
+    let _guard = lock_system();
     // A long lease, so that the VM is not evicted meanwhile.
     let mut system = System::start("[lease]\nterm = 10s\n");
     let files = examples();
--- a/acaciaring/tests/daemons/system.rs
+++ b/acaciaring/tests/daemons/system.rs
@@ -24,12 +24,12 @@
 ];
 
 /// Bound on the time until a new system serves.
-const SETTLE: Duration = Duration::from_secs(30);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One system at a time: each has hundreds of threads.
-pub fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+pub fn lock_system() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Running system.
@@ -59,7 +59,7 @@
             };
             cluster.add(options).expect("a VM starts");
         }
-        wait_until("all are members", SETTLE, || {
+        wait_until("all are members", STARTUP_TIMEOUT, || {
             (0..VMS.len()).all(|vm| members(&cluster, vm) == VMS.len())
         })
         .expect("all join");
@@ -68,10 +68,10 @@
     }
 
     /// Waits until both services have owners.
-    pub fn settle(&self) {
+    pub fn wait_for_owners(&self) {
         let all: Vec<usize> = (0..VMS.len()).collect();
         for workspace in [CONTRACTS, GUICHET] {
-            self.cluster.settle(workspace, &all, SETTLE).expect("the slots have owners");
+            self.cluster.settle(workspace, &all, STARTUP_TIMEOUT).expect("the slots have owners");
         }
     }
 
--- a/acaciaring/tests/tool/main.rs
+++ b/acaciaring/tests/tool/main.rs
@@ -5,7 +5,7 @@
 
 use std::net::TcpListener;
 
-use support::{Fault, Member, Run, Stand, file, run};
+use support::{Fault, Member, Run, StubServer, file, run};
 
 const TEMPLATE: &str = "\
 [template]
@@ -33,15 +33,15 @@
 place = free-state
 ";
 
-fn publish(stand: &Stand, test: &str, args: &[&str]) -> Run {
+fn publish(server: &StubServer, test: &str, args: &[&str]) -> Run {
     let template = file(test, "template.ini", TEMPLATE);
-    let mut all = vec!["--member", &stand.address, "--format", "json", "publish", &template];
+    let mut all = vec!["--member", &server.address, "--format", "json", "publish", &template];
     all.extend(args);
     run(&all)
 }
 
 /// Returns an address of the loopback interface on which nothing listens.
-fn nobody() -> String {
+fn unused_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     listener.local_addr().expect("the listener is bound").to_string()
 }
@@ -95,24 +95,24 @@
 
 #[test]
 fn publish_shows_the_base_and_the_new_version() {
-    let stand = Stand::start(Member { last: 41, ..Member::default() });
-    let first = publish(&stand, "publish", &[]);
+    let server = StubServer::start(Member { last: 41, ..Member::default() });
+    let first = publish(&server, "publish", &[]);
     assert_eq!(first.code, 0, "{first:?}");
     assert!(first.out.contains(r#""base":0"#) && first.out.contains(r#""version":42"#));
-    let again = publish(&stand, "publish", &[]);
+    let again = publish(&server, "publish", &[]);
     assert_eq!(again.code, 0);
     assert!(again.out.contains(r#""step":"unchanged""#), "{again:?}");
-    assert_eq!(stand.with(|member| member.tries.len()), 1);
+    assert_eq!(server.with_member(|member| member.attempts.len()), 1);
 }
 
 #[test]
 fn of_two_operators_the_second_is_told_of_the_conflict() {
     // Two operators read version 1 and change the same template. The second one's command ends
     // with 4 and names the version that the first one made; the first change stays in force.
-    let stand = Stand::start(Member::default());
-    assert_eq!(publish(&stand, "race", &[]).code, 0);
-    assert_eq!(publish(&stand, "race", &["--base", "1"]).code, 0);
-    let second = publish(&stand, "race", &["--base", "1"]);
+    let server = StubServer::start(Member::default());
+    assert_eq!(publish(&server, "race", &[]).code, 0);
+    assert_eq!(publish(&server, "race", &["--base", "1"]).code, 0);
+    let second = publish(&server, "race", &["--base", "1"]);
     assert_eq!(second.code, 4, "{second:?}");
     assert!(second.err.contains("version 2 is in force"));
     assert!(second.out.contains(r#""step":"not-published""#));
@@ -122,11 +122,12 @@
 fn a_lost_answer_does_not_publish_twice() {
     // The log takes the record, and the connection goes silent before the operator's tool hears of
     // it. The tool finds its change in force and does not publish it a second time.
-    let stand = Stand::start(Member { faults: [Fault::AnswerLost].into(), ..Member::default() });
-    let outcome = publish(&stand, "lost", &["--timeout", "1min"]);
+    let server =
+        StubServer::start(Member { faults: [Fault::AnswerLost].into(), ..Member::default() });
+    let outcome = publish(&server, "lost", &["--timeout", "1min"]);
     assert_eq!(outcome.code, 0, "{outcome:?}");
     assert!(outcome.out.contains(r#""version":1"#));
-    assert_eq!(stand.with(|member| member.last), 1);
+    assert_eq!(server.with_member(|member| member.last), 1);
 }
 
 #[test]
@@ -134,8 +135,8 @@
     // As above, but the member is replaced in between and does not know the record's id. It would
     // answer `conflict`, although the operator's own change is what is in force.
     let faults = [Fault::AnswerLostIdForgotten].into();
-    let stand = Stand::start(Member { faults, ..Member::default() });
-    let outcome = publish(&stand, "own", &["--timeout", "1min"]);
+    let server = StubServer::start(Member { faults, ..Member::default() });
+    let outcome = publish(&server, "own", &["--timeout", "1min"]);
     assert_eq!(outcome.code, 0, "{outcome:?}");
     assert!(outcome.out.contains(r#""version":1"#));
 }
@@ -145,31 +146,31 @@
     // The log is down for two tries. Were the ids different, a record that took effect unseen
     // would meet its own repeat as a conflict.
     let faults = [Fault::LogDown, Fault::LogDown].into();
-    let stand = Stand::start(Member { faults, ..Member::default() });
-    assert_eq!(publish(&stand, "tries", &[]).code, 0);
-    let tries = stand.with(|member| member.tries.clone());
-    assert_eq!(tries.len(), 3);
-    assert!(tries.iter().all(|id| *id == tries[0]));
+    let server = StubServer::start(Member { faults, ..Member::default() });
+    assert_eq!(publish(&server, "tries", &[]).code, 0);
+    let attempts = server.with_member(|member| member.attempts.clone());
+    assert_eq!(attempts.len(), 3);
+    assert!(attempts.iter().all(|id| *id == attempts[0]));
 }
 
 #[test]
 fn a_change_that_the_member_confirms_late_is_found_in_force() {
-    let stand = Stand::start(Member { faults: [Fault::Late].into(), ..Member::default() });
-    let outcome = publish(&stand, "late", &["--timeout", "1min"]);
+    let server = StubServer::start(Member { faults: [Fault::Late].into(), ..Member::default() });
+    let outcome = publish(&server, "late", &["--timeout", "1min"]);
     assert_eq!(outcome.code, 0, "{outcome:?}");
-    assert_eq!(stand.with(|member| member.tries.len()), 1);
+    assert_eq!(server.with_member(|member| member.attempts.len()), 1);
 }
 
 #[test]
 fn a_conflict_after_a_lost_answer_is_still_told() {
     // Of two operators' changes the log keeps the first, and the answer that tells the second
     // operator so is lost. The tool finds the other change in force and ends with 4.
-    let stand = Stand::start(Member::default());
-    assert_eq!(publish(&stand, "both", &[]).code, 0);
-    stand.with(|member| member.faults.push_back(Fault::AnswerLost));
+    let server = StubServer::start(Member::default());
+    assert_eq!(publish(&server, "both", &[]).code, 0);
+    server.with_member(|member| member.faults.push_back(Fault::AnswerLost));
     let other = TEMPLATE.replace("deadline = 1s", "deadline = 2s");
     let other = file("both", "other.ini", &other);
-    let args = ["--member", &stand.address, "--timeout", "1min", "publish", "--base", "0", &other];
+    let args = ["--member", &server.address, "--timeout", "1min", "publish", "--base", "0", &other];
     let outcome = run(&args);
     assert_eq!(outcome.code, 4, "{outcome:?}");
 }
@@ -178,48 +179,49 @@
 fn a_member_that_lags_is_named() {
     // A data centre is cut off. The change is published but not in force there, so the operator
     // is not told that it is accepted; the command ends with 5 and names whom it waits for.
-    let stand = Stand::start(Member { silent: vec!["contracts-4"], ..Member::default() });
-    let outcome = publish(&stand, "lag", &["--timeout", "300ms"]);
+    let server =
+        StubServer::start(Member { unresponsive: vec!["contracts-4"], ..Member::default() });
+    let outcome = publish(&server, "lag", &["--timeout", "300ms"]);
     assert_eq!(outcome.code, 5, "{outcome:?}");
     assert!(outcome.err.contains("contracts-4"));
     assert!(outcome.out.contains(r#""step":"pending""#));
-    let shown = run(&["--member", &stand.address, "in-force"]);
+    let shown = run(&["--member", &server.address, "in-force"]);
     assert_eq!(shown.code, 5, "{shown:?}");
 }
 
 #[test]
 fn an_outage_of_the_log_ends_with_the_time_of_the_command() {
     let faults = std::iter::repeat_n(Fault::LogDown, 1_000).collect();
-    let stand = Stand::start(Member { faults, ..Member::default() });
-    let outcome = publish(&stand, "outage", &["--timeout", "300ms"]);
+    let server = StubServer::start(Member { faults, ..Member::default() });
+    let outcome = publish(&server, "outage", &["--timeout", "300ms"]);
     assert_eq!(outcome.code, 5, "{outcome:?}");
     assert!(outcome.err.contains("the log is down"));
 }
 
 #[test]
 fn the_next_member_is_asked_when_one_is_gone() {
-    let gone = nobody();
+    let gone = unused_address();
     assert_eq!(run(&["--member", &gone, "members"]).code, 6);
-    let stand = Stand::start(Member::default());
-    let both = ["--member", &gone, "--member", &stand.address, "in-force"];
+    let server = StubServer::start(Member::default());
+    let both = ["--member", &gone, "--member", &server.address, "in-force"];
     assert_eq!(run(&both).code, 0);
 }
 
 #[test]
 fn retire_needs_a_document_in_force() {
-    let stand = Stand::start(Member::default());
-    let retire = || run(&["--member", &stand.address, "retire", "template", "contracts"]);
+    let server = StubServer::start(Member::default());
+    let retire = || run(&["--member", &server.address, "retire", "template", "contracts"]);
     assert_eq!(retire().code, 1);
-    assert_eq!(publish(&stand, "retire", &[]).code, 0);
+    assert_eq!(publish(&server, "retire", &[]).code, 0);
     let retired = retire();
     assert_eq!(retired.code, 0, "{retired:?}");
-    assert!(stand.with(|member| member.documents[0].retired));
+    assert!(server.with_member(|member| member.documents[0].retired));
 }
 
 #[test]
 fn a_refusal_of_the_member_is_shown() {
-    let stand = Stand::start(Member::default());
-    let outcome = run(&["--member", &stand.address, "owner", "korenveld-contracts", "k 1"]);
+    let server = StubServer::start(Member::default());
+    let outcome = run(&["--member", &server.address, "owner", "korenveld-contracts", "k 1"]);
     assert_eq!(outcome.code, 1);
     assert!(outcome.err.contains("workspace=korenveld-contracts&key=k%201"), "{outcome:?}");
 }
--- a/acaciaring/tests/tool/support.rs
+++ b/acaciaring/tests/tool/support.rs
@@ -34,24 +34,24 @@
     /// Offset of the last record.
     pub last: u64,
     /// VMs that do not answer.
-    pub silent: Vec<&'static str>,
+    pub unresponsive: Vec<&'static str>,
     /// Faults of the next requests to publish.
     pub faults: VecDeque<Fault>,
     /// Requests to publish, by their record ids.
-    pub tries: Vec<String>,
+    pub attempts: Vec<String>,
     /// Ids of the records that took effect, with their offsets.
-    pub known: Vec<(String, u64)>,
+    pub appended: Vec<(String, u64)>,
 }
 
 /// Running stand-in.
-pub struct Stand {
+pub struct StubServer {
     /// Address of the member.
     pub address: String,
     /// What the member knows.
     pub member: Arc<Mutex<Member>>,
 }
 
-impl Stand {
+impl StubServer {
     /// Starts a member on a free port of the loopback interface.
     pub fn start(member: Member) -> Self {
         let server = Server::http("127.0.0.1:0").expect("a port is free");
@@ -68,8 +68,8 @@
     }
 
     /// Runs a look at what the member knows.
-    pub fn with<T>(&self, look: impl FnOnce(&mut Member) -> T) -> T {
-        look(&mut self.member.lock().expect("the member has not panicked"))
+    pub fn with_member<T>(&self, action: impl FnOnce(&mut Member) -> T) -> T {
+        action(&mut self.member.lock().expect("the member has not panicked"))
     }
 }
 
@@ -98,13 +98,13 @@
         let applied = Applied { member: MemberId(1), vm: "contracts-1".into(), applied: self.last };
         InForce {
             applied: vec![applied],
-            pending: self.silent.iter().map(|vm| (*vm).into()).collect(),
+            pending: self.unresponsive.iter().map(|vm| (*vm).into()).collect(),
         }
     }
 
     fn publish(&mut self, text: &str) -> Option<(u16, String)> {
         let publish: Publish = serde_json::from_str(text).expect("the tool sends a request");
-        self.tries.push(publish.id.clone());
+        self.attempts.push(publish.id.clone());
         let fault = self.faults.pop_front();
         if fault == Some(Fault::LogDown) {
             return Some((503, json(&Failure { message: "the log is down".to_owned() })));
@@ -117,7 +117,7 @@
                     json(&Failure { message: "it may yet take effect".to_owned() }),
                 ));
             }
-            Some(Fault::AnswerLostIdForgotten) => self.known.clear(),
+            Some(Fault::AnswerLostIdForgotten) => self.appended.clear(),
             Some(_) => {}
             None => return Some(answer),
         }
@@ -126,7 +126,7 @@
 
     fn append(&mut self, publish: Publish) -> (u16, String) {
         let applied = |offset| (200, json(&Published { offset, outcome: PublishOutcome::Applied }));
-        if let Some((_, offset)) = self.known.iter().find(|(id, _)| *id == publish.id) {
+        if let Some((_, offset)) = self.appended.iter().find(|(id, _)| *id == publish.id) {
             return applied(*offset);
         }
         let same =
@@ -144,7 +144,7 @@
             retired: publish.retired,
             fields: publish.fields,
         });
-        self.known.push((publish.id, self.last));
+        self.appended.push((publish.id, self.last));
         applied(self.last)
     }
 }
