--- a/acaciaring/src/check.rs
+++ b/acaciaring/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks files without a member.
+//! Offline validation of template and parameter files.
 
 use std::fs;
 use std::path::PathBuf;
@@ -11,13 +11,13 @@
 use crate::error::{InvalidSnafu, ReadSnafu, ToolError, UsageSnafu};
 use crate::report::Report;
 
-/// Document with the file that holds it.
+/// Parsed document and the path of its file.
 pub(crate) struct Source {
     file: Name,
     pub(crate) document: Document,
 }
 
-/// Checks files; fills each template with the parameters among them.
+/// Validates files, and builds each route whose template and parameters are both given.
 pub(crate) fn run(files: &[PathBuf]) -> Result<Report, ToolError> {
     let sources = read(files)?;
     let rows = sources.iter().map(|source| {
@@ -39,7 +39,7 @@
     Ok(Report::new(&["FILE", "KIND", "NAME", "FILLED"], rows.collect(), json))
 }
 
-/// Reads and checks files, templates first.
+/// Parses and validates files; returns templates before parameters.
 pub(crate) fn read(files: &[PathBuf]) -> Result<Vec<Source>, ToolError> {
     ensure!(!files.is_empty(), UsageSnafu { message: "at least one FILE is required" });
     let mut sources = Vec::new();
@@ -59,7 +59,7 @@
     Ok(sources)
 }
 
-/// Lists the documents that two files hold.
+/// Returns a fault for each document that an earlier file defines too.
 fn duplicates(sources: &[Source]) -> Vec<Fault> {
     let duplicate = |(index, source): (usize, &Source)| {
         let earlier =
@@ -73,7 +73,7 @@
     one.kind == other.kind && one.name == other.name
 }
 
-/// Fills every template that is among the files and lists the faults.
+/// Builds the routes whose template is among the files, and returns the faults and conflicts.
 fn check_routes(sources: &[Source]) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut routes: Vec<Route> = Vec::new();
@@ -102,7 +102,7 @@
     sources.iter().find(is_template)
 }
 
-/// Returns true when parameters have their template among the files, or a template its parameters.
+/// Returns true when the matching template or parameters are among the files too.
 fn filled(sources: &[Source], source: &Source) -> bool {
     match source.document.kind {
         DocumentKind::Parameters => template_of(sources, source).is_some(),
@@ -127,7 +127,7 @@
     }
 }
 
-/// Replaces the name of a document in a fault by its file.
+/// Replaces the document name in a fault with the path of its file.
 fn with_file(sources: &[Source], fault: Fault) -> Fault {
     let source = sources.iter().find(|source| source.document.name == fault.document);
     let document = source.map_or(fault.document, |source| Name::clone(&source.file));
--- a/acaciaring/src/client.rs
+++ b/acaciaring/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to the admin address of a member.
+//! HTTP client for the admin addresses of members, with failover from one to the next.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,59 +12,64 @@
 
 use crate::error::{MalformedSnafu, RefusedSnafu, ToolError, UnreachableSnafu, UsageSnafu};
 
-/// Time in which a connection must be made; after it the next member is asked.
+/// Timeout to connect to a member; the next member is tried after it.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time to read; a member that is paused must not use up the whole time of a command.
+/// Timeout of a read request, so that an unresponsive member does not use up the time of a command.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time to publish; a member waits up to 8 s for the log before it answers 504.
+/// Timeout of a publish request; exceeds the member's own wait for the log, after which it
+/// answers 504.
 const PUBLISH_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// Least time for a request, also when the time of the command is over.
+/// Minimum timeout of a request, even past the command's deadline.
 const TIMEOUT_MIN: Duration = Duration::from_millis(100);
 
-/// Asks members in order until one answers.
+/// Client that tries the members in order until one answers.
 pub(crate) struct Client {
     members: Vec<SocketAddr>,
     deadline: Instant,
 }
 
-/// What became of a request to publish.
+/// Result of one publish request.
 #[derive(Debug)]
 pub(crate) enum PublishReply {
-    /// It took effect.
+    /// The change took effect.
     Published(Published),
-    /// It builds on an old version.
+    /// The change is based on an outdated version.
     Conflict(Conflict),
-    /// A route would not build.
+    /// The change would leave a route that cannot be built.
     Invalid(Invalid),
-    /// It may be sent again; nothing was appended by this try.
+    /// This attempt appended nothing; it may be retried.
     Refused(String),
-    /// It may be sent again; it is not known whether the record was appended.
+    /// The record may or may not have been appended; the same record id may be retried.
     Unknown(String),
 }
 
-/// Why a member gave no answer.
+/// Failure of an HTTP call.
 enum CallError {
-    /// The request was not sent.
+    /// No connection was made, so the request was not sent.
     Connect(String),
-    /// The request was sent; it may have taken effect.
+    /// The request may have been sent and taken effect, but no whole response was read.
     Read(String),
 }
 
 impl Client {
-    /// Returns a client of these members for a command that ends at `deadline`.
+    /// Creates a client for a command that must end at `deadline`.
     pub(crate) fn new(members: Vec<SocketAddr>, deadline: Instant) -> Self {
         Self { members, deadline }
     }
 
-    /// Returns true when the time of the command is over.
+    /// Returns true once the command's deadline has passed.
     pub(crate) fn deadline_passed(&self, now: Instant) -> bool {
         now >= self.deadline
     }
 
-    /// Reads from the first member that answers.
+    /// Sends a GET request to each member in order and parses the first answer below status 500.
+    ///
+    /// # Errors
+    ///
+    /// Fails when no member answers, the answer is a refusal, or its body is not the expected JSON.
     pub(crate) fn get<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -85,7 +90,10 @@
         UnreachableSnafu { members: tried }.fail()
     }
 
-    /// Publishes through the first member to which the request can be sent.
+    /// Publishes through the first member that accepts a connection.
+    ///
+    /// Once the request may have been sent, no other member is tried: the caller must first find
+    /// out whether the change took effect.
     pub(crate) fn publish(&self, request: &Publish) -> Result<PublishReply, ToolError> {
         self.ensure_members()?;
         let body = serde_json::to_string(request).context(MalformedSnafu)?;
@@ -109,7 +117,7 @@
         Ok(())
     }
 
-    /// Returns a new agent, so that no connection is used again after it has failed.
+    /// Returns an agent without pooled connections, so that a failed connection is never reused.
     fn agent(&self, timeout: Duration) -> Agent {
         let remaining = self.deadline.saturating_duration_since(Instant::now());
         let config = Agent::config_builder()
@@ -127,7 +135,7 @@
     format!("http://{member}{path}")
 }
 
-/// Takes the status and the whole body of an answer.
+/// Reads the status and the whole body of a response.
 fn read_response(result: Result<Response<Body>, ureq::Error>) -> Result<(u16, String), CallError> {
     let response = result.map_err(|error| call_error(&error))?;
     let status = response.status().as_u16();
@@ -162,7 +170,7 @@
     RefusedSnafu { status, message: message(text) }.fail()
 }
 
-/// Returns the message of a failure, or the text itself when it is none.
+/// Extracts the message of a JSON [`Failure`]; any other body is returned trimmed.
 fn message(text: &str) -> String {
     match serde_json::from_str::<Failure>(text) {
         Ok(failure) => failure.message,
--- a/acaciaring/src/error.rs
+++ b/acaciaring/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of the tool and their exit codes.
+//! Errors of the commands and their exit codes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use acaciaring_core::{Name, Offset};
 use snafu::Snafu;
 
-/// Failure of a command.
+/// Error that ends a command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum ToolError {
@@ -24,22 +24,24 @@
     Conflict { kind: DocumentKind, name: Name, base: Offset, current: Offset },
     #[snafu(display("pending: version {offset} is not yet in force at {}", vms.join(", ")))]
     Pending { offset: Offset, vms: Vec<Name> },
-    #[snafu(display("no final answer in time: {kind} {name} may have been published ({last})"))]
+    #[snafu(display(
+        "timed out without a final answer: {kind} {name} may have been published ({last})"
+    ))]
     Unconfirmed { kind: DocumentKind, name: Name, last: String },
-    #[snafu(display("not published in time, and it never will be: {kind} {name} ({last})"))]
+    #[snafu(display("timed out, and nothing was published: {kind} {name} ({last})"))]
     NotAppended { kind: DocumentKind, name: Name, last: String },
     #[snafu(display("no member can be reached ({})", join_members(members)))]
     Unreachable { members: Vec<(SocketAddr, String)> },
     #[snafu(display("the member refused ({status}): {message}"))]
     Refused { status: u16, message: String },
-    #[snafu(display("the member's answer is not understood"))]
+    #[snafu(display("cannot parse the member's answer"))]
     Malformed { source: serde_json::Error },
     #[snafu(display("there is no document {name} in force"))]
     UnknownDocument { name: String },
 }
 
 impl ToolError {
-    /// Returns the exit code, as docs/CLI.md lists it.
+    /// Returns the exit code that docs/CLI.md documents for this error.
     pub(crate) const fn exit_code(&self) -> u8 {
         match self {
             Self::Refused { .. } | Self::Malformed { .. } | Self::UnknownDocument { .. } => 1,
--- a/acaciaring/src/flags.rs
+++ b/acaciaring/src/flags.rs
@@ -1,4 +1,4 @@
-//! Command line.
+//! Command-line syntax and parsing of its arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -31,14 +31,14 @@
         }
         /// Publish files and wait until they are in force everywhere.
         cmd publish {
-            /// Version on which the change of the only file builds; else the one in force now.
+            /// Version that the change is based on, for one file only; default: the one in force.
             optional --base version: Offset
             /// Files with templates or parameters.
             repeated files: PathBuf
         }
         /// Retire a document and wait until this is in force everywhere.
         cmd retire {
-            /// Version on which the change builds; else the one in force now.
+            /// Version that the change is based on; default: the one in force.
             optional --base version: Offset
             /// Kind of the document: template or parameters.
             required kind: Kind
@@ -69,17 +69,17 @@
     }
 }
 
-/// Form of the output.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum Format {
-    /// Columns for people.
+    /// Text in aligned columns.
     #[default]
     Table,
-    /// JSON for programs.
+    /// JSON on one line.
     Json,
 }
 
-/// Why a word of the command line is not known.
+/// Argument that is none of the accepted words.
 #[derive(Debug, Snafu)]
 #[snafu(display("expected {expected}"))]
 pub(crate) struct ArgumentError {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Time for a command.
+/// Timeout of a whole command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Timeout(pub(crate) Duration);
 
@@ -116,7 +116,7 @@
     }
 }
 
-/// Kind of a document.
+/// Document kind given on the command line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Kind(pub(crate) DocumentKind);
 
--- a/acaciaring/src/main.rs
+++ b/acaciaring/src/main.rs
@@ -1,4 +1,5 @@
-//! Command-line tool of acaciaring: checks, publishes and retires documents, and shows what is in force.
+//! Command-line tool for operators: checks, publishes and retires documents, and shows the
+//! documents in force, key owners, members and loads.
 
 mod check;
 mod client;
@@ -18,7 +19,7 @@
 use crate::flags::{Acaciaring, AcaciaringCmd};
 use crate::report::Report;
 
-/// Exit code for a command line that is not valid.
+/// Exit code for an invalid command line.
 const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -36,7 +37,7 @@
     }
 }
 
-/// What a command has done, and what stopped it.
+/// Report of a command and the error that stopped it; a partial failure has both.
 struct Outcome {
     report: Option<Report>,
     failure: Option<ToolError>,
--- a/acaciaring/src/publish.rs
+++ b/acaciaring/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes and retires documents, and waits until they are in force.
+//! The commands `publish` and `retire`: send changes and wait until every member applies them.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -23,20 +23,20 @@
 use crate::flags;
 use crate::report::Report;
 
-/// Pause before a request is repeated.
+/// Delay between attempts of a request.
 pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Step that a document has reached.
+/// State of a change, as reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Step {
-    /// Folded by every member.
+    /// Applied by every member.
     InForce,
-    /// Folded by every member before the command.
+    /// Already in force before the command, so nothing was published.
     Unchanged,
-    /// Published, not yet folded by every member.
+    /// Published, but not yet applied by every member.
     Pending,
-    /// The command stopped before or at this document.
+    /// The command failed before or while publishing this document.
     NotPublished,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Progress of one document.
+/// Progress of the change to one document.
 #[derive(Debug, Clone, Serialize)]
 struct Progress {
     kind: DocumentKind,
@@ -60,11 +60,11 @@
     version: Option<Offset>,
     step: Step,
     pending: Vec<Name>,
-    /// Time from the start until it was in force everywhere, milliseconds.
+    /// Time from the start of the change until it was in force everywhere, in milliseconds.
     millis: Option<u64>,
 }
 
-/// Publishes files in order, templates first; stops at the first failure.
+/// Publishes the files, templates first; stops at the first failure.
 pub(crate) fn run(client: &Client, command: &flags::Publish) -> Outcome {
     match prepare(command) {
         Ok(changes) => apply(client, &changes, command.base),
@@ -83,7 +83,7 @@
     apply(client, &[change], command.base)
 }
 
-/// Change that an operator wants.
+/// Requested change to a document.
 struct Change {
     kind: DocumentKind,
     name: Name,
@@ -97,7 +97,7 @@
         Self { kind, name, retired: false, fields }
     }
 
-    /// Returns true when a document in force is what the change would make of it.
+    /// Returns true when the document in force already equals the result of the change.
     fn matches(&self, document: &PublishedDocument) -> bool {
         let value =
             |field: &DocumentField| [&field.section, &field.key, &field.value].map(Name::clone);
@@ -166,7 +166,7 @@
     Ok(())
 }
 
-/// Returns the version on which a change builds, and the same again when nothing would change.
+/// Returns the version in force as the base, and again if the change would have no effect.
 fn current_version(
     client: &Client,
     change: &Change,
@@ -181,10 +181,10 @@
     Ok((version, unchanged.then_some(version)))
 }
 
-/// Sends a change until there is a final answer; returns the new version.
+/// Retries a change until there is a final answer; returns the new version.
 ///
-/// Every try has the same record id: when the answer to an earlier try was
-/// lost after the record had been appended, a later one has no second effect.
+/// All attempts carry the same record id, so that a retry after a lost answer
+/// is deduplicated and does not apply the change twice.
 fn send(client: &Client, change: &Change, base: Offset) -> Result<Offset, ToolError> {
     let request = request(change, base);
     let mut uncertain = false;
@@ -229,11 +229,11 @@
     }
 }
 
-/// Decides by the document in force what became of a change whose answer was lost.
+/// Finds the outcome of a change whose answer was lost from the document in force.
 ///
-/// The member that is asked next may have been replaced and not know the
-/// record's id: it would answer that the change conflicts with itself. While
-/// the base is still in force, the record may yet come, and nothing is decided.
+/// A member that no longer knows the record id would report the change as in
+/// conflict with itself. Returns `None` while the base is still in force,
+/// because the record may yet be applied.
 fn resolve_lost_response(
     client: &Client,
     change: &Change,
@@ -259,12 +259,12 @@
     NotAppendedSnafu { kind, name, last }.fail()
 }
 
-/// Waits until every member has folded an offset; keeps the names of the VMs that are waited for.
+/// Waits until every member has applied an offset; `pending` receives the VMs still lagging.
 fn wait(client: &Client, offset: Offset, pending: &mut Vec<Name>) -> Result<(), ToolError> {
     loop {
         *pending = match client.get(admin::IN_FORCE, &[("offset", &offset.to_string())]) {
             Ok(in_force) => lagging(in_force, offset),
-            // The last look may be cut short; what an earlier one has told still holds.
+            // The last poll may time out at the deadline; the previous result still names the VMs.
             Err(ToolError::Unreachable { .. }) if !pending.is_empty() => pending.clone(),
             Err(ToolError::Unreachable { members }) => {
                 members.iter().map(|(address, _)| address.to_string().into()).collect()
@@ -281,7 +281,7 @@
     }
 }
 
-/// Lists the VMs whose members have not folded an offset.
+/// Returns the sorted VMs whose members have not applied an offset, or did not report.
 pub(crate) fn lagging(in_force: InForce, offset: Offset) -> Vec<Name> {
     let behind = in_force.applied.into_iter().filter(|member| member.applied < offset);
     let mut vms: Vec<_> = behind.map(|member| member.vm).chain(in_force.pending).collect();
--- a/acaciaring/src/report.rs
+++ b/acaciaring/src/report.rs
@@ -1,4 +1,4 @@
-//! Output of the commands.
+//! Output of the commands as text tables or JSON.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 use crate::flags::Format;
 
-/// Blanks between two columns.
+/// Spaces between two columns.
 const COLUMN_GAP: usize = 2;
 
-/// What a command shows.
+/// Output of a command in both formats.
 pub(crate) struct Report {
     tables: Vec<Table>,
     json: Value,
@@ -21,26 +21,26 @@
 }
 
 impl Report {
-    /// Returns a report of one table; `json` holds the same for programs.
+    /// Creates a report with one table; `json` holds the same data.
     pub(crate) fn new(header: &[&str], rows: Vec<Vec<String>>, json: Value) -> Self {
         Self { tables: Vec::new(), json }.with_table(header, rows)
     }
 
-    /// Returns this report with a further table.
+    /// Adds a table; the JSON stays unchanged.
     pub(crate) fn with_table(mut self, header: &[&str], rows: Vec<Vec<String>>) -> Self {
         let header = header.iter().copied().map(str::to_owned).collect();
         self.tables.push(Table { header, rows });
         self
     }
 
-    /// Returns this report with the time until all of it was in force everywhere.
+    /// Adds the time until all documents were in force everywhere.
     pub(crate) fn with_elapsed(mut self, elapsed: Duration) -> Self {
         let millis = u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX);
         self.json["millis"] = json!(millis);
         self.with_table(&["IN FORCE AFTER"], vec![vec![format!("{millis} ms")]])
     }
 
-    /// Returns the text of the report.
+    /// Formats the report, without a final line break.
     pub(crate) fn render(&self, format: Format) -> String {
         match format {
             Format::Table => {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the report of the tool's version.
+/// Returns the name and version of the tool.
 pub(crate) fn version() -> Report {
     let version = env!("CARGO_PKG_VERSION");
     let json = json!({"name": "acaciaring", "version": version});
--- a/acaciaring/src/show.rs
+++ b/acaciaring/src/show.rs
@@ -1,4 +1,4 @@
-//! Shows what a member knows.
+//! The read-only commands: `in-force`, `owner`, `members` and `load`.
 
 use std::thread;
 use std::time::Instant;
@@ -18,7 +18,7 @@
 use crate::publish::{RETRY_DELAY, lagging};
 use crate::report::Report;
 
-/// Shows the documents in force, and how far each member is.
+/// Reports the documents in force and the offset that each member has applied.
 pub(crate) fn in_force(client: &Client, name: Option<&str>, wait: bool) -> Outcome {
     let start = Instant::now();
     match fetch(client, name, wait) {
@@ -35,7 +35,8 @@
     }
 }
 
-/// Looks once, or until the documents are in force everywhere.
+/// Fetches documents and applied offsets; with `wait`, polls until no member lags or the deadline
+/// passes.
 fn fetch(
     client: &Client,
     name: Option<&str>,
@@ -117,7 +118,7 @@
     applied.chain(pending).collect()
 }
 
-/// Shows who owns a key, and why.
+/// Reports the owner of a key and the reason.
 pub(crate) fn owner(client: &Client, workspace: &str, key: &str) -> Result<Report, ToolError> {
     let query = [("workspace", workspace), ("key", key)];
     let owner: Owner = client.get(admin::OWNER, &query)?;
@@ -152,7 +153,7 @@
     }
 }
 
-/// Shows the members.
+/// Reports the members.
 pub(crate) fn members(client: &Client) -> Result<Report, ToolError> {
     let members: Members = client.get(admin::MEMBERS, &[])?;
     let row = |member: &MemberEntry| {
@@ -184,7 +185,7 @@
     Ok(Report::new(&header, rows, json!(members)))
 }
 
-/// Shows the load of the members.
+/// Reports the load of the members.
 pub(crate) fn load(client: &Client) -> Result<Report, ToolError> {
     let loads: Loads = client.get(admin::LOAD, &[])?;
     let row = |load: &LoadEntry| {
--- a/acaciaring/tests/daemons/main.rs
+++ b/acaciaring/tests/daemons/main.rs
@@ -1,6 +1,6 @@
-//! The tool against real processes: commands, output and exit codes.
+//! Tests of the commands against a cluster of real daemons.
 //!
-//! The daemon is built with the tests of the workspace, or by `cargo build`.
+//! Need a built `acaciaringd`: `cargo test --workspace` and `cargo build` build it.
 
 mod system;
 
@@ -21,8 +21,8 @@
     documents.iter().map(|document| document["step"].as_str().expect("a step")).collect()
 }
 
-// The first day of an operator: the files are checked, published through one member, found in
-// force at every member, and the owners, members and loads are looked at through another.
+// Documents published through one member must be in force at all, and every member must report
+// the same owners, members and loads.
 #[test]
 fn the_examples_are_published_and_shown() {
     let _guard = lock_system();
@@ -64,9 +64,8 @@
     assert_eq!(unreachable.code, 6, "{unreachable:?}");
 }
 
-// Two operators have read the same version and publish at the same moment through two members.
-// One change comes into force; the other operator hears of the conflict and of the version that is
-// in force now. What does not build is refused with its place, and changes nothing.
+// Of concurrent changes to one version through two members exactly one may win; the other must
+// report the conflict. An invalid file must be refused with its line and change nothing.
 #[test]
 fn a_conflict_and_a_fault_change_nothing() {
     let _guard = lock_system();
@@ -108,7 +107,7 @@
     assert_eq!(version(&system), base);
 }
 
-/// End of the path of the file that [`System::parameters`] stands for.
+/// Path suffix of the file that [`System::parameters`] replaces.
 fn contracts_path() -> String {
     format!("parameters/{CONTRACTS}.ini")
 }
@@ -118,13 +117,12 @@
     shown["documents"][0]["version"].as_u64().expect("a version")
 }
 
-// A VM stands still while an operator publishes. The tool does not claim that the change is in force
-// everywhere: it names the VM and says so by its exit code. When the VM goes on, the change comes
-// into force there by itself, and `in-force` shows it.
+// A change must not be reported as in force while a VM is frozen; it must come into force there
+// without a further command once the VM resumes.
 #[test]
 fn a_frozen_member_is_waited_for() {
     let _guard = lock_system();
-    // A long lease, so that the VM is not evicted meanwhile.
+    // The lease outlasts the freeze, so that the VM is not evicted.
     let mut system = System::start("[lease]\nterm = 10s\n");
     let files = examples();
     let files: Vec<&str> = files.iter().map(String::as_str).collect();
--- a/acaciaring/tests/daemons/system.rs
+++ b/acaciaring/tests/daemons/system.rs
@@ -1,4 +1,4 @@
-//! A system of real processes with the tool beside it.
+//! Cluster of real daemons and a runner of the tool.
 
 use std::fs;
 use std::path::Path;
@@ -23,16 +23,16 @@
     ("laval-nord", "qc-centre", GUICHET),
 ];
 
-/// Bound on the time until a new system serves.
+/// Timeout for a new cluster to form and assign its slots.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One system at a time: each has hundreds of threads.
+/// Serialises the tests, because each cluster has hundreds of threads.
 pub fn lock_system() -> MutexGuard<'static, ()> {
     static LOCK: Mutex<()> = Mutex::new(());
     LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Running system.
+/// Running cluster with a directory for test files.
 pub struct System {
     pub cluster: Cluster,
     directory: TempDir,
@@ -67,7 +67,7 @@
         Self { cluster, directory }
     }
 
-    /// Waits until both services have owners.
+    /// Waits until the slots of both workspaces have owners.
     pub fn wait_for_owners(&self) {
         let all: Vec<usize> = (0..VMS.len()).collect();
         for workspace in [CONTRACTS, GUICHET] {
@@ -80,17 +80,17 @@
         self.cluster.vms[vm].admin.to_string()
     }
 
-    /// Runs the tool with a VM as its member.
+    /// Runs the tool with the admin address of a VM.
     pub fn tool(&self, vm: usize, args: &[&str]) -> Run {
         run(&[&["--member", self.address(vm).as_str()], args].concat())
     }
 
-    /// Runs the tool with JSON as its output.
+    /// Runs the tool with JSON output.
     pub fn json(&self, vm: usize, args: &[&str]) -> Run {
         self.tool(vm, &[&["--format", "json"], args].concat())
     }
 
-    /// Writes the parameters of the contracts with another deadline in their last line.
+    /// Writes the parameters of [`CONTRACTS`] with another signing deadline; returns the path.
     pub fn parameters(&self, deadline: &str) -> String {
         let path = root().join(format!("examples/korenveld/parameters/{CONTRACTS}.ini"));
         let text = fs::read_to_string(path).expect("the example is there");
@@ -110,7 +110,7 @@
     Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/.."))
 }
 
-/// Returns the files of both example deployments.
+/// Returns the paths of the example documents.
 pub fn examples() -> Vec<String> {
     let files = demo::examples(&root().join("examples")).expect("the examples are there");
     files.iter().map(|file| file.display().to_string()).collect()
--- a/acaciaring/tests/tool/main.rs
+++ b/acaciaring/tests/tool/main.rs
@@ -1,4 +1,4 @@
-//! The tool against a stand-in member: output and exit codes.
+//! Tests of the output and exit codes against a stub of the admin interface.
 
 mod pages;
 mod support;
@@ -40,7 +40,7 @@
     run(&all)
 }
 
-/// Returns an address of the loopback interface on which nothing listens.
+/// Returns a loopback address on which nothing listens.
 fn unused_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     listener.local_addr().expect("the listener is bound").to_string()
@@ -107,8 +107,8 @@
 
 #[test]
 fn of_two_operators_the_second_is_told_of_the_conflict() {
-    // Two operators read version 1 and change the same template. The second one's command ends
-    // with 4 and names the version that the first one made; the first change stays in force.
+    // Concurrent changes to one base version: the second must exit with 4 and name the version
+    // in force, and must not overwrite the first.
     let server = StubServer::start(Member::default());
     assert_eq!(publish(&server, "race", &[]).code, 0);
     assert_eq!(publish(&server, "race", &["--base", "1"]).code, 0);
@@ -120,8 +120,8 @@
 
 #[test]
 fn a_lost_answer_does_not_publish_twice() {
-    // The log takes the record, and the connection goes silent before the operator's tool hears of
-    // it. The tool finds its change in force and does not publish it a second time.
+    // The record is appended but the answer is lost: the tool must find its change in force
+    // instead of publishing it again.
     let server =
         StubServer::start(Member { faults: [Fault::AnswerLost].into(), ..Member::default() });
     let outcome = publish(&server, "lost", &["--timeout", "1min"]);
@@ -132,8 +132,8 @@
 
 #[test]
 fn a_conflict_with_the_own_record_is_none() {
-    // As above, but the member is replaced in between and does not know the record's id. It would
-    // answer `conflict`, although the operator's own change is what is in force.
+    // As above, but the member has lost the record id and reports a conflict with the change
+    // itself, which must not fail the command.
     let faults = [Fault::AnswerLostIdForgotten].into();
     let server = StubServer::start(Member { faults, ..Member::default() });
     let outcome = publish(&server, "own", &["--timeout", "1min"]);
@@ -143,8 +143,7 @@
 
 #[test]
 fn each_try_of_a_change_has_the_same_record_id() {
-    // The log is down for two tries. Were the ids different, a record that took effect unseen
-    // would meet its own repeat as a conflict.
+    // With a new id per attempt, a retry would conflict with a record that was already appended.
     let faults = [Fault::LogDown, Fault::LogDown].into();
     let server = StubServer::start(Member { faults, ..Member::default() });
     assert_eq!(publish(&server, "tries", &[]).code, 0);
@@ -163,8 +162,7 @@
 
 #[test]
 fn a_conflict_after_a_lost_answer_is_still_told() {
-    // Of two operators' changes the log keeps the first, and the answer that tells the second
-    // operator so is lost. The tool finds the other change in force and ends with 4.
+    // A conflict answer is lost: the tool must find the other change in force and exit with 4.
     let server = StubServer::start(Member::default());
     assert_eq!(publish(&server, "both", &[]).code, 0);
     server.with_member(|member| member.faults.push_back(Fault::AnswerLost));
@@ -177,8 +175,8 @@
 
 #[test]
 fn a_member_that_lags_is_named() {
-    // A data centre is cut off. The change is published but not in force there, so the operator
-    // is not told that it is accepted; the command ends with 5 and names whom it waits for.
+    // A VM is unreachable: the change must not be reported as in force, but exit with 5 and name
+    // the VM.
     let server =
         StubServer::start(Member { unresponsive: vec!["contracts-4"], ..Member::default() });
     let outcome = publish(&server, "lag", &["--timeout", "300ms"]);
--- a/acaciaring/tests/tool/pages.rs
+++ b/acaciaring/tests/tool/pages.rs
@@ -1,21 +1,21 @@
-//! Pages, man page and completions name what the tool has.
+//! Checks that docs, man page, completions and CI agree with the commands.
 
 use std::fs;
 use std::path::Path;
 
 use crate::support::run;
 
-/// Returns a file of the workspace.
+/// Reads a file of the repository.
 fn read(path: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("..").join(path);
     fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Returns the commands that the help lists.
+/// Returns the commands listed by `--help`.
 fn commands() -> Vec<String> {
     let help = run(&["--help"]).out;
     let names = help.lines().filter_map(|line| line.strip_prefix("acaciaring "));
-    // The command that stands for none cannot be named.
+    // `missing` is the internal default without a command.
     names.filter(|name| *name != "missing").map(str::to_owned).collect()
 }
 
--- a/acaciaring/tests/tool/support.rs
+++ b/acaciaring/tests/tool/support.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the admin address of a member, and a runner of the tool.
+//! Stub of a member's admin interface, and a runner of the tool.
 
 use std::collections::VecDeque;
 use std::process::Command;
@@ -13,46 +13,46 @@
 use serde::Serialize;
 use tiny_http::{Request, Response, Server};
 
-/// How the member behaves on its next request to publish.
+/// Fault injected into the next publish request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The log cannot be reached; nothing is appended.
     LogDown,
-    /// The record is appended, then the connection goes silent before the answer.
+    /// The record is appended, but no answer is sent and the connection stays open.
     AnswerLost,
-    /// The record is appended, the answer is lost, and the member forgets the record's id.
+    /// As `AnswerLost`, and the member forgets the record ids.
     AnswerLostIdForgotten,
-    /// The record is appended, but the member has not read it back in time.
+    /// The record is appended, but the member does not read it back in time and answers 504.
     Late,
 }
 
-/// What a member knows; the tests change it.
+/// State of the stub member; tests change it.
 #[derive(Debug, Default)]
 pub struct Member {
     /// Documents in force.
     pub documents: Vec<PublishedDocument>,
     /// Offset of the last record.
     pub last: u64,
-    /// VMs that do not answer.
+    /// VMs reported as pending.
     pub unresponsive: Vec<&'static str>,
-    /// Faults of the next requests to publish.
+    /// Faults of the next publish requests, in order.
     pub faults: VecDeque<Fault>,
-    /// Requests to publish, by their record ids.
+    /// Record id of each publish request received.
     pub attempts: Vec<String>,
-    /// Ids of the records that took effect, with their offsets.
+    /// Id and offset of each record appended.
     pub appended: Vec<(String, u64)>,
 }
 
-/// Running stand-in.
+/// HTTP server of a stub member.
 pub struct StubServer {
-    /// Address of the member.
+    /// Listening address.
     pub address: String,
-    /// What the member knows.
+    /// State shared with the server thread.
     pub member: Arc<Mutex<Member>>,
 }
 
 impl StubServer {
-    /// Starts a member on a free port of the loopback interface.
+    /// Starts the server on a free loopback port.
     pub fn start(member: Member) -> Self {
         let server = Server::http("127.0.0.1:0").expect("a port is free");
         let address = server.server_addr().to_string();
@@ -67,7 +67,7 @@
         Self { address, member }
     }
 
-    /// Runs a look at what the member knows.
+    /// Calls `action` with the state locked.
     pub fn with_member<T>(&self, action: impl FnOnce(&mut Member) -> T) -> T {
         action(&mut self.member.lock().expect("the member has not panicked"))
     }
@@ -81,7 +81,7 @@
             "/v1/in-force" => (200, json(&self.in_force())),
             "/v1/publish" => match self.publish(&read(&mut request)) {
                 Some(answer) => answer,
-                // The connection stays open and silent.
+                // Leave the connection open without an answer.
                 None => return drop(request.into_writer()),
             },
             _ => (404, json(&Failure { message: format!("nothing at {url}") })),
@@ -181,7 +181,7 @@
     }
 }
 
-/// Writes a file of its own for one test and returns its path.
+/// Writes a file to the directory of one test and returns its path.
 pub fn file(case: &str, name: &str, text: &str) -> String {
     let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(case);
     fs::create_dir_all(&directory).expect("the directory can be made");
