--- a/acaciaring_codegen/src/schema.rs
+++ b/acaciaring_codegen/src/schema.rs
@@ -6,7 +6,7 @@
 use crate::quantity::{QuantityError, parse_duration, parse_size};
 
 /// Default that marks a setting which may be left out.
-const NONE: &str = "none";
+const NO_DEFAULT: &str = "none";
 
 /// Failure to read the schema.
 #[derive(Debug, Snafu)]
@@ -155,7 +155,7 @@
     let kind = kind.context(UnknownSnafu { place: format!("{place}.type") })?;
     let presence = match values.get(format!("{name}.default")) {
         None => Presence::Required,
-        Some(NONE) => Presence::Optional,
+        Some(NO_DEFAULT) => Presence::Optional,
         Some(default) => Presence::Default(default.to_owned()),
     };
     if let Presence::Default(default) = &presence {
@@ -163,14 +163,14 @@
     }
     let bounds = values.get(format!("{name}.bounds"));
     let bounds = bounds.and_then(|bounds| bounds.split_once(".."));
-    let bounds = bounds.map(|(first, last)| (first.to_owned(), last.to_owned()));
-    ensure!(bounds_fit(&kind, bounds.as_ref()), BoundsSnafu { place: &place });
+    let bounds = bounds.map(|(min, max)| (min.to_owned(), max.to_owned()));
+    ensure!(bounds_match(&kind, bounds.as_ref()), BoundsSnafu { place: &place });
     Ok(Setting { name: name.to_owned(), kind, presence, bounds, doc: attribute("doc")? })
 }
 
-fn bounds_fit(kind: &Kind, bounds: Option<&(String, String)>) -> bool {
+fn bounds_match(kind: &Kind, bounds: Option<&(String, String)>) -> bool {
     match bounds {
-        Some((first, last)) => kind.is_bounded() && kind.accepts(first) && kind.accepts(last),
+        Some((min, max)) => kind.is_bounded() && kind.accepts(min) && kind.accepts(max),
         None => !kind.is_bounded(),
     }
 }
--- a/acaciaring_schema/src/setting.rs
+++ b/acaciaring_schema/src/setting.rs
@@ -38,12 +38,12 @@
     #[snafu(display("expected a number"))]
     Number,
     /// The value is out of its bounds.
-    #[snafu(display("expected {first} to {last}"))]
+    #[snafu(display("expected {min} to {max}"))]
     Bounds {
         /// Least value.
-        first: String,
+        min: String,
         /// Greatest value.
-        last: String,
+        max: String,
     },
     /// The text is no socket address.
     #[snafu(display("expected IP:PORT, for example 127.0.0.1:7000"))]
@@ -83,24 +83,24 @@
     if text.is_empty() { EmptySnafu.fail() } else { Ok(text.into()) }
 }
 
-pub(crate) fn duration(text: &str, first: &str, last: &str) -> Result<Duration, ValueError> {
+pub(crate) fn duration(text: &str, min: &str, max: &str) -> Result<Duration, ValueError> {
     let read = |text: &str| parse_duration(text).context(QuantitySnafu);
-    bounded(read, text, first, last)
+    bounded(read, text, min, max)
 }
 
-pub(crate) fn size(text: &str, first: &str, last: &str) -> Result<u64, ValueError> {
+pub(crate) fn size(text: &str, min: &str, max: &str) -> Result<u64, ValueError> {
     let read = |text: &str| parse_size(text).context(QuantitySnafu);
-    bounded(read, text, first, last)
+    bounded(read, text, min, max)
 }
 
-pub(crate) fn count(text: &str, first: &str, last: &str) -> Result<u32, ValueError> {
+pub(crate) fn count(text: &str, min: &str, max: &str) -> Result<u32, ValueError> {
     let read = |text: &str| text.parse().ok().ok_or(ValueError::Number);
-    bounded(read, text, first, last)
+    bounded(read, text, min, max)
 }
 
-pub(crate) fn ratio(text: &str, first: &str, last: &str) -> Result<f64, ValueError> {
+pub(crate) fn ratio(text: &str, min: &str, max: &str) -> Result<f64, ValueError> {
     let read = |text: &str| text.parse().ok().ok_or(ValueError::Number);
-    bounded(read, text, first, last)
+    bounded(read, text, min, max)
 }
 
 pub(crate) fn choice<T: Copy>(text: &str, known: &[(&'static str, T)]) -> Result<T, ValueError> {
@@ -114,12 +114,12 @@
 fn bounded<T: PartialOrd>(
     read: impl Fn(&str) -> Result<T, ValueError>,
     text: &str,
-    first: &str,
-    last: &str,
+    min: &str,
+    max: &str,
 ) -> Result<T, ValueError> {
     let value = read(text)?;
-    if read(first)? <= value && value <= read(last)? {
+    if read(min)? <= value && value <= read(max)? {
         return Ok(value);
     }
-    BoundsSnafu { first, last }.fail()
+    BoundsSnafu { min, max }.fail()
 }
