--- a/acaciaring_codegen/src/code.rs
+++ b/acaciaring_codegen/src/code.rs
@@ -1,4 +1,4 @@
-//! Writes the structs and the table of the settings.
+//! Renders the Rust code of the settings: structs, defaults, enums and the field table.
 
 use crate::schema::{Kind, Presence, Section, Setting, bytes, millis};
 
@@ -14,7 +14,7 @@
 
 ";
 
-/// Returns the code.
+/// Returns the Rust source of `settings.rs`.
 pub(crate) fn render(sections: &[Section]) -> String {
     let mut code = HEADER.to_owned();
     code += &settings_struct(sections);
--- a/acaciaring_codegen/src/lib.rs
+++ b/acaciaring_codegen/src/lib.rs
@@ -1,4 +1,4 @@
-//! Generator of the code and the pages that follow from the schema.
+//! Generates Rust code and the settings reference from the protobuf files and `settings.ini`.
 
 mod code;
 mod page;
@@ -14,7 +14,7 @@
 
 pub use crate::schema::SchemaError;
 
-/// Generated files, relative to the root of the workspace.
+/// Generated files, relative to the repository root.
 pub const FILES: [&str; 5] = [
     "acaciaring_schema/src/generated/acaciaring.log.rs",
     "acaciaring_schema/src/generated/acaciaring.peer.rs",
@@ -23,7 +23,7 @@
     SETTINGS_PAGE,
 ];
 
-/// Messages, relative to `PROTO_DIR`.
+/// Protobuf files, relative to `PROTO_DIR`.
 const PROTOS: [&str; 3] = ["log.proto", "state.proto", "peer.proto"];
 
 const PROTO_DIR: &str = "acaciaring_schema/proto";
@@ -32,42 +32,42 @@
 const SETTINGS_CODE: &str = "acaciaring_schema/src/generated/settings.rs";
 const SETTINGS_PAGE: &str = "docs/SETTINGS.md";
 
-/// Failure to generate the files.
+/// Error that prevents generation.
 #[derive(Debug, Snafu)]
 pub enum GenerateError {
-    /// The messages do not compile.
-    #[snafu(display("cannot compile the messages"))]
+    /// The protobuf files do not compile.
+    #[snafu(display("cannot compile the protobuf files"))]
     Protos {
-        /// What the compiler says.
+        /// Error of the protobuf compiler.
         source: protox::Error,
     },
-    /// The schema of the settings is not valid.
+    /// The schema of the settings is invalid.
     #[snafu(display("{SETTINGS} is not valid"))]
     Settings {
-        /// What is wrong.
+        /// Cause.
         source: SchemaError,
     },
     /// A file cannot be read or written.
     #[snafu(display("cannot read or write {}", path.display()))]
     File {
-        /// The file.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// What the system says.
+        /// I/O error.
         source: io::Error,
     },
 }
 
-/// Returns the root of the workspace.
+/// Returns the repository root.
 #[must_use]
 pub fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// Generates all files from the schema of this workspace into `target`, under their relative paths.
+/// Generates every file of [`FILES`] below the directory `target`.
 ///
 /// # Errors
 ///
-/// Fails when the schema is not valid or a file cannot be read or written.
+/// Fails when a protobuf file or the schema is invalid, or a file cannot be read or written.
 pub fn generate(target: &Path) -> Result<(), GenerateError> {
     for file in FILES {
         let path = target.join(file);
--- a/acaciaring_codegen/src/main.rs
+++ b/acaciaring_codegen/src/main.rs
@@ -1,6 +1,6 @@
-//! Generates the code of `acaciaring_schema`; run it after a change of the schema.
+//! Regenerates the files that derive from the schema, in place.
 //!
-//! `cargo run -p acaciaring_codegen` writes the generated files in place.
+//! Run `cargo run -p acaciaring_codegen` after each change of the schema.
 
 use acaciaring_codegen::{GenerateError, generate, root};
 
--- a/acaciaring_codegen/src/page.rs
+++ b/acaciaring_codegen/src/page.rs
@@ -1,4 +1,4 @@
-//! Writes the operators' page of the settings.
+//! Renders the Markdown reference of the settings.
 
 use crate::schema::{Kind, Presence, Section, Setting};
 
@@ -25,7 +25,7 @@
   are told it; nor is `listen.advertised`, nor `listen.peer` where it is not advertised.
 ";
 
-/// Returns the page.
+/// Returns the Markdown source of `docs/SETTINGS.md`.
 pub(crate) fn render(sections: &[Section]) -> String {
     let sections: String = sections.iter().map(section).collect();
     format!("{HEADER}{sections}")
--- a/acaciaring_codegen/src/schema.rs
+++ b/acaciaring_codegen/src/schema.rs
@@ -1,20 +1,20 @@
-//! Reads the schema of the settings.
+//! Parser of the settings schema, `settings.ini`.
 
 use ini::{Ini, ParseOption, Properties};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 
 use crate::quantity::{QuantityError, parse_duration, parse_size};
 
-/// Default that marks a setting which may be left out.
+/// Value of the `default` attribute of an optional setting without a default.
 const NO_DEFAULT: &str = "none";
 
-/// Failure to read the schema.
+/// Error in the schema.
 #[derive(Debug, Snafu)]
 pub enum SchemaError {
-    /// The file is no INI file.
-    #[snafu(display("the file does not parse"))]
+    /// The file is not valid INI.
+    #[snafu(display("invalid INI syntax"))]
     Syntax {
-        /// What is wrong.
+        /// Error of the INI parser.
         source: ini::ParseError,
     },
     /// An attribute is missing.
@@ -23,19 +23,19 @@
         /// Section and attribute.
         place: String,
     },
-    /// An attribute is not known.
+    /// An attribute or its type name is unknown.
     #[snafu(display("{place} is unknown"))]
     Unknown {
         /// Section and attribute.
         place: String,
     },
-    /// A type lacks bounds, or has some that it does not take.
+    /// Bounds are missing, malformed, or given for a type without bounds.
     #[snafu(display("the bounds of {place} do not fit its type"))]
     Bounds {
         /// Section and key.
         place: String,
     },
-    /// A default does not fit the type.
+    /// A default is not a value of its type.
     #[snafu(display("the default of {place} does not fit its type"))]
     Default {
         /// Section and key.
@@ -61,7 +61,7 @@
     pub(crate) doc: String,
 }
 
-/// Whether a settings file must have a setting.
+/// Whether a setting is required, optional, or has a default.
 #[derive(Debug)]
 pub(crate) enum Presence {
     Required,
@@ -101,7 +101,7 @@
         matches!(self, Self::Duration | Self::Size | Self::Count | Self::Ratio)
     }
 
-    /// Returns true when `text` has the form of this type.
+    /// Returns true when `text` parses as a value of this type.
     fn accepts(&self, text: &str) -> bool {
         match self {
             Self::Name | Self::Path => !text.is_empty(),
@@ -115,17 +115,17 @@
     }
 }
 
-/// Returns the milliseconds of a duration that the schema holds.
+/// Parses a duration into milliseconds.
 pub(crate) fn millis(text: &str) -> Result<u128, QuantityError> {
     parse_duration(text).map(|duration| duration.as_millis())
 }
 
-/// Returns the bytes of a size that the schema holds.
+/// Parses a size into bytes.
 pub(crate) fn bytes(text: &str) -> Result<u64, QuantityError> {
     parse_size(text)
 }
 
-/// Reads the schema.
+/// Parses the schema into sections.
 pub(crate) fn parse(text: &str) -> Result<Vec<Section>, SchemaError> {
     let option =
         ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
--- a/acaciaring_codegen/tests/generated.rs
+++ b/acaciaring_codegen/tests/generated.rs
@@ -1,4 +1,4 @@
-//! The committed generated files are those that the schema gives.
+//! Checks that the committed generated files are up to date.
 
 use std::fs;
 use std::path::Path;
--- a/acaciaring_schema/src/lib.rs
+++ b/acaciaring_schema/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages and settings of acaciaring, generated from `proto` and `settings.ini`.
+//! Protobuf messages and settings of acaciaring, generated from `proto` and `settings.ini`.
 
 pub mod quantity;
 pub mod setting;
 
-/// Records of the control log and the log service's answers.
+/// Records of the control log, and the responses of the log service.
 #[allow(clippy::pedantic)]
 #[rustfmt::skip]
 #[path = "generated/acaciaring.log.rs"]
@@ -15,7 +15,7 @@
 #[path = "generated/acaciaring.peer.rs"]
 pub mod peer;
 
-/// Snapshot of the folded state.
+/// Snapshots of the folded state.
 #[allow(clippy::pedantic)]
 #[rustfmt::skip]
 #[path = "generated/acaciaring.state.rs"]
--- a/acaciaring_schema/src/quantity.rs
+++ b/acaciaring_schema/src/quantity.rs
@@ -1,47 +1,47 @@
-//! Durations and sizes as operators write them, for example `250ms` or `4MiB`.
+//! Parsing of durations and sizes such as `250ms` or `4MiB`.
 
 use std::time::Duration;
 
 use snafu::Snafu;
 
-/// Milliseconds per unit of a duration; the longer suffix stands before the one that it ends in.
+/// Milliseconds per unit; a suffix precedes any shorter suffix of itself, so that it matches first.
 const DURATION_UNITS: [(&str, u64); 3] = [("ms", 1), ("min", 60_000), ("s", 1_000)];
 
-/// Bytes per unit of a size; the longer suffix stands before the one that it ends in.
+/// Bytes per unit; a suffix precedes any shorter suffix of itself, so that it matches first.
 const SIZE_UNITS: [(&str, u64); 4] = [("KiB", 1 << 10), ("MiB", 1 << 20), ("B", 1), ("", 1)];
 
-/// Largest number before a unit; a product with any unit fits a `u64`.
+/// Maximum number before a unit, so that the product with any unit fits a `u64`.
 const NUMBER_MAX: u64 = u32::MAX as u64;
 
-/// Why a text is not a duration or a size.
+/// Error of a text that is not a valid duration or size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum QuantityError {
-    /// No known unit follows the number.
+    /// The unit is missing or unknown.
     #[snafu(display("expected a whole number followed by {units}"))]
     Unit {
-        /// Units that are known.
+        /// Accepted units.
         units: &'static str,
     },
-    /// The number is not whole, or it is too large.
+    /// The number is not a whole number, or is too large.
     #[snafu(display("expected a whole number of at most {NUMBER_MAX}"))]
     Number,
 }
 
-/// Reads a duration: a whole number with `ms`, `s` or `min`.
+/// Parses a duration: a whole number followed by `ms`, `s` or `min`.
 ///
 /// # Errors
 ///
-/// Fails when the unit is unknown or the number is not whole.
+/// Fails when the unit is unknown, or the number is not whole or exceeds `u32::MAX`.
 pub fn parse_duration(text: &str) -> Result<Duration, QuantityError> {
     let millis = parse(text, &DURATION_UNITS, "ms, s or min")?;
     Ok(Duration::from_millis(millis))
 }
 
-/// Reads a size in bytes: a whole number of bytes, or with `B`, `KiB` or `MiB`.
+/// Parses a size into bytes: a whole number, optionally followed by `B`, `KiB` or `MiB`.
 ///
 /// # Errors
 ///
-/// Fails when the unit is unknown or the number is not whole.
+/// Fails when the unit is unknown, or the number is not whole or exceeds `u32::MAX`.
 pub fn parse_size(text: &str) -> Result<u64, QuantityError> {
     parse(text, &SIZE_UNITS, "B, KiB or MiB")
 }
--- a/acaciaring_schema/src/setting.rs
+++ b/acaciaring_schema/src/setting.rs
@@ -1,4 +1,4 @@
-//! Fields of settings: what is known of each, and how its text becomes a value.
+//! Metadata of the settings, and parsing and validation of their values.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,59 +10,59 @@
 use crate::quantity::{QuantityError, parse_duration, parse_size};
 use crate::settings::Settings;
 
-/// One setting, as the schema describes it.
+/// Metadata of one setting, from the schema.
 #[derive(Debug, Clone, Copy)]
 pub struct Field {
     /// Section of the settings file.
     pub section: &'static str,
     /// Key in the section.
     pub key: &'static str,
-    /// True when a settings file must have it.
+    /// True when a settings file must set it.
     pub required: bool,
-    /// Text of its default, empty when there is none.
+    /// Default in text form; empty when there is none.
     pub default: &'static str,
-    /// Sets the value from its text.
+    /// Parses a text and assigns the value.
     pub assign: fn(&mut Settings, &str) -> Result<(), ValueError>,
 }
 
-/// Why a text is no value of a setting.
+/// Error of a text that is not a valid value of a setting.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ValueError {
-    /// The text is no quantity.
+    /// The text is not a duration or size.
     #[snafu(display("{source}"))]
     Quantity {
-        /// What is wrong.
+        /// Cause.
         source: QuantityError,
     },
-    /// The text is no number.
+    /// The text is not a number.
     #[snafu(display("expected a number"))]
     Number,
-    /// The value is out of its bounds.
+    /// The value is out of bounds.
     #[snafu(display("expected {min} to {max}"))]
     Bounds {
-        /// Least value.
+        /// Minimum value.
         min: String,
-        /// Greatest value.
+        /// Maximum value.
         max: String,
     },
-    /// The text is no socket address.
+    /// The text is not a socket address.
     #[snafu(display("expected IP:PORT, for example 127.0.0.1:7000"))]
     Address,
-    /// The text is no name.
+    /// The text is empty or contains other characters than a name may have.
     #[snafu(display("expected letters, digits, '-', '_' or '.'"))]
     Name,
     /// The text is empty.
     #[snafu(display("expected a value"))]
     Empty,
-    /// The text is none of the known words.
+    /// The text is not one of the accepted words.
     #[snafu(display("expected one of {}", known.join(", ")))]
     Choice {
-        /// Known words.
+        /// Accepted words.
         known: Vec<&'static str>,
     },
 }
 
-/// Returns the address that an address setting without default has: loopback, any port.
+/// Returns the placeholder of a required address in `Settings::default`: loopback, port 0.
 pub(crate) fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -110,7 +110,7 @@
         .ok_or_else(|| ValueError::Choice { known: known.iter().map(|(word, _)| *word).collect() })
 }
 
-/// Reads a value and its bounds; a value that does not compare, as NaN, is out of bounds.
+/// Parses a value and checks it against its inclusive bounds; NaN is out of bounds.
 fn bounded<T: PartialOrd>(
     read: impl Fn(&str) -> Result<T, ValueError>,
     text: &str,
--- a/acaciaring_schema/tests/settings.rs
+++ b/acaciaring_schema/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The table of settings agrees with the structs.
+//! Checks that the field table agrees with the settings structs.
 
 use acaciaring_schema::settings::{FIELDS, Settings};
 
