--- a/acaciaring/src/client.rs
+++ b/acaciaring/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to the admin address of a member.
+//! HTTP client for the admin addresses of members, with failover from one to the next.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,59 +12,64 @@
 
 use crate::error::{MalformedSnafu, RefusedSnafu, ToolError, UnreachableSnafu, UsageSnafu};
 
-/// Time in which a connection must be made; after it the next member is asked.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Timeout to connect to a member; the next member is tried after it.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time to read; a member that is paused must not use up the whole time of a command.
-const READ: Duration = Duration::from_secs(3);
+/// Timeout of a read request, so that an unresponsive member does not use up the time of a command.
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time to publish; a member waits up to 8 s for the log before it answers 504.
-const PUBLISH: Duration = Duration::from_secs(9);
+/// Timeout of a publish request; exceeds the member's own wait for the log, after which it
+/// answers 504.
+const PUBLISH_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// Least time for a request, also when the time of the command is over.
-const CALL_MIN: Duration = Duration::from_millis(100);
+/// Minimum timeout of a request, even past the command's deadline.
+const TIMEOUT_MIN: Duration = Duration::from_millis(100);
 
-/// Asks members in order until one answers.
+/// Client that tries the members in order until one answers.
 pub(crate) struct Client {
     members: Vec<SocketAddr>,
     deadline: Instant,
 }
 
-/// What became of a request to publish.
+/// Result of one publish request.
 #[derive(Debug)]
 pub(crate) enum PublishReply {
-    /// It took effect.
+    /// The change took effect.
     Published(Published),
-    /// It builds on an old version.
+    /// The change is based on an outdated version.
     Conflict(Conflict),
-    /// A route would not build.
+    /// The change would leave a route that cannot be built.
     Invalid(Invalid),
-    /// It may be sent again; nothing was appended by this try.
+    /// This attempt appended nothing; it may be retried.
     Refused(String),
-    /// It may be sent again; it is not known whether the record was appended.
+    /// The record may or may not have been appended; the same record id may be retried.
     Unknown(String),
 }
 
-/// Why a member gave no answer.
+/// Failure of an HTTP call.
 enum CallError {
-    /// The request was not sent.
+    /// No connection was made, so the request was not sent.
     Connect(String),
-    /// The request was sent; it may have taken effect.
-    Lost(String),
+    /// The request may have been sent and taken effect, but no whole response was read.
+    Read(String),
 }
 
 impl Client {
-    /// Returns a client of these members for a command that ends at `deadline`.
+    /// Creates a client for a command that must end at `deadline`.
     pub(crate) fn new(members: Vec<SocketAddr>, deadline: Instant) -> Self {
         Self { members, deadline }
     }
 
-    /// Returns true when the time of the command is over.
-    pub(crate) fn late(&self, now: Instant) -> bool {
+    /// Returns true once the command's deadline has passed.
+    pub(crate) fn deadline_passed(&self, now: Instant) -> bool {
         now >= self.deadline
     }
 
-    /// Reads from the first member that answers.
+    /// Sends a GET request to each member in order and parses the first answer below status 500.
+    ///
+    /// # Errors
+    ///
+    /// Fails when no member answers, the answer is a refusal, or its body is not the expected JSON.
     pub(crate) fn get<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -74,28 +79,31 @@
         let mut tried = Vec::new();
         for member in &self.members {
             let request =
-                self.agent(READ).get(url(*member, path)).query_pairs(query.iter().copied());
-            match finish(request.call()) {
+                self.agent(READ_TIMEOUT).get(url(*member, path)).query_pairs(query.iter().copied());
+            match read_response(request.call()) {
                 Ok((200, text)) => return serde_json::from_str(&text).context(MalformedSnafu),
                 Ok((status, text)) if status < 500 => return refused(status, &text),
                 Ok((status, text)) => tried.push((*member, format!("{status} {}", message(&text)))),
-                Err(CallError::Connect(why) | CallError::Lost(why)) => tried.push((*member, why)),
+                Err(CallError::Connect(why) | CallError::Read(why)) => tried.push((*member, why)),
             }
         }
         UnreachableSnafu { members: tried }.fail()
     }
 
-    /// Publishes through the first member to which the request can be sent.
+    /// Publishes through the first member that accepts a connection.
+    ///
+    /// Once the request may have been sent, no other member is tried: the caller must first find
+    /// out whether the change took effect.
     pub(crate) fn publish(&self, request: &Publish) -> Result<PublishReply, ToolError> {
         self.ensure_members()?;
         let body = serde_json::to_string(request).context(MalformedSnafu)?;
         let mut tried = Vec::new();
         for member in &self.members {
-            let post = self.agent(PUBLISH).post(url(*member, admin::PUBLISH));
+            let post = self.agent(PUBLISH_TIMEOUT).post(url(*member, admin::PUBLISH));
             let post = post.header("content-type", "application/json");
-            match finish(post.send(&body)) {
+            match read_response(post.send(&body)) {
                 Ok((status, text)) => return publish_reply(status, &text),
-                Err(CallError::Lost(why)) => {
+                Err(CallError::Read(why)) => {
                     return Ok(PublishReply::Unknown(format!("{member}: {why}")));
                 }
                 Err(CallError::Connect(why)) => tried.push((*member, why)),
@@ -109,13 +117,13 @@
         Ok(())
     }
 
-    /// Returns a new agent, so that no connection is used again after it has failed.
-    fn agent(&self, time: Duration) -> Agent {
-        let left = self.deadline.saturating_duration_since(Instant::now());
+    /// Returns an agent without pooled connections, so that a failed connection is never reused.
+    fn agent(&self, timeout: Duration) -> Agent {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
         let config = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_connect(Some(CONNECT.min(left.max(CALL_MIN))))
-            .timeout_global(Some(time.min(left.max(CALL_MIN))))
+            .timeout_connect(Some(CONNECT_TIMEOUT.min(remaining.max(TIMEOUT_MIN))))
+            .timeout_global(Some(timeout.min(remaining.max(TIMEOUT_MIN))))
             .max_idle_connections(0)
             .proxy(None)
             .build();
@@ -127,12 +135,12 @@
     format!("http://{member}{path}")
 }
 
-/// Takes the status and the whole body of an answer.
-fn finish(result: Result<Response<Body>, ureq::Error>) -> Result<(u16, String), CallError> {
+/// Reads the status and the whole body of a response.
+fn read_response(result: Result<Response<Body>, ureq::Error>) -> Result<(u16, String), CallError> {
     let response = result.map_err(|error| call_error(&error))?;
     let status = response.status().as_u16();
     let text = response.into_body().read_to_string();
-    let text = text.map_err(|error| CallError::Lost(error.to_string()))?;
+    let text = text.map_err(|error| CallError::Read(error.to_string()))?;
     Ok((status, text))
 }
 
@@ -143,7 +151,7 @@
         ureq::Error::Io(error) => error.kind() != io::ErrorKind::ConnectionRefused,
         _ => true,
     };
-    if sent { CallError::Lost(error.to_string()) } else { CallError::Connect(error.to_string()) }
+    if sent { CallError::Read(error.to_string()) } else { CallError::Connect(error.to_string()) }
 }
 
 fn publish_reply(status: u16, text: &str) -> Result<PublishReply, ToolError> {
@@ -162,7 +170,7 @@
     RefusedSnafu { status, message: message(text) }.fail()
 }
 
-/// Returns the message of a failure, or the text itself when it is none.
+/// Extracts the message of a JSON [`Failure`]; any other body is returned trimmed.
 fn message(text: &str) -> String {
     match serde_json::from_str::<Failure>(text) {
         Ok(failure) => failure.message,
--- a/acaciaring/src/main.rs
+++ b/acaciaring/src/main.rs
@@ -1,4 +1,5 @@
-//! Command-line tool of acaciaring: checks, publishes and retires documents, and shows what is in force.
+//! Command-line tool for operators: checks, publishes and retires documents, and shows the
+//! documents in force, key owners, members and loads.
 
 mod check;
 mod client;
@@ -18,8 +19,8 @@
 use crate::flags::{Acaciaring, AcaciaringCmd};
 use crate::report::Report;
 
-/// Exit code for a command line that is not valid.
-const USAGE: u8 = 2;
+/// Exit code for an invalid command line.
+const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     match Acaciaring::from_env() {
@@ -31,12 +32,12 @@
         }
         Err(error) => {
             eprintln!("acaciaring: {error}; see --help");
-            ExitCode::from(USAGE)
+            ExitCode::from(USAGE_EXIT_CODE)
         }
     }
 }
 
-/// What a command has done, and what stopped it.
+/// Report of a command and the error that stopped it; a partial failure has both.
 struct Outcome {
     report: Option<Report>,
     failure: Option<ToolError>,
--- a/acaciaring/src/publish.rs
+++ b/acaciaring/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes and retires documents, and waits until they are in force.
+//! The commands `publish` and `retire`: send changes and wait until every member applies them.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -17,26 +17,26 @@
 use crate::check;
 use crate::client::{Client, PublishReply};
 use crate::error::{
-    ConflictSnafu, InvalidSnafu, NotAppendedSnafu, PendingSnafu, ToolError, UnknownDocumentSnafu,
-    UnsettledSnafu, UsageSnafu,
+    ConflictSnafu, InvalidSnafu, NotAppendedSnafu, PendingSnafu, ToolError, UnconfirmedSnafu,
+    UnknownDocumentSnafu, UsageSnafu,
 };
 use crate::flags;
 use crate::report::Report;
 
-/// Pause before a request is repeated.
-pub(crate) const PAUSE: Duration = Duration::from_millis(200);
+/// Delay between attempts of a request.
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Step that a document has reached.
+/// State of a change, as reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Step {
-    /// Folded by every member.
+    /// Applied by every member.
     InForce,
-    /// Folded by every member before the command.
+    /// Already in force before the command, so nothing was published.
     Unchanged,
-    /// Published, not yet folded by every member.
+    /// Published, but not yet applied by every member.
     Pending,
-    /// The command stopped before or at this document.
+    /// The command failed before or while publishing this document.
     NotPublished,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Progress of one document.
+/// Progress of the change to one document.
 #[derive(Debug, Clone, Serialize)]
 struct Progress {
     kind: DocumentKind,
@@ -60,14 +60,14 @@
     version: Option<Offset>,
     step: Step,
     pending: Vec<Name>,
-    /// Time from the start until it was in force everywhere, milliseconds.
+    /// Time from the start of the change until it was in force everywhere, in milliseconds.
     millis: Option<u64>,
 }
 
-/// Publishes files in order, templates first; stops at the first failure.
+/// Publishes the files, templates first; stops at the first failure.
 pub(crate) fn run(client: &Client, command: &flags::Publish) -> Outcome {
     match prepare(command) {
-        Ok(changes) => follow(client, &changes, command.base),
+        Ok(changes) => apply(client, &changes, command.base),
         Err(error) => Err(error).into(),
     }
 }
@@ -80,10 +80,10 @@
         retired: true,
         fields: Vec::new(),
     };
-    follow(client, &[change], command.base)
+    apply(client, &[change], command.base)
 }
 
-/// Change that an operator wants.
+/// Requested change to a document.
 struct Change {
     kind: DocumentKind,
     name: Name,
@@ -97,8 +97,8 @@
         Self { kind, name, retired: false, fields }
     }
 
-    /// Returns true when a document in force is what the change would make of it.
-    fn is(&self, document: &PublishedDocument) -> bool {
+    /// Returns true when the document in force already equals the result of the change.
+    fn matches(&self, document: &PublishedDocument) -> bool {
         let value =
             |field: &DocumentField| [&field.section, &field.key, &field.value].map(Name::clone);
         let same = self.fields.iter().map(value).eq(document.fields.iter().map(value));
@@ -118,8 +118,8 @@
     Ok(sources.into_iter().map(|source| Change::new(source.document)).collect())
 }
 
-fn follow(client: &Client, changes: &[Change], base: Option<Offset>) -> Outcome {
-    let mut progress: Vec<_> = changes.iter().map(start).collect();
+fn apply(client: &Client, changes: &[Change], base: Option<Offset>) -> Outcome {
+    let mut progress: Vec<_> = changes.iter().map(initial_progress).collect();
     let mut failure = None;
     for (change, progress) in changes.iter().zip(&mut progress) {
         if let Err(error) = publish(client, change, base, progress) {
@@ -130,7 +130,7 @@
     Outcome { report: Some(report(&progress)), failure }
 }
 
-fn start(change: &Change) -> Progress {
+fn initial_progress(change: &Change) -> Progress {
     Progress {
         kind: change.kind,
         name: Name::clone(&change.name),
@@ -151,7 +151,7 @@
     let start = Instant::now();
     let (base, unchanged) = match base {
         Some(base) => (base, None),
-        None => current(client, change)?,
+        None => current_version(client, change)?,
     };
     progress.base = Some(base);
     let version = match unchanged {
@@ -166,30 +166,33 @@
     Ok(())
 }
 
-/// Returns the version on which a change builds, and the same again when nothing would change.
-fn current(client: &Client, change: &Change) -> Result<(Offset, Option<Offset>), ToolError> {
+/// Returns the version in force as the base, and again if the change would have no effect.
+fn current_version(
+    client: &Client,
+    change: &Change,
+) -> Result<(Offset, Option<Offset>), ToolError> {
     let documents: Documents = client.get(admin::DOCUMENTS, &[])?;
     let found = change.find(&documents);
     if change.retired {
         found.context(UnknownDocumentSnafu { name: &*change.name })?;
     }
     let version = found.map_or(0, |document| document.version);
-    let unchanged = found.is_some_and(|document| change.is(document));
+    let unchanged = found.is_some_and(|document| change.matches(document));
     Ok((version, unchanged.then_some(version)))
 }
 
-/// Sends a change until there is a final answer; returns the new version.
+/// Retries a change until there is a final answer; returns the new version.
 ///
-/// Every try has the same record id: when the answer to an earlier try was
-/// lost after the record had been appended, a later one has no second effect.
+/// All attempts carry the same record id, so that a retry after a lost answer
+/// is deduplicated and does not apply the change twice.
 fn send(client: &Client, change: &Change, base: Offset) -> Result<Offset, ToolError> {
     let request = request(change, base);
-    let mut doubt = false;
+    let mut uncertain = false;
     loop {
         let last = match client.publish(&request) {
             Ok(PublishReply::Published(published)) => return Ok(published.offset),
             Ok(PublishReply::Invalid(Invalid { faults })) => return InvalidSnafu { faults }.fail(),
-            Ok(PublishReply::Conflict(Conflict { current })) if !doubt => {
+            Ok(PublishReply::Conflict(Conflict { current })) if !uncertain => {
                 return conflict(change, base, current);
             }
             Ok(PublishReply::Conflict(Conflict { current })) => {
@@ -197,19 +200,21 @@
             }
             Ok(PublishReply::Refused(why)) => why,
             Ok(PublishReply::Unknown(why)) => {
-                doubt = true;
+                uncertain = true;
                 why
             }
-            Err(ToolError::Unreachable { .. }) if doubt => "no member can be reached".to_owned(),
+            Err(ToolError::Unreachable { .. }) if uncertain => {
+                "no member can be reached".to_owned()
+            }
             Err(error) => return Err(error),
         };
-        if doubt && let Some(outcome) = settle(client, change, base) {
+        if uncertain && let Some(outcome) = resolve_lost_response(client, change, base) {
             return outcome;
         }
-        if client.late(Instant::now()) {
-            return out_of_time(change, doubt, last);
+        if client.deadline_passed(Instant::now()) {
+            return timeout_error(change, uncertain, last);
         }
-        thread::sleep(PAUSE);
+        thread::sleep(RETRY_DELAY);
     }
 }
 
@@ -224,15 +229,19 @@
     }
 }
 
-/// Decides by the document in force what became of a change whose answer was lost.
+/// Finds the outcome of a change whose answer was lost from the document in force.
 ///
-/// The member that is asked next may have been replaced and not know the
-/// record's id: it would answer that the change conflicts with itself. While
-/// the base is still in force, the record may yet come, and nothing is decided.
-fn settle(client: &Client, change: &Change, base: Offset) -> Option<Result<Offset, ToolError>> {
+/// A member that no longer knows the record id would report the change as in
+/// conflict with itself. Returns `None` while the base is still in force,
+/// because the record may yet be applied.
+fn resolve_lost_response(
+    client: &Client,
+    change: &Change,
+    base: Offset,
+) -> Option<Result<Offset, ToolError>> {
     let documents: Documents = client.get(admin::DOCUMENTS, &[]).ok()?;
     let document = change.find(&documents).filter(|document| document.version > base)?;
-    if change.is(document) {
+    if change.matches(document) {
         return Some(Ok(document.version));
     }
     Some(conflict(change, base, document.version))
@@ -242,20 +251,20 @@
     ConflictSnafu { kind: change.kind, name: Name::clone(&change.name), base, current }.fail()
 }
 
-fn out_of_time(change: &Change, doubt: bool, last: String) -> Result<Offset, ToolError> {
+fn timeout_error(change: &Change, uncertain: bool, last: String) -> Result<Offset, ToolError> {
     let (kind, name) = (change.kind, Name::clone(&change.name));
-    if doubt {
-        return UnsettledSnafu { kind, name, last }.fail();
+    if uncertain {
+        return UnconfirmedSnafu { kind, name, last }.fail();
     }
     NotAppendedSnafu { kind, name, last }.fail()
 }
 
-/// Waits until every member has folded an offset; keeps the names of the VMs that are waited for.
+/// Waits until every member has applied an offset; `pending` receives the VMs still lagging.
 fn wait(client: &Client, offset: Offset, pending: &mut Vec<Name>) -> Result<(), ToolError> {
     loop {
         *pending = match client.get(admin::IN_FORCE, &[("offset", &offset.to_string())]) {
             Ok(in_force) => lagging(in_force, offset),
-            // The last look may be cut short; what an earlier one has told still holds.
+            // The last poll may time out at the deadline; the previous result still names the VMs.
             Err(ToolError::Unreachable { .. }) if !pending.is_empty() => pending.clone(),
             Err(ToolError::Unreachable { members }) => {
                 members.iter().map(|(address, _)| address.to_string().into()).collect()
@@ -265,14 +274,14 @@
         if pending.is_empty() {
             return Ok(());
         }
-        if client.late(Instant::now()) {
+        if client.deadline_passed(Instant::now()) {
             return PendingSnafu { offset, vms: pending.clone() }.fail();
         }
-        thread::sleep(PAUSE);
+        thread::sleep(RETRY_DELAY);
     }
 }
 
-/// Lists the VMs whose members have not folded an offset.
+/// Returns the sorted VMs whose members have not applied an offset, or did not report.
 pub(crate) fn lagging(in_force: InForce, offset: Offset) -> Vec<Name> {
     let behind = in_force.applied.into_iter().filter(|member| member.applied < offset);
     let mut vms: Vec<_> = behind.map(|member| member.vm).chain(in_force.pending).collect();
--- a/acaciaring/tests/daemons/main.rs
+++ b/acaciaring/tests/daemons/main.rs
@@ -1,6 +1,6 @@
-//! The tool against real processes: commands, output and exit codes.
+//! Tests of the commands against a cluster of real daemons.
 //!
-//! The daemon is built with the tests of the workspace, or by `cargo build`.
+//! Need a built `acaciaringd`: `cargo test --workspace` and `cargo build` build it.
 
 mod system;
 
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 
-use system::{CONTRACTS, GUICHET, Run, System, alone, examples, run};
+use system::{CONTRACTS, GUICHET, Run, System, examples, lock_system, run};
 
 fn parsed(run: &Run) -> Value {
     assert_eq!(run.code, 0, "{run:?}");
@@ -21,11 +21,11 @@
     documents.iter().map(|document| document["step"].as_str().expect("a step")).collect()
 }
 
-// The first day of an operator: the files are checked, published through one member, found in
-// force at every member, and the owners, members and loads are looked at through another.
+// Documents published through one member must be in force at all, and every member must report
+// the same owners, members and loads.
 #[test]
 fn the_examples_are_published_and_shown() {
-    let _alone = alone();
+    let _guard = lock_system();
     let system = System::start("");
     let files = examples();
     let files: Vec<&str> = files.iter().map(String::as_str).collect();
@@ -43,7 +43,7 @@
     assert_eq!(table.code, 0, "{table:?}");
     assert!(table.out.contains(CONTRACTS) && table.out.contains("vm-3"), "{table:?}");
 
-    system.settle();
+    system.wait_for_owners();
     let owner = parsed(&system.json(1, &["owner", CONTRACTS, "k1"]));
     let serves = owner["serves"]["vm"].as_str().expect("someone serves the key");
     assert!(["vm-0", "vm-1", "vm-2"].contains(&serves), "{owner}");
@@ -58,18 +58,17 @@
 
     let address = system.address(0);
     drop(system);
-    let nobody = run(&["--member", &address, "members"]);
-    assert_eq!(nobody.code, 6, "{nobody:?}");
-    let nobody = run(&[&["--member", &address, "publish"], files.as_slice()].concat());
-    assert_eq!(nobody.code, 6, "{nobody:?}");
+    let unreachable = run(&["--member", &address, "members"]);
+    assert_eq!(unreachable.code, 6, "{unreachable:?}");
+    let unreachable = run(&[&["--member", &address, "publish"], files.as_slice()].concat());
+    assert_eq!(unreachable.code, 6, "{unreachable:?}");
 }
 
-// Two operators have read the same version and publish at the same moment through two members.
-// One change comes into force; the other operator hears of the conflict and of the version that is
-// in force now. What does not build is refused with its place, and changes nothing.
+// Of concurrent changes to one version through two members exactly one may win; the other must
+// report the conflict. An invalid file must be refused with its line and change nothing.
 #[test]
 fn a_conflict_and_a_fault_change_nothing() {
-    let _alone = alone();
+    let _guard = lock_system();
     let system = System::start("");
     let files = examples();
     let files: Vec<&str> = files.iter().map(String::as_str).collect();
@@ -90,15 +89,16 @@
         let mut codes: Vec<_> = runs.iter().map(|run| run.code).collect();
         codes.sort_unstable();
         assert_eq!(codes, [0, 4], "{runs:?}");
-        let told = runs.iter().find(|run| run.code == 4).expect("one lost");
-        assert!(told.err.contains(&format!("version {base} is in force")), "{told:?}");
+        let loser = runs.iter().find(|run| run.code == 4).expect("one lost");
+        assert!(loser.err.contains(&format!("version {base} is in force")), "{loser:?}");
     }
 
     let broken = system.parameters("2s\n\n[workspace]\nregion = free-state");
     let line = fs::read_to_string(&broken).expect("a file").lines().count();
     for command in ["check", "publish"] {
         let files = [&[command], files.as_slice(), &[broken.as_str()]].concat();
-        let files: Vec<_> = files.into_iter().filter(|file| !file.ends_with(&own())).collect();
+        let files: Vec<_> =
+            files.into_iter().filter(|file| !file.ends_with(&contracts_path())).collect();
         let invalid = system.tool(0, &files);
         assert_eq!(invalid.code, 3, "{invalid:?}");
         let place = format!("{broken}:{line}: workspace.region");
@@ -107,8 +107,8 @@
     assert_eq!(version(&system), base);
 }
 
-/// End of the path of the file that [`System::parameters`] stands for.
-fn own() -> String {
+/// Path suffix of the file that [`System::parameters`] replaces.
+fn contracts_path() -> String {
     format!("parameters/{CONTRACTS}.ini")
 }
 
@@ -117,13 +117,12 @@
     shown["documents"][0]["version"].as_u64().expect("a version")
 }
 
-// A VM stands still while an operator publishes. The tool does not claim that the change is in force
-// everywhere: it names the VM and says so by its exit code. When the VM goes on, the change comes
-// into force there by itself, and `in-force` shows it.
+// A change must not be reported as in force while a VM is frozen; it must come into force there
+// without a further command once the VM resumes.
 #[test]
 fn a_frozen_member_is_waited_for() {
-    let _alone = alone();
-    // A long lease, so that the VM is not evicted meanwhile.
+    let _guard = lock_system();
+    // The lease outlasts the freeze, so that the VM is not evicted.
     let mut system = System::start("[lease]\nterm = 10s\n");
     let files = examples();
     let files: Vec<&str> = files.iter().map(String::as_str).collect();
--- a/acaciaring/tests/tool/support.rs
+++ b/acaciaring/tests/tool/support.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the admin address of a member, and a runner of the tool.
+//! Stub of a member's admin interface, and a runner of the tool.
 
 use std::collections::VecDeque;
 use std::process::Command;
@@ -13,46 +13,46 @@
 use serde::Serialize;
 use tiny_http::{Request, Response, Server};
 
-/// How the member behaves on its next request to publish.
+/// Fault injected into the next publish request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The log cannot be reached; nothing is appended.
     LogDown,
-    /// The record is appended, then the connection goes silent before the answer.
+    /// The record is appended, but no answer is sent and the connection stays open.
     AnswerLost,
-    /// The record is appended, the answer is lost, and the member forgets the record's id.
+    /// As `AnswerLost`, and the member forgets the record ids.
     AnswerLostIdForgotten,
-    /// The record is appended, but the member has not read it back in time.
+    /// The record is appended, but the member does not read it back in time and answers 504.
     Late,
 }
 
-/// What a member knows; the tests change it.
+/// State of the stub member; tests change it.
 #[derive(Debug, Default)]
 pub struct Member {
     /// Documents in force.
     pub documents: Vec<PublishedDocument>,
     /// Offset of the last record.
     pub last: u64,
-    /// VMs that do not answer.
-    pub silent: Vec<&'static str>,
-    /// Faults of the next requests to publish.
+    /// VMs reported as pending.
+    pub unresponsive: Vec<&'static str>,
+    /// Faults of the next publish requests, in order.
     pub faults: VecDeque<Fault>,
-    /// Requests to publish, by their record ids.
-    pub tries: Vec<String>,
-    /// Ids of the records that took effect, with their offsets.
-    pub known: Vec<(String, u64)>,
+    /// Record id of each publish request received.
+    pub attempts: Vec<String>,
+    /// Id and offset of each record appended.
+    pub appended: Vec<(String, u64)>,
 }
 
-/// Running stand-in.
-pub struct Stand {
-    /// Address of the member.
+/// HTTP server of a stub member.
+pub struct StubServer {
+    /// Listening address.
     pub address: String,
-    /// What the member knows.
+    /// State shared with the server thread.
     pub member: Arc<Mutex<Member>>,
 }
 
-impl Stand {
-    /// Starts a member on a free port of the loopback interface.
+impl StubServer {
+    /// Starts the server on a free loopback port.
     pub fn start(member: Member) -> Self {
         let server = Server::http("127.0.0.1:0").expect("a port is free");
         let address = server.server_addr().to_string();
@@ -67,9 +67,9 @@
         Self { address, member }
     }
 
-    /// Runs a look at what the member knows.
-    pub fn with<T>(&self, look: impl FnOnce(&mut Member) -> T) -> T {
-        look(&mut self.member.lock().expect("the member has not panicked"))
+    /// Calls `action` with the state locked.
+    pub fn with_member<T>(&self, action: impl FnOnce(&mut Member) -> T) -> T {
+        action(&mut self.member.lock().expect("the member has not panicked"))
     }
 }
 
@@ -81,7 +81,7 @@
             "/v1/in-force" => (200, json(&self.in_force())),
             "/v1/publish" => match self.publish(&read(&mut request)) {
                 Some(answer) => answer,
-                // The connection stays open and silent.
+                // Leave the connection open without an answer.
                 None => return drop(request.into_writer()),
             },
             _ => (404, json(&Failure { message: format!("nothing at {url}") })),
@@ -98,13 +98,13 @@
         let applied = Applied { member: MemberId(1), vm: "contracts-1".into(), applied: self.last };
         InForce {
             applied: vec![applied],
-            pending: self.silent.iter().map(|vm| (*vm).into()).collect(),
+            pending: self.unresponsive.iter().map(|vm| (*vm).into()).collect(),
         }
     }
 
     fn publish(&mut self, text: &str) -> Option<(u16, String)> {
         let publish: Publish = serde_json::from_str(text).expect("the tool sends a request");
-        self.tries.push(publish.id.clone());
+        self.attempts.push(publish.id.clone());
         let fault = self.faults.pop_front();
         if fault == Some(Fault::LogDown) {
             return Some((503, json(&Failure { message: "the log is down".to_owned() })));
@@ -117,7 +117,7 @@
                     json(&Failure { message: "it may yet take effect".to_owned() }),
                 ));
             }
-            Some(Fault::AnswerLostIdForgotten) => self.known.clear(),
+            Some(Fault::AnswerLostIdForgotten) => self.appended.clear(),
             Some(_) => {}
             None => return Some(answer),
         }
@@ -126,7 +126,7 @@
 
     fn append(&mut self, publish: Publish) -> (u16, String) {
         let applied = |offset| (200, json(&Published { offset, outcome: PublishOutcome::Applied }));
-        if let Some((_, offset)) = self.known.iter().find(|(id, _)| *id == publish.id) {
+        if let Some((_, offset)) = self.appended.iter().find(|(id, _)| *id == publish.id) {
             return applied(*offset);
         }
         let same =
@@ -144,7 +144,7 @@
             retired: publish.retired,
             fields: publish.fields,
         });
-        self.known.push((publish.id, self.last));
+        self.appended.push((publish.id, self.last));
         applied(self.last)
     }
 }
@@ -181,7 +181,7 @@
     }
 }
 
-/// Writes a file of its own for one test and returns its path.
+/// Writes a file to the directory of one test and returns its path.
 pub fn file(case: &str, name: &str, text: &str) -> String {
     let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(case);
     fs::create_dir_all(&directory).expect("the directory can be made");
