--- a/acaciaring_model/src/config.rs
+++ b/acaciaring_model/src/config.rs
@@ -7,15 +7,15 @@
 use acaciaring_core::{MemberId, Offset, route::DocumentKind};
 
 use crate::mutation::Mutation;
-use crate::pool::{Handle, Pool};
+use crate::pool::{Handle, Interner};
 use crate::records::{self, TEMPLATE, record};
 use crate::search::Model;
 
 /// Members that are there at the start.
-const FIRST: MemberId = MemberId(2);
-const SECOND: MemberId = MemberId(3);
+const FIRST_MEMBER: MemberId = MemberId(2);
+const SECOND_MEMBER: MemberId = MemberId(3);
 /// Most tries of one append.
-const COPIES: usize = 2;
+const MAX_ATTEMPTS: usize = 2;
 
 /// Record in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -27,7 +27,7 @@
         /// Version that the change replaces.
         base: Offset,
         /// Number of the try.
-        copy: usize,
+        attempt: usize,
     },
     /// The third member joins.
     Join,
@@ -37,7 +37,7 @@
 
 /// What an operator has been told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Told {
+pub enum Reply {
     /// Nothing final.
     Pending,
     /// The change at this offset is in force everywhere.
@@ -51,8 +51,8 @@
 pub struct Operator {
     /// Version that the change replaces, none before the change.
     base: Option<Offset>,
-    copies: usize,
-    told: Told,
+    attempts: usize,
+    reply: Reply,
 }
 
 /// State of the operators, the members and the log.
@@ -72,7 +72,7 @@
     /// An operator sends a change, which the first member reads as current.
     Publish(usize),
     /// An operator has had no answer and sends the change again.
-    Repeat(usize),
+    Retry(usize),
     /// The log takes a record.
     Append(Entry),
     /// A member folds the next record.
@@ -84,13 +84,13 @@
     /// The second member's lease is over and the first one evicts it.
     Evict,
     /// An operator asks the first member.
-    Ask(usize),
+    Query(usize),
 }
 
 /// The model, with every state that a member can have.
 pub struct ConfigModel {
     mutation: Option<Mutation>,
-    states: Pool<State>,
+    states: Interner<State>,
     base: Handle,
     /// First offset after the base.
     first: Offset,
@@ -104,9 +104,9 @@
     /// Makes the model, with a guard removed if one is named.
     #[must_use]
     pub fn new(mutation: Option<Mutation>) -> Self {
-        let states = Pool::default();
+        let states = Interner::default();
         let first = base().next();
-        let base = states.put(base());
+        let base = states.intern(base());
         Self {
             mutation,
             states,
@@ -124,9 +124,9 @@
     /// Returns the identity of a record over its tries.
     fn record_id(&self, entry: Entry) -> u64 {
         match entry {
-            Entry::Publish { operator, copy, .. } => {
-                let copy = if self.mutated(Mutation::NewRecordId) { copy } else { 0 };
-                100 + operator as u64 * 10 + copy as u64
+            Entry::Publish { operator, attempt, .. } => {
+                let attempt = if self.mutated(Mutation::NewRecordId) { attempt } else { 0 };
+                100 + operator as u64 * 10 + attempt as u64
             }
             Entry::Join => 200,
             Entry::Evict => 201,
@@ -140,10 +140,10 @@
         let body = match entry {
             Entry::Publish { operator, base, .. } => records::template(base, operator == 1),
             Entry::Join => records::join(2),
-            Entry::Evict => records::evict(SECOND, SECOND.0, &[FIRST]),
+            Entry::Evict => records::evict(SECOND_MEMBER, SECOND_MEMBER.0, &[FIRST_MEMBER]),
         };
         let mut next = handle;
-        let outcome = self.states.change(&mut next, |state| {
+        let outcome = self.states.update(&mut next, |state| {
             state.fold(state.next(), &record(self.record_id(entry), body))
         });
         self.folds.borrow_mut().insert((handle, entry), (next, outcome.clone()));
@@ -151,10 +151,10 @@
     }
 
     /// Returns the offset and the outcome of an operator's change in a part of the log.
-    fn outcome(&self, log: &[Entry], operator: usize, copy: usize) -> Option<(Offset, Outcome)> {
+    fn outcome(&self, log: &[Entry], operator: usize, attempt: usize) -> Option<(Offset, Outcome)> {
         let wanted = |entry: &Entry| match entry {
             Entry::Publish { operator: by, base, .. } => {
-                let sought = Entry::Publish { operator, base: *base, copy };
+                let sought = Entry::Publish { operator, base: *base, attempt };
                 *by == operator && self.record_id(*entry) == self.record_id(sought)
             }
             Entry::Join | Entry::Evict => false,
@@ -182,14 +182,14 @@
         }
     }
 
-    fn ask(&self, state: &ConfigState, operator: usize) -> Told {
+    fn query(&self, state: &ConfigState, operator: usize) -> Reply {
         let asked = &state.log[..self.applied(state, 0)];
-        let copy = state.operators[operator].copies - 1;
-        let Some((offset, outcome)) = self.outcome(asked, operator, copy) else {
-            return Told::Pending;
+        let attempt = state.operators[operator].attempts - 1;
+        let Some((offset, outcome)) = self.outcome(asked, operator, attempt) else {
+            return Reply::Pending;
         };
         if !outcome.applied() {
-            return Told::Conflict;
+            return Reply::Conflict;
         }
         let has_folded = |member: usize| {
             state.members[member].is_some_and(|handle| self.states.get(handle).next() > offset)
@@ -198,9 +198,9 @@
         let joined = asked.contains(&Entry::Join);
         let everywhere = (evicted || has_folded(1)) && (!joined || has_folded(2));
         if everywhere || self.mutated(Mutation::AcceptedEarly) {
-            Told::Accepted(offset)
+            Reply::Accepted(offset)
         } else {
-            Told::Pending
+            Reply::Pending
         }
     }
 
@@ -211,7 +211,7 @@
         }
         let snapshot = self.states.get(handle).to_snapshot();
         let state = State::from_snapshot(&snapshot).expect("a snapshot of a state is valid");
-        let restored = self.states.put(state);
+        let restored = self.states.intern(state);
         self.restores.borrow_mut().insert(handle, restored);
         restored
     }
@@ -223,7 +223,7 @@
             let mut snapshot = self.states.get(restored).to_snapshot();
             snapshot.next = self.first + state.log.len() as u64;
             let state = State::from_snapshot(&snapshot).expect("a snapshot of a state is valid");
-            restored = self.states.put(state);
+            restored = self.states.intern(state);
         }
         state.members[2] = Some(restored);
         state.appends.push(Entry::Join);
@@ -239,11 +239,11 @@
     }
 
     fn send(state: &mut ConfigState, operator: usize) {
-        let Operator { base, copies, .. } = state.operators[operator];
+        let Operator { base, attempts, .. } = state.operators[operator];
         let base = base.unwrap_or_default();
-        state.appends.push(Entry::Publish { operator, base, copy: copies });
+        state.appends.push(Entry::Publish { operator, base, attempt: attempts });
         state.appends.sort_unstable();
-        state.operators[operator].copies += 1;
+        state.operators[operator].attempts += 1;
     }
 }
 
@@ -253,7 +253,7 @@
 
     fn start(&self) -> ConfigState {
         let handle = self.base;
-        let operator = Operator { base: None, copies: 0, told: Told::Pending };
+        let operator = Operator { base: None, attempts: 0, reply: Reply::Pending };
         ConfigState {
             log: Vec::new(),
             appends: Vec::new(),
@@ -268,10 +268,10 @@
         for (number, operator) in state.operators.iter().enumerate() {
             if operator.base.is_none() {
                 actions.push(Action::Publish(number));
-            } else if operator.told == Told::Pending {
-                actions.push(Action::Ask(number));
-                if operator.copies < COPIES {
-                    actions.push(Action::Repeat(number));
+            } else if operator.reply == Reply::Pending {
+                actions.push(Action::Query(number));
+                if operator.attempts < MAX_ATTEMPTS {
+                    actions.push(Action::Retry(number));
                 }
             }
         }
@@ -296,7 +296,7 @@
         let mut state = state.clone();
         match *action {
             Action::Publish(operator) => self.publish(&mut state, operator),
-            Action::Repeat(operator) => Self::send(&mut state, operator),
+            Action::Retry(operator) => Self::send(&mut state, operator),
             Action::Append(entry) => {
                 let index = state.appends.iter().position(|other| *other == entry);
                 if let Some(index) = index {
@@ -318,16 +318,16 @@
                 state.appends.push(Entry::Evict);
                 state.appends.sort_unstable();
             }
-            Action::Ask(operator) => state.operators[operator].told = self.ask(&state, operator),
+            Action::Query(number) => state.operators[number].reply = self.query(&state, number),
         }
         state
     }
 
     fn violation(&self, state: &ConfigState) -> Option<String> {
         for (number, operator) in state.operators.iter().enumerate() {
-            match operator.told {
-                Told::Pending => {}
-                Told::Accepted(offset) => {
+            match operator.reply {
+                Reply::Pending => {}
+                Reply::Accepted(offset) => {
                     for member in (0..3).filter(|member| self.serving(state, *member)) {
                         let Some(handle) = state.members[member] else { continue };
                         let folded = self.states.get(handle);
@@ -339,12 +339,12 @@
                         }
                     }
                 }
-                Told::Conflict => {
-                    let applied = |copy| {
-                        let outcome = self.outcome(&state.log, number, copy);
+                Reply::Conflict => {
+                    let applied = |attempt| {
+                        let outcome = self.outcome(&state.log, number, attempt);
                         outcome.is_some_and(|(_, outcome)| outcome.applied())
                     };
-                    if (0..operator.copies).any(applied) {
+                    if (0..operator.attempts).any(applied) {
                         return Some(format!(
                             "operator {number} was told of a conflict, yet the change was made"
                         ));
--- a/acaciaring_model/src/lease/mod.rs
+++ b/acaciaring_model/src/lease/mod.rs
@@ -9,15 +9,15 @@
 use acaciaring_core::state::{Member, Phase};
 use acaciaring_core::{MemberId, Offset, Time};
 
-pub use self::state::{Action, Change, Entry, Exchange, LeaseState, Message};
+pub use self::state::{Action, Change, ChangeMode, Entry, LeaseState, Message};
 use crate::mutation::Mutation;
-use crate::pool::Pool;
+use crate::pool::Interner;
 use crate::search::Model;
 
 /// Version of the first lessor set.
-const FIRST: Offset = 10;
+const FIRST_VERSION: Offset = 10;
 /// Version of the second lessor set.
-const SECOND: Offset = 20;
+const SECOND_VERSION: Offset = 20;
 /// Identity of the holder before and after its restart.
 const HOLDERS: [MemberId; 2] = [MemberId(10), MemberId(15)];
 /// Bounds of a search; one tick of the clock is a millisecond.
@@ -42,11 +42,11 @@
     /// True when the holder may pause between its check and its write to the upstream.
     pub write: bool,
     /// How a holder with a lease begins the change to the second set.
-    pub exchange: Exchange,
+    pub change_mode: ChangeMode,
     /// Values of the holder.
-    pub holders: Pool<Holder>,
+    pub holders: Interner<Holder>,
     /// Values of the lessors.
-    pub lessors: Pool<Lessor>,
+    pub lessors: Interner<Lessor>,
 }
 
 impl Default for LeaseModel {
@@ -61,9 +61,9 @@
             death: false,
             restart: false,
             write: false,
-            exchange: Exchange::Abrupt,
-            holders: Pool::default(),
-            lessors: Pool::default(),
+            change_mode: ChangeMode::Immediate,
+            holders: Interner::default(),
+            lessors: Interner::default(),
         }
     }
 }
@@ -96,15 +96,15 @@
     }
 
     /// Returns true when somebody who has read any part of the log can prove the lease over.
-    fn proved(&self, state: &LeaseState) -> bool {
-        (0..=state.log.len()).any(|read| self.proved_at(state, &state.log[..read]))
+    fn expiry_proved(&self, state: &LeaseState) -> bool {
+        (0..=state.log.len()).any(|read| self.expiry_proved_by(state, &state.log[..read]))
     }
 
-    fn proved_at(&self, state: &LeaseState, log: &[Entry]) -> bool {
+    fn expiry_proved_by(&self, state: &LeaseState, log: &[Entry]) -> bool {
         let me = self.holders.get(state.holder).id();
         let changed = log.contains(&Entry::SecondSet);
         let (mut version, lessors) =
-            if changed { (SECOND, &self.second) } else { (FIRST, &self.first) };
+            if changed { (SECOND_VERSION, &self.second) } else { (FIRST_VERSION, &self.first) };
         version = version.max(me.0);
         let mut tally = Tally::new(settings());
         for (lessor, member, voted) in &state.votes {
@@ -130,11 +130,11 @@
         let holder = self.holders.get(state.holder);
         let ready = !holder.holds(state.now) || holder.ready(state.now, &ids(&self.second));
         let mut actions = Vec::new();
-        let asks = self.exchange == Exchange::Asked;
-        if !asks || ready || self.mutated(Mutation::ProposeUnready) {
+        let prepared = self.change_mode == ChangeMode::Prepared;
+        if !prepared || ready || self.mutated(Mutation::ProposeUnready) {
             actions.push(Action::Propose);
         }
-        if asks && !holder.preparing() {
+        if prepared && !holder.preparing() {
             actions.push(Action::Prepare);
         }
         actions
@@ -156,9 +156,9 @@
         }
         let dead = state.log.iter().any(|entry| matches!(entry, Entry::Death(_)));
         if self.death && !dead {
-            actions.push(Action::Die);
+            actions.push(Action::RecordDeath);
         }
-        if self.restart && !state.gone {
+        if self.restart && !state.replaced {
             actions.push(Action::RestartLessor);
         }
         if self.restart && self.holders.get(state.holder).id() == HOLDERS[0] {
@@ -175,17 +175,17 @@
     fn start(&self) -> LeaseState {
         let count = self.first.iter().chain(&self.second).max().map_or(0, |last| last + 1);
         let mut holder = Holder::new(HOLDERS[0], Time::ZERO, settings());
-        holder.install(FIRST, &ids(&self.first), |_| true);
+        holder.install(FIRST_VERSION, &ids(&self.first), |_| true);
         let mut lessors: Vec<Lessor> =
             (0..count).map(|lessor| Lessor::new(id(lessor), settings())).collect();
         for lessor in &self.first {
-            lessors[*lessor].join_set(Time::ZERO, HOLDERS[0], FIRST);
+            lessors[*lessor].join_set(Time::ZERO, HOLDERS[0], FIRST_VERSION);
         }
         LeaseState {
             now: Time::ZERO,
-            holder: self.holders.put(holder),
-            lessors: lessors.into_iter().map(|lessor| self.lessors.put(lessor)).collect(),
-            gone: false,
+            holder: self.holders.intern(holder),
+            lessors: lessors.into_iter().map(|lessor| self.lessors.intern(lessor)).collect(),
+            replaced: false,
             folded: Vec::new(),
             messages: Vec::new(),
             votes: Vec::new(),
@@ -193,7 +193,7 @@
             change: Change::None,
             rounds: 0,
             request: None,
-            late: false,
+            late_write: false,
         }
     }
 
@@ -227,7 +227,7 @@
                 state.rounds += 1;
                 let now = state.now;
                 let (holder, renewals) =
-                    self.holders.change(&mut state.holder, |holder| (holder.id(), holder.due(now)));
+                    self.holders.update(&mut state.holder, |holder| (holder.id(), holder.due(now)));
                 for Renewal { lessor, seq, version, .. } in renewals {
                     let lessor = (0..state.lessors.len()).find(|number| id(*number) == lessor);
                     // The network may lose any message: what does not fit is lost, and
@@ -235,7 +235,10 @@
                     if let Some(lessor) = lessor
                         && state.messages.len() < self.messages
                     {
-                        add(&mut state.messages, Message::Renew(lessor, holder, seq, version));
+                        insert_sorted(
+                            &mut state.messages,
+                            Message::Renew(lessor, holder, seq, version),
+                        );
                     }
                 }
             }
@@ -248,12 +251,12 @@
             }
             Action::Vote(lessor) => self.vote(&mut state, lessor),
             Action::Prepare => {
-                self.holders.change(&mut state.holder, |holder| holder.prepare(&ids(&self.second)));
+                self.holders.update(&mut state.holder, |holder| holder.prepare(&ids(&self.second)));
             }
             Action::Propose => {
-                if !self.mutated(Mutation::ProposalNotNeeded) {
+                if !self.mutated(Mutation::ProposalSkipped) {
                     self.holders
-                        .change(&mut state.holder, |holder| holder.propose(&ids(&self.second)));
+                        .update(&mut state.holder, |holder| holder.propose(&ids(&self.second)));
                 }
                 state.change = Change::Proposed;
             }
@@ -263,23 +266,23 @@
             }
             Action::Install => self.install(&mut state),
             Action::Fold(lessor) => {
-                add(&mut state.folded, lessor);
+                insert_sorted(&mut state.folded, lessor);
                 let now = state.now;
                 let in_set = self.second.contains(&lessor);
-                self.lessors.change(&mut state.lessors[lessor], |lessor| {
+                self.lessors.update(&mut state.lessors[lessor], |lessor| {
                     if in_set {
-                        lessor.join_set(now, HOLDERS[0], SECOND);
+                        lessor.join_set(now, HOLDERS[0], SECOND_VERSION);
                     } else {
-                        lessor.leave_set(HOLDERS[0], SECOND);
+                        lessor.leave_set(HOLDERS[0], SECOND_VERSION);
                     }
                 });
             }
-            Action::Die => state.log.push(Entry::Death(state.now)),
+            Action::RecordDeath => state.log.push(Entry::Death(state.now)),
             Action::RestartLessor => self.restart_lessor(&mut state),
             Action::RestartHolder => {
                 let mut holder = Holder::new(HOLDERS[1], state.now, settings());
                 holder.install(HOLDERS[1].0, &ids(&self.first), |_| true);
-                state.holder = self.holders.put(holder);
+                state.holder = self.holders.intern(holder);
                 state.request = None;
             }
             Action::Check => state.request = self.holders.get(state.holder).until(),
@@ -287,23 +290,23 @@
                 let until = state.request.take();
                 let refused = until.is_some_and(|until| state.now >= until)
                     && !self.mutated(Mutation::FenceWithoutEnd);
-                state.late |= !refused && self.proved(&state);
+                state.late_write |= !refused && self.expiry_proved(&state);
             }
         }
         state
     }
 
     fn violation(&self, state: &LeaseState) -> Option<String> {
-        if state.late {
+        if state.late_write {
             return Some("the upstream ran a request after the lease was proved over".to_owned());
         }
-        let broken = self.holds(state) && self.proved(state);
+        let broken = self.holds(state) && self.expiry_proved(state);
         broken.then(|| "the lease holds and is proved over".to_owned())
     }
 }
 
 /// Adds a value to a sorted list without duplicates.
-fn add<T: Ord>(list: &mut Vec<T>, value: T) {
+fn insert_sorted<T: Ord>(list: &mut Vec<T>, value: T) {
     if let Err(index) = list.binary_search(&value) {
         list.insert(index, value);
     }
--- a/acaciaring_model/src/lease/state.rs
+++ b/acaciaring_model/src/lease/state.rs
@@ -15,11 +15,11 @@
 
 /// How a holder with a lease begins a change of its lessors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Exchange {
+pub enum ChangeMode {
     /// It proposes the second set at any time.
-    Abrupt,
+    Immediate,
     /// It asks the second set, and proposes it once that leaves the lease as long as it is.
-    Asked,
+    Prepared,
 }
 
 /// Progress of the change of lessors at the holder.
@@ -51,7 +51,7 @@
     pub(super) holder: Handle,
     pub(super) lessors: Vec<Handle>,
     /// True when the first lessor's process has been replaced by one with another identity.
-    pub(super) gone: bool,
+    pub(super) replaced: bool,
     pub(super) folded: Vec<usize>,
     pub(super) messages: Vec<Message>,
     pub(super) votes: Vec<(MemberId, MemberId, Offset)>,
@@ -61,7 +61,7 @@
     /// Request on its way to the upstream, with the end of the lease in its fence.
     pub(super) request: Option<Time>,
     /// True when the upstream ran a request after the lease was proved over.
-    pub(super) late: bool,
+    pub(super) late_write: bool,
 }
 
 /// Event at one process.
@@ -86,7 +86,7 @@
     /// A lessor reads it.
     Fold(usize),
     /// The first lessor is recorded as dead.
-    Die,
+    RecordDeath,
     /// The process of the first lessor restarts.
     RestartLessor,
     /// The process of the holder restarts and joins anew.
--- a/acaciaring_model/src/lease/step.rs
+++ b/acaciaring_model/src/lease/step.rs
@@ -3,15 +3,16 @@
 use acaciaring_core::lease::{Holder, Lessor};
 
 use super::{
-    Change, Entry, HOLDERS, LeaseModel, LeaseState, Message, SECOND, add, id, ids, settings,
+    Change, Entry, HOLDERS, LeaseModel, LeaseState, Message, SECOND_VERSION, id, ids,
+    insert_sorted, settings,
 };
 use crate::mutation::Mutation;
 
 impl LeaseModel {
     pub(super) fn renew(&self, state: &mut LeaseState, message: Message) {
         let Message::Renew(lessor, holder, seq, version) = message else { return };
-        if state.gone && lessor == 0 {
-            add(&mut state.messages, Message::Grant(lessor, holder, seq, false, 0));
+        if state.replaced && lessor == 0 {
+            insert_sorted(&mut state.messages, Message::Grant(lessor, holder, seq, false, 0));
             return;
         }
         // A lessor whose lease ended when its death was recorded goes on for `abandon`.
@@ -20,23 +21,23 @@
             Entry::SecondSet => false,
         });
         let now = state.now;
-        let again = !abandoned && self.mutated(Mutation::GrantAfterVote);
-        let grant = self.lessors.change(&mut state.lessors[lessor], |lessor| {
+        let regrant = !abandoned && self.mutated(Mutation::GrantAfterVote);
+        let grant = self.lessors.update(&mut state.lessors[lessor], |lessor| {
             let grant = lessor.renew(now, holder, version, abandoned);
-            if grant.granted || !again {
+            if grant.granted || !regrant {
                 return grant;
             }
             *lessor = Lessor::new(lessor.id(), settings());
             lessor.renew(now, holder, version, false)
         });
         let answer = Message::Grant(lessor, holder, seq, grant.granted, grant.version);
-        add(&mut state.messages, answer);
+        insert_sorted(&mut state.messages, answer);
     }
 
     pub(super) fn grant(&self, state: &mut LeaseState, message: Message) {
         let Message::Grant(lessor, holder, mut seq, granted, version) = message else { return };
         let now = state.now;
-        self.holders.change(&mut state.holder, |me| {
+        self.holders.update(&mut state.holder, |me| {
             if holder != me.id() {
                 return;
             }
@@ -53,11 +54,11 @@
         let dead = state.log.iter().any(|entry| matches!(entry, Entry::Death(_)));
         let dead = dead && !self.mutated(Mutation::DeadSupersedes);
         let now = state.now;
-        self.holders.change(&mut state.holder, |holder| {
+        self.holders.update(&mut state.holder, |holder| {
             if self.mutated(Mutation::OldSetDropped) {
                 *holder = Holder::new(holder.id(), now, settings());
             }
-            holder.install(SECOND, &ids(&self.second), |member| !(dead && member == id(0)));
+            holder.install(SECOND_VERSION, &ids(&self.second), |member| !(dead && member == id(0)));
         });
         state.change = Change::Installed;
     }
@@ -68,18 +69,18 @@
         for holder in HOLDERS {
             let vote = self
                 .lessors
-                .change(&mut state.lessors[lessor], |lessor| lessor.vote(now, holder, true));
+                .update(&mut state.lessors[lessor], |lessor| lessor.vote(now, holder, true));
             if let Some(vote) = vote {
-                add(&mut state.votes, (id(lessor), vote.member, vote.version));
+                insert_sorted(&mut state.votes, (id(lessor), vote.member, vote.version));
             }
         }
     }
 
     pub(super) fn restart_lessor(&self, state: &mut LeaseState) {
         if self.mutated(Mutation::RestartKeepsIdentity) {
-            state.lessors[0] = self.lessors.put(Lessor::new(id(0), settings()));
+            state.lessors[0] = self.lessors.intern(Lessor::new(id(0), settings()));
         } else {
-            state.gone = true;
+            state.replaced = true;
         }
     }
 }
--- a/acaciaring_model/src/mutation.rs
+++ b/acaciaring_model/src/mutation.rs
@@ -6,7 +6,7 @@
     /// A lessor that restarts forgets its votes and keeps its identity.
     RestartKeepsIdentity,
     /// The holder does not need a proposed set before it reads it back.
-    ProposalNotNeeded,
+    ProposalSkipped,
     /// The holder proposes a set whose lease would end before that of the present one.
     ProposeUnready,
     /// The holder drops the old set as soon as it reads back the new one.
@@ -28,7 +28,7 @@
     /// A lessor that is dead in the log supersedes an old set.
     DeadSupersedes,
     /// The owner moves a unit to a member that is not the standby.
-    MoveWithoutConsent,
+    MoveToNonStandby,
     /// The standby uses its role until it reads back the record that gives it away.
     RoleKept,
     /// The new owner does not wait for the former one.
@@ -36,7 +36,7 @@
     /// An owner that still waits for the former one passes the unit on.
     MoveBeforeServing,
     /// A member that has not read of a unit that it owns may leave.
-    LeaveUnread,
+    LeaveBeforeFold,
     /// A leaving standby renounces its role under the version that it knows only.
     RoleRegained,
     /// The owner releases a unit while its split is not settled.
@@ -48,13 +48,13 @@
     /// A joining member takes a state without its offset and reads on at the end of the log.
     SnapshotWithoutOffset,
     /// An order without answer counts as one that was not carried out.
-    SilenceIsRefusal,
+    TimeoutIsUnsent,
     /// A grant's time counts from the decision, not from the latest arrival.
     HoldFromDecision,
     /// Orders go over new connections under the token that a former start may have had.
     OldTokenReconnects,
     /// A process that starts anew takes what it has not ordered for free.
-    FormerOrdersForgotten,
+    EarlierOrdersIgnored,
     /// A grant may outlast the lease.
     GrantPastLease,
 }
--- a/acaciaring_model/src/orders.rs
+++ b/acaciaring_model/src/orders.rs
@@ -7,24 +7,24 @@
 use std::time::Duration;
 
 use acaciaring_core::holds::{Incarnation, Wanted};
-use acaciaring_core::orders::{Action as Deed, Answer, Issued, ORDER_TIMEOUT, Orders};
+use acaciaring_core::orders::{Action as OrderAction, Answer, Issued, ORDER_TIMEOUT, Orders};
 use acaciaring_core::{Name, Time, Token, UnitId};
 
 use crate::mutation::Mutation;
-use crate::pool::{Handle, Pool};
+use crate::pool::{Handle, Interner};
 use crate::search::Model;
 
 /// Upstreams, each with the process beside it.
-const UPSTREAMS: usize = 3;
+const UPSTREAM_COUNT: usize = 3;
 
 /// Longest hold: two ticks.
-const HOLD: Duration = Duration::from_millis(400);
+const MAX_HOLD: Duration = Duration::from_millis(400);
 
 /// Part of its own time by which an upstream's clock runs slow.
-const SLOW: f64 = 1.02;
+const CLOCK_SLOWDOWN: f64 = 1.02;
 
 /// Step of the token from one assignment to the next.
-const STEP: u64 = 2;
+const TOKEN_STEP: u64 = 2;
 
 /// Bounds of the search.
 #[derive(Debug, Clone, Copy)]
@@ -32,9 +32,9 @@
     /// Ticks of [`ORDER_TIMEOUT`].
     pub ticks: u32,
     /// Orders that are carried out late, or whose answers are lost.
-    pub lost: u32,
+    pub faults: u32,
     /// Starts of upstreams and of processes.
-    pub starts: u32,
+    pub restarts: u32,
     /// Moves of the range.
     pub moves: u32,
     /// Ticks after which the lease of the first member ends and the next one takes over.
@@ -43,11 +43,11 @@
 
 /// Order that has not been settled.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Flight {
+struct PendingOrder {
     upstream: usize,
     issued: Issued,
     /// True while it may still arrive.
-    travels: bool,
+    in_transit: bool,
 }
 
 /// Order that has arrived and is carried out later.
@@ -61,8 +61,8 @@
 /// Upstream, as it really is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Server {
-    life: u64,
-    seen: Token,
+    generation: u64,
+    last_token: Token,
     /// End of the hold.
     until: Time,
     /// True while the process beside it has a connection to this life.
@@ -74,8 +74,8 @@
 pub struct OrdersState {
     now: Time,
     servers: Vec<Server>,
-    records: Vec<Handle>,
-    flights: Vec<Flight>,
+    orders: Vec<Handle>,
+    pending: Vec<PendingOrder>,
     deferred: Vec<Deferred>,
     owner: usize,
     token: u64,
@@ -83,7 +83,7 @@
     target: Option<usize>,
     /// Highest token with which any life has had the range, and which one.
     highest: (Token, usize, u64),
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
     used: (u32, u32, u32),
 }
 
@@ -95,25 +95,25 @@
     /// A process decides on orders and sends them.
     Decide(usize),
     /// An order arrives, is carried out and answered.
-    Carry(usize),
+    Execute(usize),
     /// An order is carried out, and its answer is lost.
-    Mute(usize),
+    ExecuteUnanswered(usize),
     /// An order arrives, gets no answer, and is carried out later.
     Defer(usize),
     /// An order is given up.
-    GiveUp(usize),
+    TimeOut(usize),
     /// An order that had arrived is carried out.
-    Late(usize),
+    ExecuteDeferred(usize),
     /// An upstream starts again under its name.
-    Start(usize),
+    RestartUpstream(usize),
     /// It reports.
     Report(usize),
     /// A process starts again beside its upstream.
-    Process(usize),
+    RestartProcess(usize),
     /// The range is to move.
     Move(usize),
     /// It passes to its next upstream, which the former one does not hold any more.
-    Pass,
+    Transfer,
     /// The next member takes over, for the owner's lease is over.
     Takeover,
 }
@@ -122,138 +122,138 @@
 pub struct OrdersModel {
     bounds: Bounds,
     mutation: Option<Mutation>,
-    records: Pool<Orders>,
+    orders: Interner<Orders>,
 }
 
 impl OrdersModel {
     /// Makes the model, with a guard removed if one is named.
     #[must_use]
     pub fn new(bounds: Bounds, mutation: Option<Mutation>) -> Self {
-        Self { bounds, mutation, records: Pool::default() }
+        Self { bounds, mutation, orders: Interner::default() }
     }
 
     /// Changes the record of a process.
-    fn change<R>(
+    fn update<R>(
         &self,
         state: &mut OrdersState,
         upstream: usize,
         change: impl FnOnce(&mut Orders) -> R,
     ) -> R {
-        self.records.change(&mut state.records[upstream], change)
+        self.orders.update(&mut state.orders[upstream], change)
     }
 
     fn mutated(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
 
-    fn lease(&self, state: &OrdersState) -> Time {
+    fn lease_end(&self, state: &OrdersState) -> Time {
         let end = self.bounds.lease.map(|ticks| origin() + ORDER_TIMEOUT * ticks);
         match end.filter(|_| state.owner == 0 && !self.mutated(Mutation::GrantPastLease)) {
             Some(end) => end,
-            None => state.now + HOLD * 4,
+            None => state.now + MAX_HOLD * 4,
         }
     }
 
     /// Returns true when a process has orders to give.
-    fn decides(&self, state: &OrdersState, upstream: usize) -> bool {
-        let mut record = Orders::clone(&self.records.get(state.records[upstream]));
-        !record.decide(state.now, self.lease(state), |_, _| true).is_empty()
+    fn has_orders_due(&self, state: &OrdersState, upstream: usize) -> bool {
+        let mut orders = Orders::clone(&self.orders.get(state.orders[upstream]));
+        !orders.decide(state.now, self.lease_end(state), |_, _| true).is_empty()
     }
 
     fn decide(&self, state: &mut OrdersState, upstream: usize) {
-        let (now, lease) = (state.now, self.lease(state));
-        let decided = self.change(state, upstream, |orders| orders.decide(now, lease, |_, _| true));
+        let (now, lease) = (state.now, self.lease_end(state));
+        let decided = self.update(state, upstream, |orders| orders.decide(now, lease, |_, _| true));
         for issued in decided {
             let connected = state.servers[upstream].connected;
             if !connected && !issued.may_connect && !self.mutated(Mutation::OldTokenReconnects) {
                 let answer = Answer::Unconnected;
-                self.change(state, upstream, |orders| orders.complete(now, issued.number, &answer));
+                self.update(state, upstream, |orders| orders.complete(now, issued.number, &answer));
                 continue;
             }
             state.servers[upstream].connected = true;
-            state.flights.push(Flight { upstream, issued, travels: true });
+            state.pending.push(PendingOrder { upstream, issued, in_transit: true });
         }
     }
 
     /// Carries an order out that arrived at a time; returns what the upstream answers.
-    fn carry(state: &mut OrdersState, upstream: usize, issued: &Issued, arrived: Time) -> Answer {
+    fn execute(state: &mut OrdersState, upstream: usize, issued: &Issued, arrived: Time) -> Answer {
         let token = issued.order.token;
         let server = &mut state.servers[upstream];
         match &issued.order.action {
-            Deed::Release => {
+            OrderAction::Release => {
                 server.until = state.now;
                 Answer::Done { handover: Name::from("h") }
             }
-            Deed::Grant { .. } if token < server.seen => Answer::Superseded,
-            Deed::Grant { hold, .. } => {
-                server.seen = token;
-                let until = arrived + hold.mul_f64(SLOW);
+            OrderAction::Grant { .. } if token < server.last_token => Answer::Superseded,
+            OrderAction::Grant { hold, .. } => {
+                server.last_token = token;
+                let until = arrived + hold.mul_f64(CLOCK_SLOWDOWN);
                 if state.now < until {
                     server.until = server.until.max(until);
-                    state.take(upstream, token);
+                    state.record_grant(upstream, token);
                 }
                 Answer::Done { handover: Name::from("") }
             }
         }
     }
 
-    fn settle(&self, state: &mut OrdersState, flight: &Flight, answer: &Answer) {
-        let Flight { upstream, issued, .. } = flight;
+    fn settle(&self, state: &mut OrdersState, order: &PendingOrder, answer: &Answer) {
+        let PendingOrder { upstream, issued, .. } = order;
         let answer = match answer {
-            Answer::Unknown if self.mutated(Mutation::SilenceIsRefusal) => &Answer::Unsent,
+            Answer::Unknown if self.mutated(Mutation::TimeoutIsUnsent) => &Answer::Unsent,
             answer => answer,
         };
         let sent = issued.deadline - ORDER_TIMEOUT;
         let early = self.mutated(Mutation::HoldFromDecision);
         let now = if early { sent } else { state.now };
-        self.change(state, *upstream, |orders| orders.complete(now, issued.number, answer));
+        self.update(state, *upstream, |orders| orders.complete(now, issued.number, answer));
     }
 
-    fn start_upstream(state: &mut OrdersState, upstream: usize) {
+    fn restart_upstream(state: &mut OrdersState, upstream: usize) {
         let server = &mut state.servers[upstream];
-        let life = server.life + 1;
-        *server = Server { life, seen: Token(0), until: Time::ZERO, connected: false };
+        let generation = server.generation + 1;
+        *server = Server { generation, last_token: Token(0), until: Time::ZERO, connected: false };
         state.deferred.retain(|deferred| deferred.upstream != upstream);
-        let flights = state.flights.iter_mut().filter(|flight| flight.upstream == upstream);
-        flights.for_each(|flight| flight.travels = false);
+        let pending = state.pending.iter_mut().filter(|order| order.upstream == upstream);
+        pending.for_each(|order| order.in_transit = false);
         state.used.1 += 1;
     }
 
-    fn start_process(&self, state: &mut OrdersState, upstream: usize) {
-        let forgets = self.mutated(Mutation::FormerOrdersForgotten);
-        let since = if forgets { Time::ZERO } else { state.now };
-        let mut record = Orders::new(since, HOLD);
-        record.report(state.now, &start(state.servers[upstream].life), 1);
-        state.records[upstream] = self.records.put(record);
+    fn restart_process(&self, state: &mut OrdersState, upstream: usize) {
+        let ignores = self.mutated(Mutation::EarlierOrdersIgnored);
+        let since = if ignores { Time::ZERO } else { state.now };
+        let mut orders = Orders::new(since, MAX_HOLD);
+        orders.report(state.now, &incarnation(state.servers[upstream].generation), 1);
+        state.orders[upstream] = self.orders.intern(orders);
         state.servers[upstream].connected = false;
-        state.flights.retain(|flight| flight.upstream != upstream);
+        state.pending.retain(|order| order.upstream != upstream);
         if state.owner == upstream {
-            state.token += STEP;
+            state.token += TOKEN_STEP;
             let wanted = if state.target.is_none() { wanted(state.token) } else { Vec::new() };
-            self.change(state, upstream, |orders| orders.set_wanted(&wanted));
+            self.update(state, upstream, |orders| orders.set_wanted(&wanted));
         }
         state.used.1 += 1;
     }
 
-    fn own(&self, state: &mut OrdersState, upstream: usize) {
-        state.token += STEP;
+    fn assign_owner(&self, state: &mut OrdersState, upstream: usize) {
+        state.token += TOKEN_STEP;
         state.owner = upstream;
         state.target = None;
         let wanted = wanted(state.token);
-        self.change(state, upstream, |orders| orders.set_wanted(&wanted));
+        self.update(state, upstream, |orders| orders.set_wanted(&wanted));
     }
 }
 
 impl OrdersState {
     /// Notes that an upstream takes the range under a token.
-    fn take(&mut self, upstream: usize, token: Token) {
-        let life = self.servers[upstream].life;
-        let (highest, holder, its) = self.highest;
-        if (holder, its) != (upstream, life) && token <= highest {
-            self.broken = Some("a token that is not above all earlier ones");
+    fn record_grant(&mut self, upstream: usize, token: Token) {
+        let generation = self.servers[upstream].generation;
+        let (highest, holder, generation_of_holder) = self.highest;
+        if (holder, generation_of_holder) != (upstream, generation) && token <= highest {
+            self.violation = Some("a token that is not above all earlier ones");
         }
         if token > highest {
-            self.highest = (token, upstream, life);
+            self.highest = (token, upstream, generation);
         }
     }
 }
@@ -264,68 +264,66 @@
 
     fn start(&self) -> OrdersState {
         let now = origin();
-        let server = Server { life: 1, seen: Token(0), until: Time::ZERO, connected: true };
-        let mut record = Orders::new(Time::ZERO, HOLD);
-        record.report(now, &start(1), 1);
+        let server =
+            Server { generation: 1, last_token: Token(0), until: Time::ZERO, connected: true };
+        let mut orders = Orders::new(Time::ZERO, MAX_HOLD);
+        orders.report(now, &incarnation(1), 1);
         let mut state = OrdersState {
             now,
-            servers: vec![server; UPSTREAMS],
-            records: vec![self.records.put(record); UPSTREAMS],
-            flights: Vec::new(),
+            servers: vec![server; UPSTREAM_COUNT],
+            orders: vec![self.orders.intern(orders); UPSTREAM_COUNT],
+            pending: Vec::new(),
             deferred: Vec::new(),
             owner: 0,
-            token: STEP,
+            token: TOKEN_STEP,
             target: None,
             highest: (Token(0), 0, 1),
-            broken: None,
+            violation: None,
             used: (0, 0, 0),
         };
-        self.change(&mut state, 0, |orders| orders.set_wanted(&wanted(STEP)));
+        self.update(&mut state, 0, |orders| orders.set_wanted(&wanted(TOKEN_STEP)));
         state
     }
 
     fn actions(&self, state: &OrdersState) -> Vec<Action> {
-        let Bounds { ticks, lost, starts, moves, lease } = self.bounds;
+        let Bounds { ticks, faults, restarts, moves, lease } = self.bounds;
         let mut actions = Vec::new();
         let end = origin() + ORDER_TIMEOUT * ticks;
-        if state.now < end && state.flights.iter().all(|flight| state.now < flight.issued.deadline)
-        {
+        if state.now < end && state.pending.iter().all(|order| state.now < order.issued.deadline) {
             actions.push(Action::Tick);
         }
-        let due = |upstream: &usize| self.decides(state, *upstream);
-        actions.extend((0..UPSTREAMS).filter(due).map(Action::Decide));
-        for (number, flight) in state.flights.iter().enumerate() {
-            if flight.travels {
-                actions.push(Action::Carry(number));
+        let due = |upstream: &usize| self.has_orders_due(state, *upstream);
+        actions.extend((0..UPSTREAM_COUNT).filter(due).map(Action::Decide));
+        for (number, order) in state.pending.iter().enumerate() {
+            if order.in_transit {
+                actions.push(Action::Execute(number));
             }
-            if flight.travels && state.used.0 < lost {
-                actions.extend([Action::Mute(number), Action::Defer(number)]);
+            if order.in_transit && state.used.0 < faults {
+                actions.extend([Action::ExecuteUnanswered(number), Action::Defer(number)]);
             }
-            if !flight.travels || state.now >= flight.issued.deadline {
-                actions.push(Action::GiveUp(number));
+            if !order.in_transit || state.now >= order.issued.deadline {
+                actions.push(Action::TimeOut(number));
             }
         }
-        actions.extend((0..state.deferred.len()).map(Action::Late));
-        for upstream in 0..UPSTREAMS {
-            if state.used.1 < starts && upstream == state.owner {
-                actions.extend([Action::Start(upstream), Action::Process(upstream)]);
+        actions.extend((0..state.deferred.len()).map(Action::ExecuteDeferred));
+        for upstream in 0..UPSTREAM_COUNT {
+            if state.used.1 < restarts && upstream == state.owner {
+                actions
+                    .extend([Action::RestartUpstream(upstream), Action::RestartProcess(upstream)]);
             }
-            let known = self
-                .records
-                .get(state.records[upstream])
-                .incarnation()
-                .map(|start| start.generation);
-            if known != Some(state.servers[upstream].life) {
+            let known =
+                self.orders.get(state.orders[upstream]).incarnation().map(|start| start.generation);
+            if known != Some(state.servers[upstream].generation) {
                 actions.push(Action::Report(upstream));
             }
         }
         if state.target.is_none() && state.used.2 < moves {
-            actions.push(Action::Move((state.owner + 1) % UPSTREAMS));
+            actions.push(Action::Move((state.owner + 1) % UPSTREAM_COUNT));
         }
-        let owner = self.records.get(state.records[state.owner]);
+        let owner = self.orders.get(state.orders[state.owner]);
         let held = owner.may_hold(state.now, &wanted(0)[0].keys);
         if state.target.is_some() && !held {
-            actions.push(Action::Pass);
+            actions.push(Action::Transfer);
         }
         if state.owner == 0
             && lease.is_some_and(|ticks| state.now >= origin() + ORDER_TIMEOUT * ticks)
@@ -340,52 +338,52 @@
         match *action {
             Action::Tick => next.now = next.now + ORDER_TIMEOUT,
             Action::Decide(upstream) => self.decide(&mut next, upstream),
-            Action::Carry(number) => {
-                let flight = next.flights.remove(number);
+            Action::Execute(number) => {
+                let order = next.pending.remove(number);
                 let now = next.now;
-                let answer = Self::carry(&mut next, flight.upstream, &flight.issued, now);
-                self.settle(&mut next, &flight, &answer);
+                let answer = Self::execute(&mut next, order.upstream, &order.issued, now);
+                self.settle(&mut next, &order, &answer);
             }
-            Action::Mute(number) => {
-                next.flights[number].travels = false;
-                let (flight, now) = (next.flights[number].clone(), next.now);
-                Self::carry(&mut next, flight.upstream, &flight.issued, now);
+            Action::ExecuteUnanswered(number) => {
+                next.pending[number].in_transit = false;
+                let (order, now) = (next.pending[number].clone(), next.now);
+                Self::execute(&mut next, order.upstream, &order.issued, now);
                 next.used.0 += 1;
             }
             Action::Defer(number) => {
-                next.flights[number].travels = false;
-                let Flight { upstream, issued, .. } = next.flights[number].clone();
+                next.pending[number].in_transit = false;
+                let PendingOrder { upstream, issued, .. } = next.pending[number].clone();
                 next.deferred.push(Deferred { upstream, issued, arrived: next.now });
                 next.used.0 += 1;
             }
-            Action::GiveUp(number) => {
-                let flight = next.flights.remove(number);
-                self.settle(&mut next, &flight, &Answer::Unknown);
+            Action::TimeOut(number) => {
+                let order = next.pending.remove(number);
+                self.settle(&mut next, &order, &Answer::Unknown);
             }
-            Action::Late(number) => {
+            Action::ExecuteDeferred(number) => {
                 let Deferred { upstream, issued, arrived } = next.deferred.remove(number);
-                Self::carry(&mut next, upstream, &issued, arrived);
+                Self::execute(&mut next, upstream, &issued, arrived);
             }
-            Action::Start(upstream) => Self::start_upstream(&mut next, upstream),
+            Action::RestartUpstream(upstream) => Self::restart_upstream(&mut next, upstream),
             Action::Report(upstream) => {
-                let start = start(next.servers[upstream].life);
+                let start = incarnation(next.servers[upstream].generation);
                 let now = next.now;
-                self.change(&mut next, upstream, |orders| orders.report(now, &start, 1));
+                self.update(&mut next, upstream, |orders| orders.report(now, &start, 1));
             }
-            Action::Process(upstream) => self.start_process(&mut next, upstream),
+            Action::RestartProcess(upstream) => self.restart_process(&mut next, upstream),
             Action::Move(upstream) => {
                 next.target = Some(upstream);
                 next.used.2 += 1;
                 let owner = next.owner;
-                self.change(&mut next, owner, |orders| orders.set_wanted(&[]));
+                self.update(&mut next, owner, |orders| orders.set_wanted(&[]));
             }
-            Action::Pass => {
+            Action::Transfer => {
                 let target = next.target.unwrap_or(next.owner);
-                self.own(&mut next, target);
+                self.assign_owner(&mut next, target);
             }
             Action::Takeover => {
-                self.change(&mut next, 0, |orders| orders.set_wanted(&[]));
-                self.own(&mut next, 1);
+                self.update(&mut next, 0, |orders| orders.set_wanted(&[]));
+                self.assign_owner(&mut next, 1);
             }
         }
         next
@@ -393,7 +391,7 @@
 
     fn violation(&self, state: &OrdersState) -> Option<String> {
         let holders = state.servers.iter().filter(|server| state.now < server.until).count();
-        let broken = state.broken.or((holders > 1).then_some("two upstreams hold the range"));
+        let broken = state.violation.or((holders > 1).then_some("two upstreams hold the range"));
         broken.map(str::to_owned)
     }
 }
@@ -403,7 +401,7 @@
     Time::from_millis(10_000)
 }
 
-fn start(generation: u64) -> Incarnation {
+fn incarnation(generation: u64) -> Incarnation {
     Incarnation { instance: "i-1".into(), generation }
 }
 
--- a/acaciaring_model/src/search.rs
+++ b/acaciaring_model/src/search.rs
@@ -29,7 +29,7 @@
     /// Events in order.
     pub steps: Vec<String>,
     /// Property that the last state breaks.
-    pub broken: String,
+    pub violation: String,
 }
 
 impl Display for Trace {
@@ -37,7 +37,7 @@
         for (number, step) in (1..).zip(&self.steps) {
             writeln!(out, "{number:>3}. {step}")?;
         }
-        write!(out, "  => {}", self.broken)
+        write!(out, "  => {}", self.violation)
     }
 }
 
@@ -60,20 +60,20 @@
     };
     let path = bfs(&model.start(), successors, |state| model.violation(state).is_some());
     let trace = path.map(|path| Trace {
-        steps: path.windows(2).map(|pair| step(model, &pair[0], &pair[1])).collect(),
-        broken: path.last().and_then(|last| model.violation(last)).unwrap_or_default(),
+        steps: path.windows(2).map(|pair| describe_step(model, &pair[0], &pair[1])).collect(),
+        violation: path.last().and_then(|last| model.violation(last)).unwrap_or_default(),
     });
     Report { states, trace }
 }
 
 /// Counts the states from which no state with `goal` can be reached, with all states.
-pub fn stuck<M: Model>(model: &M, goal: impl Fn(&M::State) -> bool) -> (usize, usize) {
+pub fn count_stuck_states<M: Model>(model: &M, goal: impl Fn(&M::State) -> bool) -> (usize, usize) {
     let (states, parents) = graph(model);
     let mut reaches = vec![false; states.len()];
-    let mut open: Vec<usize> = (0..states.len()).filter(|index| goal(&states[*index])).collect();
-    while let Some(index) = open.pop() {
+    let mut pending: Vec<usize> = (0..states.len()).filter(|index| goal(&states[*index])).collect();
+    while let Some(index) = pending.pop() {
         if !std::mem::replace(&mut reaches[index], true) {
-            open.extend(parents[index].iter().copied().filter(|parent| !reaches[*parent]));
+            pending.extend(parents[index].iter().copied().filter(|parent| !reaches[*parent]));
         }
     }
     (reaches.iter().filter(|reaches| !**reaches).count(), states.len())
@@ -100,7 +100,7 @@
     (states, parents)
 }
 
-fn step<M: Model>(model: &M, from: &M::State, to: &M::State) -> String {
+fn describe_step<M: Model>(model: &M, from: &M::State, to: &M::State) -> String {
     let actions = model.actions(from);
     let action = actions.iter().find(|action| model.next(from, action) == *to);
     action.map_or_else(String::new, |action| format!("{action:?}"))
--- a/acaciaring_model/src/takeover/fold.rs
+++ b/acaciaring_model/src/takeover/fold.rs
@@ -5,7 +5,7 @@
 use acaciaring_core::UnitId;
 use acaciaring_core::state::{Assignment, State};
 
-use super::{HOT, Kind, MEMBERS, Proposal, TakeoverModel};
+use super::{HOT_KEY, Kind, MEMBERS, Proposal, TakeoverModel};
 use crate::mutation::Mutation;
 use crate::records::{self, WORKSPACE, record};
 
@@ -43,11 +43,11 @@
         let body = match proposal.kind {
             Kind::Switchover => records::switchover(member, proposal.version),
             Kind::Leave => {
-                let unread = self.mutated(Mutation::LeaveUnread);
+                let unread = self.mutated(Mutation::LeaveBeforeFold);
                 records::leave(member, if unread { offset } else { proposal.read })
             }
             Kind::Handoff => records::handoff(member, target, proposal.version),
-            Kind::Split => records::split(member, proposal.version, HOT),
+            Kind::Split => records::split(member, proposal.version, HOT_KEY),
             Kind::Evict(lost) => {
                 let lessors = state.member(MEMBERS[lost]).map(|member| member.lessors.clone());
                 records::evict(MEMBERS[lost], proposal.version, &lessors.unwrap_or_default())
--- a/acaciaring_model/src/takeover/mod.rs
+++ b/acaciaring_model/src/takeover/mod.rs
@@ -17,16 +17,16 @@
 use self::fold::{Fold, base};
 pub use self::state::{Action, Kind, Process, Proposal, Release, TakeoverState};
 use crate::mutation::Mutation;
-use crate::pool::{Handle, Pool};
+use crate::pool::{Handle, Interner};
 use crate::records::WORKSPACE;
 use crate::search::Model;
 
 /// Members, by their ids in the base of the log.
 pub const MEMBERS: [MemberId; 3] = [MemberId(3), MemberId(4), MemberId(5)];
 /// Hot key that may be split out of the slot.
-const HOT: u64 = 7;
+const HOT_KEY: u64 = 7;
 /// Another key of the slot.
-const COLD: u64 = 8;
+const COLD_KEY: u64 = 8;
 
 /// Bounds of a search.
 pub struct TakeoverModel {
@@ -38,7 +38,7 @@
     pub proposals: usize,
     /// Most members that lose their lease.
     pub losses: usize,
-    rights: Pool<Rights>,
+    rights: Interner<Rights>,
     base: State,
     folds: RefCell<HashMap<Vec<Proposal>, Rc<Fold>>>,
     /// Which keys a process may serve, by all that decides it.
@@ -59,7 +59,7 @@
             kinds: kinds.to_vec(),
             proposals,
             losses,
-            rights: Pool::default(),
+            rights: Interner::default(),
             base: base(),
             folds: RefCell::default(),
             served: RefCell::default(),
@@ -104,11 +104,11 @@
         }
         for other in (0..3).filter(|other| !state.processes[*other].leased) {
             if !process.expired[other] {
-                actions.push(Action::Learn(number, other));
+                actions.push(Action::LearnExpiry(number, other));
             }
         }
         if state.processes.iter().filter(|process| !process.leased).count() < self.losses {
-            actions.push(Action::Lose(number));
+            actions.push(Action::LoseLease(number));
         }
         actions
     }
@@ -119,7 +119,7 @@
     type Action = Action;
 
     fn start(&self) -> TakeoverState {
-        let rights = self.rights.put(Rights::new());
+        let rights = self.rights.intern(Rights::new());
         let process = Process { applied: 0, rights, leased: true, expired: [false; 3] };
         let mut state = TakeoverState {
             log: Vec::new(),
@@ -135,15 +135,15 @@
     fn actions(&self, state: &TakeoverState) -> Vec<Action> {
         let mut actions: Vec<Action> = (0..3).flat_map(|n| self.actions_of(state, n)).collect();
         actions.extend(state.appends.iter().copied().map(Action::Append));
-        let heard = |release: &&Release| state.processes[release.to].leased;
-        actions.extend(state.releases.iter().filter(heard).copied().map(Action::Receive));
+        let deliverable = |release: &&Release| state.processes[release.to].leased;
+        actions.extend(state.releases.iter().filter(deliverable).copied().map(Action::Receive));
         actions
     }
 
     fn next(&self, state: &TakeoverState, action: &Action) -> TakeoverState {
         let mut state = state.clone();
         match *action {
-            Action::Fold(number) => self.fold_one(&mut state, number),
+            Action::Fold(number) => self.fold_record(&mut state, number),
             Action::Propose(proposal) => self.propose(&mut state, proposal),
             Action::Append(proposal) => {
                 state.appends.retain(|other| *other != proposal);
@@ -151,8 +151,8 @@
             }
             Action::Release(number, unit) => self.release(&mut state, number, unit),
             Action::Receive(release) => self.receive(&mut state, release),
-            Action::Lose(number) => state.processes[number].leased = false,
-            Action::Learn(number, other) => {
+            Action::LoseLease(number) => state.processes[number].leased = false,
+            Action::LearnExpiry(number, other) => {
                 state.processes[number].expired[other] = true;
                 self.refresh(&mut state, number);
             }
@@ -162,7 +162,7 @@
 
     fn violation(&self, state: &TakeoverState) -> Option<String> {
         let serves: Vec<[bool; 2]> = (0..3).map(|number| self.serves(state, number)).collect();
-        for (index, key) in [HOT, COLD].into_iter().enumerate() {
+        for (index, key) in [HOT_KEY, COLD_KEY].into_iter().enumerate() {
             let able: Vec<usize> = (0..3).filter(|number| serves[*number][index]).collect();
             if able.len() > 1 {
                 return Some(format!("members {able:?} may all serve key {key}"));
@@ -188,7 +188,7 @@
 }
 
 /// Adds a value to a sorted list without duplicates.
-fn add<T: Ord>(list: &mut Vec<T>, value: T) {
+fn insert_sorted<T: Ord>(list: &mut Vec<T>, value: T) {
     if let Err(index) = list.binary_search(&value) {
         list.insert(index, value);
     }
--- a/acaciaring_model/src/takeover/rights.rs
+++ b/acaciaring_model/src/takeover/rights.rs
@@ -5,7 +5,7 @@
 use acaciaring_core::state::State;
 use acaciaring_core::{KeyHash, Time, UnitId};
 
-use super::{COLD, HOT, MEMBERS, TakeoverModel, TakeoverState};
+use super::{COLD_KEY, HOT_KEY, MEMBERS, TakeoverModel, TakeoverState};
 use crate::mutation::Mutation;
 use crate::records::WORKSPACE;
 
@@ -54,7 +54,7 @@
             return *serves;
         }
         let service = fold.state.service(WORKSPACE).expect("the base publishes the service");
-        let serves = [HOT, COLD].map(|key| {
+        let serves = [HOT_KEY, COLD_KEY].map(|key| {
             let unit = service.unit_of(KeyHash(key));
             let mut rights = Rights::clone(&self.rights.get(process.rights));
             self.right(state, number, &mut rights, unit)
@@ -70,7 +70,7 @@
         for (unit, _) in units {
             self.right(state, number, &mut rights, unit);
         }
-        state.processes[number].rights = self.rights.put(rights);
+        state.processes[number].rights = self.rights.intern(rights);
     }
 }
 
--- a/acaciaring_model/src/takeover/state.rs
+++ b/acaciaring_model/src/takeover/state.rs
@@ -78,7 +78,7 @@
     /// A release arrives.
     Receive(Release),
     /// A member loses its lease for good.
-    Lose(usize),
+    LoseLease(usize),
     /// A member has got a majority of votes about another.
-    Learn(usize, usize),
+    LearnExpiry(usize, usize),
 }
--- a/acaciaring_model/src/takeover/step.rs
+++ b/acaciaring_model/src/takeover/step.rs
@@ -3,14 +3,16 @@
 use acaciaring_core::rights::Rights;
 use acaciaring_core::{KeyHash, UnitId};
 
-use super::{HOT, Kind, MEMBERS, Proposal, Release, TakeoverModel, TakeoverState, add};
+use super::{
+    HOT_KEY, Kind, MEMBERS, Proposal, Release, TakeoverModel, TakeoverState, insert_sorted,
+};
 use crate::mutation::Mutation;
 
 impl TakeoverModel {
     pub(super) fn proposals(&self, state: &TakeoverState, number: usize) -> Vec<Proposal> {
         let process = &state.processes[number];
-        let open = state.appends.iter().chain(&state.log[process.applied..]);
-        if open.into_iter().any(|proposal| proposal.by == number) {
+        let unfolded = state.appends.iter().chain(&state.log[process.applied..]);
+        if unfolded.into_iter().any(|proposal| proposal.by == number) {
             return Vec::new();
         }
         let fold = self.view(state, number);
@@ -58,7 +60,7 @@
 
     pub(super) fn propose(&self, state: &mut TakeoverState, proposal: Proposal) {
         let slot = UnitId::slot(0);
-        self.rights.change(&mut state.processes[proposal.by].rights, |rights| {
+        self.rights.update(&mut state.processes[proposal.by].rights, |rights| {
             match proposal.kind {
                 Kind::Handoff if !self.mutated(Mutation::RoleKept) => {
                     rights.renounce(&self.workspace, slot, proposal.version);
@@ -76,23 +78,23 @@
             }
         });
         state.proposals += usize::from(!matches!(proposal.kind, Kind::Evict(_)));
-        add(&mut state.appends, proposal);
+        insert_sorted(&mut state.appends, proposal);
         self.refresh(state, proposal.by);
     }
 
-    pub(super) fn fold_one(&self, state: &mut TakeoverState, number: usize) {
+    pub(super) fn fold_record(&self, state: &mut TakeoverState, number: usize) {
         let proposal = state.log[state.processes[number].applied];
         state.processes[number].applied += 1;
         let fold = self.view(state, number);
         if proposal.by == number {
-            self.rights.change(&mut state.processes[number].rights, |rights| match proposal.kind {
+            self.rights.update(&mut state.processes[number].rights, |rights| match proposal.kind {
                 Kind::Handoff | Kind::Leave if !fold.applied => {
                     rights.cancel_renounce(&self.workspace, UnitId::slot(0), proposal.version);
                     rights.cancel_leave();
                 }
                 Kind::Split => {
                     if fold.applied {
-                        let key = UnitId { slot: 0, key: Some(KeyHash(HOT)) };
+                        let key = UnitId { slot: 0, key: Some(KeyHash(HOT_KEY)) };
                         rights.inherit(&self.workspace, key);
                     }
                     rights.end_change(&self.workspace, 0);
@@ -102,7 +104,7 @@
         }
         if fold.moved.is_none() {
             let prune = |rights: &mut Rights| rights.prune(MEMBERS[number], &fold.state);
-            self.rights.change(&mut state.processes[number].rights, prune);
+            self.rights.update(&mut state.processes[number].rights, prune);
         }
         self.refresh(state, number);
     }
@@ -137,9 +139,9 @@
         let version = assignment.version;
         let receivers = self.receivers(state, number, unit);
         let rights = &mut state.processes[number].rights;
-        if self.rights.change(rights, |rights| rights.release(&self.workspace, unit, &assignment)) {
+        if self.rights.update(rights, |rights| rights.release(&self.workspace, unit, &assignment)) {
             for to in receivers {
-                add(&mut state.releases, Release { from: number, to, unit, version });
+                insert_sorted(&mut state.releases, Release { from: number, to, unit, version });
             }
         }
         self.refresh(state, number);
@@ -147,7 +149,7 @@
 
     pub(super) fn receive(&self, state: &mut TakeoverState, release: Release) {
         let Release { from, to, unit, version } = release;
-        self.rights.change(&mut state.processes[to].rights, |rights| {
+        self.rights.update(&mut state.processes[to].rights, |rights| {
             rights.record_release(MEMBERS[from], &self.workspace, unit, version);
         });
         self.refresh(state, to);
--- a/acaciaring_model/tests/config.rs
+++ b/acaciaring_model/tests/config.rs
@@ -4,7 +4,7 @@
 use acaciaring_model::config::ConfigModel;
 use acaciaring_model::search::search;
 
-fn finds(mutation: Mutation) {
+fn assert_counterexample(mutation: Mutation) {
     let report = search(&ConfigModel::new(Some(mutation)));
     let trace = report.trace.expect("the search finds a counterexample");
     println!("{mutation:?}, after {} states:\n{trace}", report.states);
@@ -22,7 +22,7 @@
 
 #[test]
 fn removed_guards_are_found() {
-    finds(Mutation::NewRecordId);
-    finds(Mutation::AcceptedEarly);
-    finds(Mutation::SnapshotWithoutOffset);
+    assert_counterexample(Mutation::NewRecordId);
+    assert_counterexample(Mutation::AcceptedEarly);
+    assert_counterexample(Mutation::SnapshotWithoutOffset);
 }
--- a/acaciaring_model/tests/lease.rs
+++ b/acaciaring_model/tests/lease.rs
@@ -1,7 +1,7 @@
 //! Searches of the lease model.
 
 use acaciaring_model::Mutation;
-use acaciaring_model::lease::{Exchange, LeaseModel};
+use acaciaring_model::lease::{ChangeMode, LeaseModel};
 use acaciaring_model::search::search;
 
 fn majority() -> LeaseModel {
@@ -25,11 +25,11 @@
 }
 
 /// A request waits between check and write while the lessors change.
-fn promise() -> LeaseModel {
-    LeaseModel { exchange: Exchange::Asked, write: true, ..change() }
+fn prepared_change() -> LeaseModel {
+    LeaseModel { change_mode: ChangeMode::Prepared, write: true, ..change() }
 }
 
-fn holds(name: &str, model: &LeaseModel) {
+fn assert_no_violation(name: &str, model: &LeaseModel) {
     let start = std::time::Instant::now();
     let report = search(model);
     println!("{name}: {} states in {:?}", report.states, start.elapsed());
@@ -38,7 +38,7 @@
     }
 }
 
-fn finds(mutation: Mutation, model: LeaseModel) {
+fn assert_counterexample(mutation: Mutation, model: LeaseModel) {
     let report = search(&LeaseModel { mutation: Some(mutation), ..model });
     let trace = report.trace.expect("the search finds a counterexample");
     println!("{mutation:?}, after {} states:\n{trace}", report.states);
@@ -46,54 +46,54 @@
 
 #[test]
 fn majority_of_votes_ends_the_lease() {
-    holds("lease, three lessors", &majority());
+    assert_no_violation("lease, three lessors", &majority());
 }
 
 #[test]
 fn change_of_lessors_is_safe() {
-    holds("lease, change of lessors", &change());
+    assert_no_violation("lease, change of lessors", &change());
 }
 
 #[test]
 fn death_of_a_lessor_is_safe() {
-    holds("lease, death of a lessor during a change", &death());
+    assert_no_violation("lease, death of a lessor during a change", &death());
 }
 
 #[test]
 fn restarts_are_safe() {
-    holds("lease, restarts", &restart());
+    assert_no_violation("lease, restarts", &restart());
 }
 
 #[test]
 fn paused_write_is_safe() {
-    holds("lease, pause before the write", &write());
+    assert_no_violation("lease, pause before the write", &write());
 }
 
 #[test]
-fn what_was_promised_outlasts_no_exchange() {
-    holds("lease, pause before the write during a change", &promise());
+fn paused_write_during_a_prepared_change_is_safe() {
+    assert_no_violation("lease, pause before the write during a change", &prepared_change());
 }
 
 #[test]
 fn removed_guards_of_grants_are_found() {
-    finds(Mutation::GrantAfterVote, majority());
-    finds(Mutation::VoteEarly, majority());
-    finds(Mutation::CountFromReceipt, majority());
-    finds(Mutation::FenceWithoutEnd, write());
+    assert_counterexample(Mutation::GrantAfterVote, majority());
+    assert_counterexample(Mutation::VoteEarly, majority());
+    assert_counterexample(Mutation::CountFromReceipt, majority());
+    assert_counterexample(Mutation::FenceWithoutEnd, write());
 }
 
 #[test]
 fn removed_guards_of_identities_are_found() {
-    finds(Mutation::RestartKeepsIdentity, restart());
-    finds(Mutation::OldIdentityVotes, restart());
+    assert_counterexample(Mutation::RestartKeepsIdentity, restart());
+    assert_counterexample(Mutation::OldIdentityVotes, restart());
 }
 
 #[test]
 fn removed_guards_of_a_change_are_found() {
-    finds(Mutation::ProposalNotNeeded, change());
-    finds(Mutation::ProposeUnready, promise());
-    finds(Mutation::OldSetDropped, change());
-    finds(Mutation::VersionIgnored, change());
-    finds(Mutation::DeathCountsAtOnce, death());
-    finds(Mutation::DeadSupersedes, death());
+    assert_counterexample(Mutation::ProposalSkipped, change());
+    assert_counterexample(Mutation::ProposeUnready, prepared_change());
+    assert_counterexample(Mutation::OldSetDropped, change());
+    assert_counterexample(Mutation::VersionIgnored, change());
+    assert_counterexample(Mutation::DeathCountsAtOnce, death());
+    assert_counterexample(Mutation::DeadSupersedes, death());
 }
--- a/acaciaring_model/tests/takeover.rs
+++ b/acaciaring_model/tests/takeover.rs
@@ -1,12 +1,12 @@
 //! Searches of the takeover model.
 
 use acaciaring_model::Mutation;
-use acaciaring_model::search::{search, stuck};
+use acaciaring_model::search::{count_stuck_states, search};
 use acaciaring_model::takeover::{Kind, TakeoverModel};
 
 const MOVES: [Kind; 2] = [Kind::Switchover, Kind::Handoff];
 
-fn holds(name: &str, model: &TakeoverModel) {
+fn assert_no_violation(name: &str, model: &TakeoverModel) {
     let start = std::time::Instant::now();
     let report = search(model);
     println!("{name}: {} states in {:?}", report.states, start.elapsed());
@@ -15,7 +15,7 @@
     }
 }
 
-fn finds(mutation: Mutation, mut model: TakeoverModel) {
+fn assert_counterexample(mutation: Mutation, mut model: TakeoverModel) {
     model.mutation = Some(mutation);
     let report = search(&model);
     let trace = report.trace.expect("the search finds a counterexample");
@@ -24,25 +24,31 @@
 
 #[test]
 fn moves_and_losses_keep_one_owner() {
-    holds("takeover, two moves and a loss", &TakeoverModel::new(&MOVES, 2, 1));
-    holds("takeover, a move and two losses", &TakeoverModel::new(&MOVES, 1, 2));
+    assert_no_violation("takeover, two moves and a loss", &TakeoverModel::new(&MOVES, 2, 1));
+    assert_no_violation("takeover, a move and two losses", &TakeoverModel::new(&MOVES, 1, 2));
 }
 
 #[test]
 fn leaves_keep_one_owner() {
-    holds("takeover, leave", &TakeoverModel::new(&[Kind::Leave, Kind::Switchover], 2, 1));
+    assert_no_violation(
+        "takeover, leave",
+        &TakeoverModel::new(&[Kind::Leave, Kind::Switchover], 2, 1),
+    );
 }
 
 #[test]
 fn split_keeps_one_owner() {
-    holds("takeover, split", &TakeoverModel::new(&[Kind::Split, Kind::Switchover], 2, 1));
+    assert_no_violation(
+        "takeover, split",
+        &TakeoverModel::new(&[Kind::Split, Kind::Switchover], 2, 1),
+    );
 }
 
 // Whatever has happened, with one member left the slot can be served again.
 #[test]
 fn slot_is_never_lost() {
     let model = TakeoverModel::new(&MOVES, 1, 2);
-    let (count, states) = stuck(&model, |state| model.served(state));
+    let (count, states) = count_stuck_states(&model, |state| model.served(state));
     println!("takeover, progress: {count} of {states} states stuck");
     assert_eq!(count, 0);
     assert!(states > 1000);
@@ -50,12 +56,12 @@
 
 #[test]
 fn removed_guards_of_moves_are_found() {
-    finds(Mutation::PriorIgnored, TakeoverModel::new(&MOVES, 2, 1));
-    finds(Mutation::RoleKept, TakeoverModel::new(&MOVES, 2, 1));
-    finds(Mutation::MoveBeforeServing, TakeoverModel::new(&[Kind::Leave], 2, 0));
-    finds(Mutation::LeaveUnread, TakeoverModel::new(&[Kind::Leave], 2, 0));
-    finds(Mutation::RoleRegained, TakeoverModel::new(&[Kind::Leave], 2, 1));
-    finds(Mutation::MoveWithoutConsent, TakeoverModel::new(&[Kind::Move], 1, 1));
+    assert_counterexample(Mutation::PriorIgnored, TakeoverModel::new(&MOVES, 2, 1));
+    assert_counterexample(Mutation::RoleKept, TakeoverModel::new(&MOVES, 2, 1));
+    assert_counterexample(Mutation::MoveBeforeServing, TakeoverModel::new(&[Kind::Leave], 2, 0));
+    assert_counterexample(Mutation::LeaveBeforeFold, TakeoverModel::new(&[Kind::Leave], 2, 0));
+    assert_counterexample(Mutation::RoleRegained, TakeoverModel::new(&[Kind::Leave], 2, 1));
+    assert_counterexample(Mutation::MoveToNonStandby, TakeoverModel::new(&[Kind::Move], 1, 1));
     let split = [Kind::Split, Kind::Switchover];
-    finds(Mutation::ReleaseBeforeSettled, TakeoverModel::new(&split, 2, 1));
+    assert_counterexample(Mutation::ReleaseBeforeSettled, TakeoverModel::new(&split, 2, 1));
 }
