--- a/acaciaring_model/src/config.rs
+++ b/acaciaring_model/src/config.rs
@@ -6,8 +6,8 @@
 use acaciaring_core::state::{Outcome, State};
 use acaciaring_core::{MemberId, Offset, route::DocumentKind};
 
+use crate::interner::{Handle, Interner};
 use crate::mutation::Mutation;
-use crate::pool::{Handle, Interner};
 use crate::records::{self, TEMPLATE, record};
 use crate::search::Model;
 
--- a/acaciaring_model/src/lease/mod.rs
+++ b/acaciaring_model/src/lease/mod.rs
@@ -10,8 +10,8 @@
 use acaciaring_core::{MemberId, Offset, Time};
 
 pub use self::state::{Action, Change, ChangeMode, Entry, LeaseState, Message};
+use crate::interner::Interner;
 use crate::mutation::Mutation;
-use crate::pool::Interner;
 use crate::search::Model;
 
 /// Version of the first lessor set.
--- a/acaciaring_model/src/lease/state.rs
+++ b/acaciaring_model/src/lease/state.rs
@@ -2,7 +2,7 @@
 
 use acaciaring_core::{MemberId, Offset, Time};
 
-use crate::pool::Handle;
+use crate::interner::Handle;
 
 /// Record in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/acaciaring_model/src/lib.rs
+++ b/acaciaring_model/src/lib.rs
@@ -5,10 +5,10 @@
 //! [`Mutation`]; the search then has to find a counterexample.
 
 pub mod config;
+pub mod interner;
 pub mod lease;
 mod mutation;
 pub mod orders;
-pub mod pool;
 pub mod records;
 pub mod search;
 pub mod takeover;
--- a/acaciaring_model/src/orders.rs
+++ b/acaciaring_model/src/orders.rs
@@ -10,8 +10,8 @@
 use acaciaring_core::orders::{Action as OrderAction, Answer, Issued, ORDER_TIMEOUT, Orders};
 use acaciaring_core::{Name, Time, Token, UnitId};
 
+use crate::interner::{Handle, Interner};
 use crate::mutation::Mutation;
-use crate::pool::{Handle, Interner};
 use crate::search::Model;
 
 /// Upstreams, each with the process beside it.
--- a/acaciaring_model/src/takeover/mod.rs
+++ b/acaciaring_model/src/takeover/mod.rs
@@ -16,8 +16,8 @@
 
 use self::fold::{Fold, base};
 pub use self::state::{Action, Kind, Process, Proposal, Release, TakeoverState};
+use crate::interner::{Handle, Interner};
 use crate::mutation::Mutation;
-use crate::pool::{Handle, Interner};
 use crate::records::WORKSPACE;
 use crate::search::Model;
 
--- a/acaciaring_model/src/takeover/state.rs
+++ b/acaciaring_model/src/takeover/state.rs
@@ -2,7 +2,7 @@
 
 use acaciaring_core::{Offset, UnitId};
 
-use crate::pool::Handle;
+use crate::interner::Handle;
 
 /// Kind of record that a member may propose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
