--- a/acaciaring_model/src/config.rs
+++ b/acaciaring_model/src/config.rs
@@ -1,4 +1,5 @@
-//! Model of configuration: operators race on a document, members fold, join and are evicted.
+//! Model of configuration changes: two operators publish the same document concurrently while
+//! members fold the log, join and are evicted.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,22 +12,22 @@
 use crate::records::{self, TEMPLATE, record};
 use crate::search::Model;
 
-/// Members that are there at the start.
+/// Members that have joined in the initial state.
 const FIRST_MEMBER: MemberId = MemberId(2);
 const SECOND_MEMBER: MemberId = MemberId(3);
-/// Most tries of one append.
+/// Maximum number of attempts of one append.
 const MAX_ATTEMPTS: usize = 2;
 
 /// Record in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Entry {
-    /// Change of the document by an operator, with the number of the try.
+    /// Change of the document by an operator.
     Publish {
         /// Operator.
         operator: usize,
         /// Version that the change replaces.
         base: Offset,
-        /// Number of the try.
+        /// Index of the attempt, from 0.
         attempt: usize,
     },
     /// The third member joins.
@@ -35,21 +36,21 @@
     Evict,
 }
 
-/// What an operator has been told.
+/// Latest answer that an operator has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Reply {
-    /// Nothing final.
+    /// The outcome is not known yet.
     Pending,
-    /// The change at this offset is in force everywhere.
+    /// Every member has folded the change at this offset.
     Accepted(Offset),
-    /// Another change came first.
+    /// The change was rejected, as another one preceded it.
     Conflict,
 }
 
-/// Operator with at most one change.
+/// Operator that publishes at most one change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Operator {
-    /// Version that the change replaces, none before the change.
+    /// Version that the change replaces; none until the change is sent.
     base: Option<Offset>,
     attempts: usize,
     reply: Reply,
@@ -60,7 +61,7 @@
 pub struct ConfigState {
     log: Vec<Entry>,
     appends: Vec<Entry>,
-    /// Folded state of each member; the third starts later.
+    /// Folded state of each member; none until the third member starts.
     members: [Option<Handle>; 3],
     operators: [Operator; 2],
     evicting: bool,
@@ -69,39 +70,39 @@
 /// Event at an operator, a member or the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// An operator sends a change, which the first member reads as current.
+    /// An operator sends a change that replaces the version known to the first member.
     Publish(usize),
-    /// An operator has had no answer and sends the change again.
+    /// An operator without a final answer retries its change.
     Retry(usize),
-    /// The log takes a record.
+    /// The log appends a record.
     Append(Entry),
     /// A member folds the next record.
     Fold(usize),
-    /// A member that lags behind restores the snapshot of the first one.
+    /// A member that has folded less than the first one restores the latter's snapshot.
     Restore(usize),
-    /// The third member starts from a snapshot of this one and sends its `Join`.
+    /// The third member starts from a snapshot of this member and sends its `Join`.
     Start(usize),
-    /// The second member's lease is over and the first one evicts it.
+    /// The second member's lease has expired and the first member evicts it.
     Evict,
-    /// An operator asks the first member.
+    /// An operator queries the outcome of its change at the first member.
     Query(usize),
 }
 
-/// The model, with every state that a member can have.
+/// Model of configuration changes, with the folded states that members can have.
 pub struct ConfigModel {
     mutation: Option<Mutation>,
     states: Interner<State>,
     base: Handle,
-    /// First offset after the base.
+    /// First offset after the base state.
     first: Offset,
-    /// Each record is folded into each state once.
+    /// Cache of folds, by state and record.
     folds: RefCell<HashMap<(Handle, Entry), (Handle, Outcome)>>,
-    /// Each state is written as a snapshot and restored once.
+    /// Cache of states restored from the snapshot of a state.
     restores: RefCell<HashMap<Handle, Handle>>,
 }
 
 impl ConfigModel {
-    /// Makes the model, with a guard removed if one is named.
+    /// Creates the model, optionally with a guard removed.
     #[must_use]
     pub fn new(mutation: Option<Mutation>) -> Self {
         let states = Interner::default();
@@ -121,7 +122,7 @@
         self.mutation == Some(mutation)
     }
 
-    /// Returns the identity of a record over its tries.
+    /// Returns the number of a record's id, which is the same for all attempts.
     fn record_id(&self, entry: Entry) -> u64 {
         match entry {
             Entry::Publish { operator, attempt, .. } => {
@@ -150,7 +151,7 @@
         (next, outcome)
     }
 
-    /// Returns the offset and the outcome of an operator's change in a part of the log.
+    /// Returns the offset and the outcome of an operator's change in a prefix of the log.
     fn outcome(&self, log: &[Entry], operator: usize, attempt: usize) -> Option<(Offset, Outcome)> {
         let wanted = |entry: &Entry| match entry {
             Entry::Publish { operator: by, base, .. } => {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Restores the snapshot that a member writes of its state.
+    /// Returns the state restored from the snapshot of a state.
     fn restored(&self, handle: Handle) -> Handle {
         if let Some(restored) = self.restores.borrow().get(&handle) {
             return *restored;
@@ -334,7 +335,7 @@
                         let document = folded.document(DocumentKind::Template, TEMPLATE);
                         if document.is_none_or(|published| published.version < offset) {
                             return Some(format!(
-                                "member {member} serves without the accepted change at {offset}"
+                                "member {member} may serve without the change accepted at {offset}"
                             ));
                         }
                     }
@@ -346,7 +347,7 @@
                     };
                     if (0..operator.attempts).any(applied) {
                         return Some(format!(
-                            "operator {number} was told of a conflict, yet the change was made"
+                            "operator {number} received a conflict although its change was applied"
                         ));
                     }
                 }
@@ -356,7 +357,7 @@
     }
 }
 
-/// Returns the state with one document and two members.
+/// Returns the base state, with one document and two members.
 fn base() -> State {
     let bodies = [records::template(0, false), records::join(0), records::join(1)];
     let mut state = State::default();
--- a/acaciaring_model/src/interner.rs
+++ b/acaciaring_model/src/interner.rs
@@ -1,15 +1,15 @@
-//! Shared parts of states: equal values are kept once, so that a state is small.
+//! Interning of values: equal parts of states are stored once, which keeps states small.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::rc::Rc;
 
-/// Number of a value in a [`Interner`]; equal values have equal numbers.
+/// Index of a value in an [`Interner`]; equal values have equal indexes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Handle(u32);
 
-/// Values that many states share.
+/// Set of values that states refer to by [`Handle`].
 #[derive(Debug, Clone)]
 pub struct Interner<T> {
     inner: RefCell<Inner<T>>,
@@ -28,29 +28,32 @@
 }
 
 impl<T: Clone + Eq + Hash> Interner<T> {
-    /// Adds a value, unless an equal one is there.
+    /// Returns the handle of a value, which is added unless an equal one exists.
     ///
     /// # Panics
     ///
-    /// Panics at more than `u32::MAX` values.
+    /// Panics if there are more than `u32::MAX` values.
     pub fn intern(&self, value: T) -> Handle {
         let mut inner = self.inner.borrow_mut();
         if let Some(handle) = inner.handles.get(&value) {
             return *handle;
         }
-        let handle = Handle(u32::try_from(inner.values.len()).expect("a search is smaller"));
+        let handle = Handle(
+            u32::try_from(inner.values.len())
+                .expect("the number of interned values fits in 32 bits"),
+        );
         let value = Rc::new(value);
         inner.values.push(Rc::clone(&value));
         inner.handles.insert(value, handle);
         handle
     }
 
-    /// Returns a value.
+    /// Returns the value of a handle.
     pub fn get(&self, handle: Handle) -> Rc<T> {
         Rc::clone(&self.inner.borrow().values[handle.0 as usize])
     }
 
-    /// Replaces a value by a changed copy and returns what the change returns.
+    /// Points the handle to a modified copy of its value and returns the closure's result.
     pub fn update<R>(&self, handle: &mut Handle, change: impl FnOnce(&mut T) -> R) -> R {
         let mut value = T::clone(&self.get(*handle));
         let result = change(&mut value);
--- a/acaciaring_model/src/lease/mod.rs
+++ b/acaciaring_model/src/lease/mod.rs
@@ -1,4 +1,4 @@
-//! Model of leases: one holder, its lessors, and whoever counts votes.
+//! Model of leases: one holder, its lessors, and members that count their votes.
 
 mod state;
 mod step;
@@ -20,32 +20,33 @@
 const SECOND_VERSION: Offset = 20;
 /// Identity of the holder before and after its restart.
 const HOLDERS: [MemberId; 2] = [MemberId(10), MemberId(15)];
+
 /// Bounds of a search; one tick of the clock is a millisecond.
 #[derive(Debug, Clone)]
 pub struct LeaseModel {
-    /// Guard that is removed.
+    /// Guard to remove; none for the complete protocol.
     pub mutation: Option<Mutation>,
-    /// Lessors of the first set, by number.
+    /// Indexes of the lessors in the first set.
     pub first: Vec<usize>,
-    /// Lessors of the second set, empty when the set does not change.
+    /// Indexes of the lessors in the second set; empty when the set does not change.
     pub second: Vec<usize>,
-    /// Last tick.
+    /// Time of the last tick, in milliseconds.
     pub horizon: u64,
-    /// Most rounds of renewals.
+    /// Maximum number of rounds of renewals.
     pub rounds: u32,
-    /// Most messages in flight.
+    /// Maximum number of messages in flight.
     pub messages: usize,
-    /// True when the first lessor may be recorded as dead while it goes on granting.
+    /// True when the first lessor may be recorded as dead while it continues to grant.
     pub death: bool,
     /// True when the first lessor and the holder may restart.
     pub restart: bool,
     /// True when the holder may pause between its check and its write to the upstream.
     pub write: bool,
-    /// How a holder with a lease begins the change to the second set.
+    /// How a holder with a lease starts the change to the second set.
     pub change_mode: ChangeMode,
-    /// Values of the holder.
+    /// Interned states of the holder.
     pub holders: Interner<Holder>,
-    /// Values of the lessors.
+    /// Interned states of the lessors.
     pub lessors: Interner<Lessor>,
 }
 
@@ -95,7 +96,7 @@
         self.holders.get(state.holder).holds(state.now)
     }
 
-    /// Returns true when somebody who has read any part of the log can prove the lease over.
+    /// Returns true when some prefix of the log, with the votes, proves that the lease has expired.
     fn expiry_proved(&self, state: &LeaseState) -> bool {
         (0..=state.log.len()).any(|read| self.expiry_proved_by(state, &state.log[..read]))
     }
@@ -125,7 +126,7 @@
         tally.proof(now, &member(me, version, ids(lessors))).is_some()
     }
 
-    /// Returns how the holder may begin the change of its lessors.
+    /// Returns the actions by which the holder may start the change of its lessors.
     fn proposals(&self, state: &LeaseState) -> Vec<Action> {
         let holder = self.holders.get(state.holder);
         let ready = !holder.holds(state.now) || holder.ready(state.now, &ids(&self.second));
@@ -230,8 +231,8 @@
                     self.holders.update(&mut state.holder, |holder| (holder.id(), holder.due(now)));
                 for Renewal { lessor, seq, version, .. } in renewals {
                     let lessor = (0..state.lessors.len()).find(|number| id(*number) == lessor);
-                    // The network may lose any message: what does not fit is lost, and
-                    // what is in flight need not arrive.
+                    // A message above the bound is lost; one in flight may never arrive. This
+                    // covers a network that loses any message.
                     if let Some(lessor) = lessor
                         && state.messages.len() < self.messages
                     {
@@ -298,10 +299,15 @@
 
     fn violation(&self, state: &LeaseState) -> Option<String> {
         if state.late_write {
-            return Some("the upstream ran a request after the lease was proved over".to_owned());
+            return Some(
+                "the upstream accepted a request after the lease was proved to have expired"
+                    .to_owned(),
+            );
         }
         let broken = self.holds(state) && self.expiry_proved(state);
-        broken.then(|| "the lease holds and is proved over".to_owned())
+        broken.then(|| {
+            "the holder holds its lease although votes prove that it has expired".to_owned()
+        })
     }
 }
 
@@ -312,7 +318,7 @@
     }
 }
 
-/// Returns the holder as folded state shows it.
+/// Returns the holder as a member of the folded state.
 fn member(id: MemberId, version: Offset, lessors: Vec<MemberId>) -> Member {
     Member {
         id,
--- a/acaciaring_model/src/lease/state.rs
+++ b/acaciaring_model/src/lease/state.rs
@@ -7,18 +7,19 @@
 /// Record in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Entry {
-    /// The second set is in force.
+    /// The holder's lessor set changes to the second one.
     SecondSet,
-    /// The first lessor is dead; appended at this time.
+    /// The first lessor is dead, as recorded at this time.
     Death(Time),
 }
 
-/// How a holder with a lease begins a change of its lessors.
+/// How a holder with a lease starts a change of its lessors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeMode {
-    /// It proposes the second set at any time.
+    /// Proposes the second set at any time.
     Immediate,
-    /// It asks the second set, and proposes it once that leaves the lease as long as it is.
+    /// Requests grants from the second set first, and proposes it once that does not shorten the
+    /// lease.
     Prepared,
 }
 
@@ -27,20 +28,20 @@
 pub enum Change {
     /// Nothing has been proposed.
     None,
-    /// The record is on its way.
+    /// The record has been sent to the log.
     Proposed,
-    /// The record is in the log.
+    /// The log has appended the record.
     Appended,
-    /// The holder has read the record back.
+    /// The holder has folded the record.
     Installed,
 }
 
 /// Message between the holder and a lessor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Message {
-    /// Renewal.
+    /// Renewal: lessor, holder, sequence number and version of the lessor set.
     Renew(usize, MemberId, u64, Offset),
-    /// Answer to a renewal.
+    /// Answer to a renewal: lessor, holder, sequence number, whether granted, and version.
     Grant(usize, MemberId, u64, bool, Offset),
 }
 
@@ -58,38 +59,38 @@
     pub(super) log: Vec<Entry>,
     pub(super) change: Change,
     pub(super) rounds: u32,
-    /// Request on its way to the upstream, with the end of the lease in its fence.
+    /// Lease expiry in the fence of the request in flight to the upstream; none without a request.
     pub(super) request: Option<Time>,
-    /// True when the upstream ran a request after the lease was proved over.
+    /// True when the upstream accepted a request after the lease was proved to have expired.
     pub(super) late_write: bool,
 }
 
-/// Event at one process.
+/// Event at a process, the log or the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Time passes.
+    /// Time advances by one tick.
     Tick,
-    /// The holder sends what is due.
+    /// The holder sends the renewals that are due.
     Renew,
     /// A message arrives.
     Receive(Message),
     /// A lessor votes.
     Vote(usize),
-    /// The holder asks the second set beforehand.
+    /// The holder requests grants from the second set before it proposes it.
     Prepare,
     /// The holder proposes the second set.
     Propose,
-    /// The log takes the record.
+    /// The log appends the record of the second set.
     Append,
-    /// The holder reads it back.
+    /// The holder folds that record.
     Install,
-    /// A lessor reads it.
+    /// A lessor folds that record.
     Fold(usize),
     /// The first lessor is recorded as dead.
     RecordDeath,
     /// The process of the first lessor restarts.
     RestartLessor,
-    /// The process of the holder restarts and joins anew.
+    /// The process of the holder restarts and joins with a new identity.
     RestartHolder,
     /// The holder checks its lease for a request.
     Check,
--- a/acaciaring_model/src/lease/step.rs
+++ b/acaciaring_model/src/lease/step.rs
@@ -1,4 +1,4 @@
-//! Steps of the processes of the lease model.
+//! Transitions of the holder and the lessors in the lease model.
 
 use acaciaring_core::lease::{Holder, Lessor};
 
@@ -15,7 +15,7 @@
             insert_sorted(&mut state.messages, Message::Grant(lessor, holder, seq, false, 0));
             return;
         }
-        // A lessor whose lease ended when its death was recorded goes on for `abandon`.
+        // A lessor whose lease expired as its death was recorded continues to grant for `abandon`.
         let abandoned = state.log.iter().any(|entry| match entry {
             Entry::Death(at) => lessor == 0 && state.now >= *at + settings().abandon,
             Entry::SecondSet => false,
--- a/acaciaring_model/src/lib.rs
+++ b/acaciaring_model/src/lib.rs
@@ -1,6 +1,6 @@
 //! Exhaustive search of the ownership protocol.
 //!
-//! Small models drive the core's own types through every order of events that
+//! Bounded models drive the types of `acaciaring_core` through every order of events that
 //! their bounds allow. Each guard of the protocol can be removed by a
 //! [`Mutation`]; the search then has to find a counterexample.
 
--- a/acaciaring_model/src/mutation.rs
+++ b/acaciaring_model/src/mutation.rs
@@ -1,60 +1,60 @@
-//! Guards of the protocol, each of which can be removed.
+//! Mutations of the protocol, each of which removes one guard.
 
-/// Guard that is removed in a search.
+/// Guard that a search removes; the search must then find a counterexample.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Mutation {
-    /// A lessor that restarts forgets its votes and keeps its identity.
+    /// A lessor that restarts loses its grants and votes but keeps its identity.
     RestartKeepsIdentity,
-    /// The holder does not need a proposed set before it reads it back.
+    /// The holder does not require grants of a proposed set until it has folded the record.
     ProposalSkipped,
-    /// The holder proposes a set whose lease would end before that of the present one.
+    /// The holder proposes a set whose lease would end before that of the current set.
     ProposeUnready,
-    /// The holder drops the old set as soon as it reads back the new one.
+    /// The holder drops the old set as soon as it has folded the record of the new one.
     OldSetDropped,
-    /// Votes count whatever version they carry.
+    /// Votes count regardless of the version that they carry.
     VersionIgnored,
     /// A lessor grants again after its vote.
     GrantAfterVote,
-    /// A lessor votes before its grant has run out.
+    /// A lessor votes before its grant has expired.
     VoteEarly,
-    /// The holder counts the lease from receipt of the grant.
+    /// The holder counts the lease from receipt of the grant, not from sending the renewal.
     CountFromReceipt,
     /// The fence of a request lacks the end of the lease.
     FenceWithoutEnd,
-    /// Votes about an earlier identity count about the one that follows.
+    /// Votes about an earlier identity of the holder count for the identity after its restart.
     OldIdentityVotes,
-    /// The recorded death of a lessor counts as its vote without a wait.
+    /// The recorded death of a lessor counts as its vote without the delay.
     DeathCountsAtOnce,
-    /// A lessor that is dead in the log supersedes an old set.
+    /// Grants of lessors that the log records as dead supersede older sets.
     DeadSupersedes,
     /// The owner moves a unit to a member that is not the standby.
     MoveToNonStandby,
-    /// The standby uses its role until it reads back the record that gives it away.
+    /// The standby uses its role until it has folded its own handoff.
     RoleKept,
     /// The new owner does not wait for the former one.
     PriorIgnored,
-    /// An owner that still waits for the former one passes the unit on.
+    /// An owner that still waits for the former one moves the unit on.
     MoveBeforeServing,
-    /// A member that has not read of a unit that it owns may leave.
+    /// A member that has not folded the assignment of a unit to itself may leave.
     LeaveBeforeFold,
-    /// A leaving standby renounces its role under the version that it knows only.
+    /// A leaving standby renounces its role only under the version that it has folded.
     RoleRegained,
-    /// The owner releases a unit while its split is not settled.
+    /// The owner releases a unit before the outcome of its split is known.
     ReleaseBeforeSettled,
-    /// A repeated append carries a new id.
+    /// A retried append carries a new record id.
     NewRecordId,
-    /// A change counts as accepted before every member has folded it.
+    /// A change is reported as accepted before every member has folded it.
     AcceptedEarly,
-    /// A joining member takes a state without its offset and reads on at the end of the log.
+    /// A joining member restores a snapshot without its offset and reads from the end of the log.
     SnapshotWithoutOffset,
-    /// An order without answer counts as one that was not carried out.
+    /// An order that was not answered counts as not sent.
     TimeoutIsUnsent,
-    /// A grant's time counts from the decision, not from the latest arrival.
+    /// The hold of a grant counts from the decision, not from the latest possible arrival.
     HoldFromDecision,
-    /// Orders go over new connections under the token that a former start may have had.
+    /// Orders may open a new connection under a token that an earlier incarnation may have used.
     OldTokenReconnects,
-    /// A process that starts anew takes what it has not ordered for free.
+    /// A restarted process assumes that no orders of its predecessor are outstanding.
     EarlierOrdersIgnored,
-    /// A grant may outlast the lease.
+    /// A grant may outlast the owner's lease.
     GrantPastLease,
 }
--- a/acaciaring_model/src/orders.rs
+++ b/acaciaring_model/src/orders.rs
@@ -1,7 +1,8 @@
-//! Model of grants by call: one range of keys moves between upstreams that are told by orders.
+//! Model of grants by orders: one key range moves between upstreams, which members instruct by
+//! orders.
 //!
-//! Orders are carried out at once, late or never, and their answers may be lost; upstreams and
-//! processes start again. The member's record is the core's own [`Orders`].
+//! An order is carried out at once, late or never, and its answer may be lost; upstreams and
+//! processes may restart. Each process tracks its orders in an [`Orders`] of the core.
 
 use std::iter;
 use std::time::Duration;
@@ -14,43 +15,43 @@
 use crate::mutation::Mutation;
 use crate::search::Model;
 
-/// Upstreams, each with the process beside it.
+/// Number of upstreams; each has a process beside it.
 const UPSTREAM_COUNT: usize = 3;
 
-/// Longest hold: two ticks.
+/// Maximum hold of a grant: two ticks.
 const MAX_HOLD: Duration = Duration::from_millis(400);
 
-/// Part of its own time by which an upstream's clock runs slow.
+/// Factor by which the slow clock of an upstream lengthens a hold.
 const CLOCK_SLOWDOWN: f64 = 1.02;
 
-/// Step of the token from one assignment to the next.
+/// Increment of the token from one assignment to the next.
 const TOKEN_STEP: u64 = 2;
 
-/// Bounds of the search.
+/// Bounds of a search.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Ticks of [`ORDER_TIMEOUT`].
+    /// Maximum number of ticks; one tick lasts [`ORDER_TIMEOUT`].
     pub ticks: u32,
-    /// Orders that are carried out late, or whose answers are lost.
+    /// Maximum number of orders that are carried out late or whose answers are lost.
     pub faults: u32,
-    /// Starts of upstreams and of processes.
+    /// Maximum number of restarts of upstreams and processes.
     pub restarts: u32,
-    /// Moves of the range.
+    /// Maximum number of moves of the range.
     pub moves: u32,
-    /// Ticks after which the lease of the first member ends and the next one takes over.
+    /// Number of ticks after which the first member's lease expires and the next member takes over.
     pub lease: Option<u32>,
 }
 
-/// Order that has not been settled.
+/// Order without a result.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct PendingOrder {
     upstream: usize,
     issued: Issued,
-    /// True while it may still arrive.
+    /// True while the order may still arrive.
     in_transit: bool,
 }
 
-/// Order that has arrived and is carried out later.
+/// Order that has arrived but has not been carried out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Deferred {
     upstream: usize,
@@ -58,14 +59,14 @@
     arrived: Time,
 }
 
-/// Upstream, as it really is.
+/// Actual state of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Server {
     generation: u64,
     last_token: Token,
-    /// End of the hold.
+    /// Expiry of the hold.
     until: Time,
-    /// True while the process beside it has a connection to this life.
+    /// True while the process beside it has a connection to this incarnation.
     connected: bool,
 }
 
@@ -79,46 +80,47 @@
     deferred: Vec<Deferred>,
     owner: usize,
     token: u64,
-    /// Upstream to which the range moves next.
+    /// Upstream to which the range is moving.
     target: Option<usize>,
-    /// Highest token with which any life has had the range, and which one.
+    /// Highest token under which the range was granted, with the upstream and its generation.
     highest: (Token, usize, u64),
     violation: Option<&'static str>,
+    /// Numbers of faults, restarts and moves so far.
     used: (u32, u32, u32),
 }
 
-/// Event at a process, an upstream or between them.
+/// Event at a process or an upstream, or on the network between them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Time goes on.
+    /// Time advances by one tick.
     Tick,
     /// A process decides on orders and sends them.
     Decide(usize),
-    /// An order arrives, is carried out and answered.
+    /// An order arrives, is carried out and is answered.
     Execute(usize),
     /// An order is carried out, and its answer is lost.
     ExecuteUnanswered(usize),
-    /// An order arrives, gets no answer, and is carried out later.
+    /// An order arrives, is not answered, and may be carried out later.
     Defer(usize),
-    /// An order is given up.
+    /// A process stops waiting for the answer to an order.
     TimeOut(usize),
-    /// An order that had arrived is carried out.
+    /// A deferred order is carried out.
     ExecuteDeferred(usize),
-    /// An upstream starts again under its name.
+    /// An upstream restarts as a new incarnation.
     RestartUpstream(usize),
-    /// It reports.
+    /// An upstream reports its incarnation to the process beside it.
     Report(usize),
-    /// A process starts again beside its upstream.
+    /// A process restarts; its upstream continues.
     RestartProcess(usize),
-    /// The range is to move.
+    /// The owner starts to move the range to this upstream.
     Move(usize),
-    /// It passes to its next upstream, which the former one does not hold any more.
+    /// The target becomes the owner, as the previous owner's upstream no longer holds the range.
     Transfer,
-    /// The next member takes over, for the owner's lease is over.
+    /// The next member takes over after the owner's lease has expired.
     Takeover,
 }
 
-/// The model.
+/// Model of grants by orders.
 pub struct OrdersModel {
     bounds: Bounds,
     mutation: Option<Mutation>,
@@ -126,13 +128,13 @@
 }
 
 impl OrdersModel {
-    /// Makes the model, with a guard removed if one is named.
+    /// Creates the model, optionally with a guard removed.
     #[must_use]
     pub fn new(bounds: Bounds, mutation: Option<Mutation>) -> Self {
         Self { bounds, mutation, orders: Interner::default() }
     }
 
-    /// Changes the record of a process.
+    /// Updates the orders of a process.
     fn update<R>(
         &self,
         state: &mut OrdersState,
@@ -154,7 +156,7 @@
         }
     }
 
-    /// Returns true when a process has orders to give.
+    /// Returns true when a process has orders to send.
     fn has_orders_due(&self, state: &OrdersState, upstream: usize) -> bool {
         let mut orders = Orders::clone(&self.orders.get(state.orders[upstream]));
         !orders.decide(state.now, self.lease_end(state), |_, _| true).is_empty()
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Carries an order out that arrived at a time; returns what the upstream answers.
+    /// Carries out an order that arrived at `arrived`, and returns the upstream's answer.
     fn execute(state: &mut OrdersState, upstream: usize, issued: &Issued, arrived: Time) -> Answer {
         let token = issued.order.token;
         let server = &mut state.servers[upstream];
@@ -245,12 +247,14 @@
 }
 
 impl OrdersState {
-    /// Notes that an upstream takes the range under a token.
+    /// Records that an upstream was granted the range under a token.
     fn record_grant(&mut self, upstream: usize, token: Token) {
         let generation = self.servers[upstream].generation;
         let (highest, holder, generation_of_holder) = self.highest;
         if (holder, generation_of_holder) != (upstream, generation) && token <= highest {
-            self.violation = Some("a token that is not above all earlier ones");
+            self.violation = Some(
+                "the range was granted under a token that is not higher than all earlier ones",
+            );
         }
         if token > highest {
             self.highest = (token, upstream, generation);
@@ -396,7 +400,7 @@
     }
 }
 
-/// Time at which a search begins.
+/// Returns the time of the initial state.
 fn origin() -> Time {
     Time::from_millis(10_000)
 }
--- a/acaciaring_model/src/records.rs
+++ b/acaciaring_model/src/records.rs
@@ -1,4 +1,4 @@
-//! Records for the log of a model.
+//! Builders of log records for the models.
 
 use acaciaring_core::{MemberId, Offset};
 use acaciaring_schema::log::record::Body;
@@ -8,12 +8,12 @@
 };
 use prost::Message;
 
-/// Workspace of all models.
+/// Name of the workspace in all models.
 pub const WORKSPACE: &str = "contracts";
-/// Name of the template of all models.
+/// Name of the template in all models.
 pub const TEMPLATE: &str = "keyed";
 
-/// Encodes a record under an id that is made of a number.
+/// Encodes a record, with its id derived from a number.
 #[must_use]
 pub fn record(id: u64, body: Body) -> Vec<u8> {
     let mut bytes = vec![0; 8];
@@ -21,7 +21,7 @@
     Record { id: bytes, body: Some(body) }.encode_to_vec()
 }
 
-/// Template of a service with one slot.
+/// Publishes, or retires, the template of a service with one slot.
 #[must_use]
 pub fn template(base: Offset, retired: bool) -> Body {
     let fields = [
@@ -37,7 +37,7 @@
     publish(DocumentKind::Template, TEMPLATE, base, retired, &fields)
 }
 
-/// Parameters of the workspace.
+/// Publishes the parameters of the workspace.
 #[must_use]
 pub fn parameters() -> Body {
     let fields = [
@@ -70,7 +70,7 @@
     })
 }
 
-/// Process start in a data centre of its own.
+/// A process joins, in a data centre of its own.
 #[must_use]
 pub fn join(number: u64) -> Body {
     Body::Join(Join {
@@ -85,14 +85,14 @@
     })
 }
 
-/// Lessor set of a member.
+/// A member changes its lessor set.
 #[must_use]
 pub fn lessors(member: MemberId, base: Offset, lessors: &[MemberId]) -> Body {
     let lessors = lessors.iter().map(|id| id.0).collect();
     Body::Lessors(Lessors { member: member.0, base, lessors })
 }
 
-/// Upstream of the workspace beside a member.
+/// Attaches an upstream of the workspace to a member.
 #[must_use]
 pub fn attach(member: MemberId) -> Body {
     let upstream = "127.0.0.1:9000".to_owned();
@@ -105,7 +105,7 @@
     })
 }
 
-/// First assignment.
+/// Assigns the units of the workspace for the first time.
 #[must_use]
 pub fn assign() -> Body {
     Body::Assign(Assign { workspace: WORKSPACE.to_owned(), slots: 0 })
@@ -115,14 +115,14 @@
     vec![Unit { slot: 0, key: None, version }]
 }
 
-/// Owner and standby of the slot change roles.
+/// Owner and standby of the slot swap roles.
 #[must_use]
 pub fn switchover(member: MemberId, version: Offset) -> Body {
     let workspace = WORKSPACE.to_owned();
     Body::Switchover(Switchover { member: member.0, workspace, units: slot(version) })
 }
 
-/// The standby of the slot gives its role away.
+/// The standby of the slot hands its role to another member.
 #[must_use]
 pub fn handoff(member: MemberId, target: MemberId, version: Offset) -> Body {
     let workspace = WORKSPACE.to_owned();
@@ -130,7 +130,7 @@
     Body::Handoff(Handoff { member: member.0, workspace, units, target: target.0 })
 }
 
-/// A hot key becomes a unit of its own.
+/// A hot key is split out into a unit of its own.
 #[must_use]
 pub fn split(member: MemberId, version: Offset, key: u64) -> Body {
     let workspace = WORKSPACE.to_owned();
@@ -138,13 +138,13 @@
     Body::Split(Split { member: member.0, workspace, units })
 }
 
-/// A member leaves that has read all before `applied`.
+/// A member leaves that has folded all records before `applied`.
 #[must_use]
 pub fn leave(member: MemberId, applied: Offset) -> Body {
     Body::Leave(Leave { member: member.0, applied })
 }
 
-/// A member's lease is over, by votes of these lessors.
+/// Evicts a member whose lease has expired, with votes of these lessors.
 #[must_use]
 pub fn evict(member: MemberId, version: Offset, lessors: &[MemberId]) -> Body {
     let vote = |lessor: &MemberId| Vote { lessor: lessor.0, member: member.0, version };
--- a/acaciaring_model/src/search.rs
+++ b/acaciaring_model/src/search.rs
@@ -1,4 +1,4 @@
-//! Search of all states of a model.
+//! Breadth-first search of the reachable states of a model.
 
 use std::collections::HashMap;
 use std::fmt::{self, Debug, Display, Formatter};
@@ -6,29 +6,29 @@
 
 use pathfinding::directed::bfs::bfs;
 
-/// Small specification with finitely many states.
+/// Transition system with finitely many reachable states and a safety property.
 pub trait Model {
-    /// State of all processes, messages and the log.
+    /// State of the processes, the messages in flight and the log.
     type State: Clone + Eq + Hash;
-    /// One event.
+    /// Transition between two states.
     type Action: Debug;
 
-    /// Returns the first state.
+    /// Returns the initial state.
     fn start(&self) -> Self::State;
-    /// Returns the events that can happen next.
+    /// Returns the actions that are enabled in a state.
     fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
-    /// Returns the state after an event.
+    /// Returns the state after an action.
     fn next(&self, state: &Self::State, action: &Self::Action) -> Self::State;
-    /// Returns which property a state breaks.
+    /// Describes the property that a state violates, or returns none.
     fn violation(&self, state: &Self::State) -> Option<String>;
 }
 
-/// Shortest run that breaks a property.
+/// Shortest sequence of actions that violates a property.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Trace {
-    /// Events in order.
+    /// Actions in order, in their debug format.
     pub steps: Vec<String>,
-    /// Property that the last state breaks.
+    /// Property that the last state violates.
     pub violation: String,
 }
 
@@ -44,13 +44,13 @@
 /// Result of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// States whose successors were computed.
+    /// Number of states whose successors were computed.
     pub states: usize,
-    /// Counterexample, none when every state keeps the properties.
+    /// Counterexample; none when no reachable state violates a property.
     pub trace: Option<Trace>,
 }
 
-/// Searches breadth first for a state that breaks a property.
+/// Searches breadth first for a state that violates a property.
 pub fn search<M: Model>(model: &M) -> Report {
     let mut states = 0;
     let successors = |state: &M::State| {
@@ -66,7 +66,7 @@
     Report { states, trace }
 }
 
-/// Counts the states from which no state with `goal` can be reached, with all states.
+/// Counts the states from which no state with `goal` is reachable, and all reachable states.
 pub fn count_stuck_states<M: Model>(model: &M, goal: impl Fn(&M::State) -> bool) -> (usize, usize) {
     let (states, parents) = graph(model);
     let mut reaches = vec![false; states.len()];
@@ -79,7 +79,7 @@
     (reaches.iter().filter(|reaches| !**reaches).count(), states.len())
 }
 
-/// Returns all states, and for each the indexes of those that lead to it.
+/// Returns all reachable states, and for each the indexes of its predecessors.
 fn graph<M: Model>(model: &M) -> (Vec<M::State>, Vec<Vec<usize>>) {
     let mut states = vec![model.start()];
     let mut parents = vec![Vec::new()];
--- a/acaciaring_model/src/takeover/fold.rs
+++ b/acaciaring_model/src/takeover/fold.rs
@@ -9,19 +9,19 @@
 use crate::mutation::Mutation;
 use crate::records::{self, WORKSPACE, record};
 
-/// State after part of the log.
+/// Folded state after a prefix of the log.
 pub(super) struct Fold {
-    /// Number of this part of the log.
+    /// Number that identifies this prefix.
     pub(super) number: usize,
     pub(super) state: State,
     /// True when the last record changed the state.
     pub(super) applied: bool,
-    /// Assignment that a move without consent has made.
+    /// Assignment made by a [`Kind::Move`].
     pub(super) moved: Option<Assignment>,
 }
 
 impl TakeoverModel {
-    /// Folds a prefix of the log; each prefix is folded once.
+    /// Returns the folded state of a prefix of the log, from a cache where possible.
     pub(super) fn fold(&self, log: &[Proposal]) -> Rc<Fold> {
         if let Some(fold) = self.folds.borrow().get(log) {
             return Rc::clone(fold);
@@ -72,7 +72,7 @@
         Fold { number, state, applied: outcome.applied(), moved: before.moved }
     }
 
-    /// Returns the units that a process knows, with their assignments.
+    /// Returns the units of the workspace in a folded state, with their assignments.
     pub(super) fn units(fold: &Fold) -> Vec<(UnitId, Assignment)> {
         if let Some(moved) = fold.moved {
             return vec![(UnitId::slot(0), moved)];
@@ -82,7 +82,7 @@
     }
 }
 
-/// Returns the state in which the first member owns the slot and the second stands by.
+/// Returns the base state: the first member owns the slot, the second one is the standby.
 pub(super) fn base() -> State {
     let [first, second, third] = MEMBERS;
     let bodies = [
--- a/acaciaring_model/src/takeover/mod.rs
+++ b/acaciaring_model/src/takeover/mod.rs
@@ -1,4 +1,4 @@
-//! Model of takeovers: one slot, three members that fold the log at their own pace.
+//! Model of takeovers: one slot, and three members that fold the log independently.
 
 mod fold;
 mod rights;
@@ -21,37 +21,37 @@
 use crate::records::WORKSPACE;
 use crate::search::Model;
 
-/// Members, by their ids in the base of the log.
+/// Ids of the members in the base state.
 pub const MEMBERS: [MemberId; 3] = [MemberId(3), MemberId(4), MemberId(5)];
 /// Hot key that may be split out of the slot.
 const HOT_KEY: u64 = 7;
-/// Another key of the slot.
+/// Key that stays in the slot.
 const COLD_KEY: u64 = 8;
 
 /// Bounds of a search.
 pub struct TakeoverModel {
-    /// Guard that is removed.
+    /// Guard to remove; none for the complete protocol.
     pub mutation: Option<Mutation>,
-    /// Records that members may propose of their own will.
+    /// Kinds of records that members may propose, other than evictions.
     pub kinds: Vec<Kind>,
-    /// Most of such records.
+    /// Maximum number of such records.
     pub proposals: usize,
-    /// Most members that lose their lease.
+    /// Maximum number of members that lose their lease.
     pub losses: usize,
     rights: Interner<Rights>,
     base: State,
     folds: RefCell<HashMap<Vec<Proposal>, Rc<Fold>>>,
-    /// Which keys a process may serve, by all that decides it.
+    /// Cache of whether a process may serve the hot key and the cold key.
     served: RefCell<HashMap<Serving, [bool; 2]>>,
     holders: [Holder; 3],
     workspace: Name,
 }
 
-/// Process, number of its folded state, its rights and what it knows of others.
+/// Process, number of its folded prefix, its rights, and the members it knows to have expired.
 type Serving = (usize, usize, Handle, [bool; 3]);
 
 impl TakeoverModel {
-    /// Makes a model in which the first member owns the slot and the second stands by.
+    /// Creates a model in which the first member owns the slot and the second one is the standby.
     #[must_use]
     pub fn new(kinds: &[Kind], proposals: usize, losses: usize) -> Self {
         Self {
@@ -173,11 +173,13 @@
         let candidates = fold.state.members_of(WORKSPACE).next().is_some();
         let ownerless = service.units().any(|(_, assignment)| assignment.owner.is_none());
         let lost = candidates && ownerless;
-        lost.then(|| "an assignment is lost".to_owned())
+        lost.then(|| {
+            "a unit has no owner although a member of the workspace is available".to_owned()
+        })
     }
 }
 
-/// Returns the holder of a member whose lease holds.
+/// Returns the lease holder of a member, with a valid lease.
 fn leased(me: MemberId) -> Holder {
     let mut holder = Holder::new(me, Time::ZERO, LeaseSettings::default());
     holder.install(me.0, &[MemberId(1)], |_| true);
--- a/acaciaring_model/src/takeover/rights.rs
+++ b/acaciaring_model/src/takeover/rights.rs
@@ -1,4 +1,4 @@
-//! Rights of the processes of the takeover model.
+//! Decision of which keys a process of the takeover model may serve.
 
 use acaciaring_core::lease::{LeaseSettings, Tally};
 use acaciaring_core::rights::{Right, Rights};
@@ -10,7 +10,7 @@
 use crate::records::WORKSPACE;
 
 impl TakeoverModel {
-    /// Decides whether a process may serve a unit, and notes that it does.
+    /// Decides whether a process may serve a unit, and records the decision in `rights`.
     pub(super) fn right(
         &self,
         state: &TakeoverState,
@@ -42,7 +42,7 @@
         matches!(right, Right::Serve { .. })
     }
 
-    /// Returns whether a process may serve the hot key and the other one.
+    /// Returns whether a process may serve the hot key and the cold key.
     pub(super) fn serves(&self, state: &TakeoverState, number: usize) -> [bool; 2] {
         let process = &state.processes[number];
         if !process.leased {
@@ -63,7 +63,7 @@
         serves
     }
 
-    /// Lets a process look at all its units after an event.
+    /// Decides the rights of a process to all units again after an event.
     pub(super) fn refresh(&self, state: &mut TakeoverState, number: usize) {
         let units = Self::units(&self.view(state, number));
         let mut rights = Rights::clone(&self.rights.get(state.processes[number].rights));
--- a/acaciaring_model/src/takeover/state.rs
+++ b/acaciaring_model/src/takeover/state.rs
@@ -7,17 +7,17 @@
 /// Kind of record that a member may propose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
-    /// The owner changes roles with the standby.
+    /// The owner swaps roles with the standby.
     Switchover,
     /// The owner or the standby leaves.
     Leave,
-    /// The standby gives its role to the third member.
+    /// The standby hands its role to the third member.
     Handoff,
     /// The owner splits the hot key out.
     Split,
-    /// The owner gives the slot to the third member, which no record can do.
+    /// The owner moves the slot to the third member; the protocol has no such record.
     Move,
-    /// Any member evicts another one.
+    /// A member evicts the member of this index.
     Evict(usize),
 }
 
@@ -28,12 +28,12 @@
     pub(super) kind: Kind,
     /// Version of the slot, or of the evicted member's lessors.
     pub(super) version: Offset,
-    /// First offset that the member had not read.
+    /// First offset that the proposing member had not folded.
     pub(super) read: Offset,
     pub(super) target: usize,
 }
 
-/// Release on its way from one member to another.
+/// Release message from one member to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Release {
     pub(super) from: usize,
@@ -42,14 +42,14 @@
     pub(super) version: Offset,
 }
 
-/// Process of one member.
+/// State of one member's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Process {
     /// Count of records folded after the base.
     pub(super) applied: usize,
     pub(super) rights: Handle,
     pub(super) leased: bool,
-    /// Members of which a majority of votes has arrived here.
+    /// Members whose lease is known here to have expired, by a majority of votes.
     pub(super) expired: [bool; 3],
 }
 
@@ -57,28 +57,28 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct TakeoverState {
     pub(super) log: Vec<Proposal>,
-    /// Appends on their way to the log; an outage holds them up.
+    /// Records sent to the log but not yet appended, for instance during an outage of the log.
     pub(super) appends: Vec<Proposal>,
     pub(super) releases: Vec<Release>,
     pub(super) processes: [Process; 3],
     pub(super) proposals: usize,
 }
 
-/// Event at one process, or at the log.
+/// Event at a process or the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// A member folds the next record.
     Fold(usize),
     /// A member sends a record to the log.
     Propose(Proposal),
-    /// The log takes a record.
+    /// The log appends a record.
     Append(Proposal),
     /// A member releases a unit.
     Release(usize, UnitId),
     /// A release arrives.
     Receive(Release),
-    /// A member loses its lease for good.
+    /// A member loses its lease permanently.
     LoseLease(usize),
-    /// A member has got a majority of votes about another.
+    /// A member receives a majority of votes that another member's lease has expired.
     LearnExpiry(usize, usize),
 }
--- a/acaciaring_model/src/takeover/step.rs
+++ b/acaciaring_model/src/takeover/step.rs
@@ -1,4 +1,4 @@
-//! Steps of the processes of the takeover model.
+//! Transitions of the processes in the takeover model.
 
 use acaciaring_core::rights::Rights;
 use acaciaring_core::{KeyHash, UnitId};
@@ -109,7 +109,7 @@
         self.refresh(state, number);
     }
 
-    /// Returns to whom a process may release a unit.
+    /// Returns the members to which a process may release a unit.
     pub(super) fn receivers(
         &self,
         state: &TakeoverState,
