--- a/acaciaring_model/tests/config.rs
+++ b/acaciaring_model/tests/config.rs
@@ -1,4 +1,4 @@
-//! Searches of the configuration model.
+//! Searches of the model of configuration changes.
 
 use acaciaring_model::Mutation;
 use acaciaring_model::config::ConfigModel;
@@ -6,7 +6,7 @@
 
 fn assert_counterexample(mutation: Mutation) {
     let report = search(&ConfigModel::new(Some(mutation)));
-    let trace = report.trace.expect("the search finds a counterexample");
+    let trace = report.trace.expect("the search must find a counterexample");
     println!("{mutation:?}, after {} states:\n{trace}", report.states);
 }
 
@@ -16,7 +16,7 @@
     let report = search(&ConfigModel::new(None));
     println!("configuration: {} states in {:?}", report.states, start.elapsed());
     if let Some(trace) = report.trace {
-        panic!("the configuration is broken:\n{trace}");
+        panic!("the configuration model violates a property:\n{trace}");
     }
 }
 
--- a/acaciaring_model/tests/lease.rs
+++ b/acaciaring_model/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Searches of the lease model.
+//! Searches of the model of leases.
 
 use acaciaring_model::Mutation;
 use acaciaring_model::lease::{ChangeMode, LeaseModel};
@@ -24,7 +24,7 @@
     LeaseModel { write: true, horizon: 6, rounds: 3, ..LeaseModel::default() }
 }
 
-/// A request waits between check and write while the lessors change.
+/// A request is paused between check and write while the lessors change.
 fn prepared_change() -> LeaseModel {
     LeaseModel { change_mode: ChangeMode::Prepared, write: true, ..change() }
 }
@@ -34,13 +34,13 @@
     let report = search(model);
     println!("{name}: {} states in {:?}", report.states, start.elapsed());
     if let Some(trace) = report.trace {
-        panic!("{name} is broken:\n{trace}");
+        panic!("{name} violates a property:\n{trace}");
     }
 }
 
 fn assert_counterexample(mutation: Mutation, model: LeaseModel) {
     let report = search(&LeaseModel { mutation: Some(mutation), ..model });
-    let trace = report.trace.expect("the search finds a counterexample");
+    let trace = report.trace.expect("the search must find a counterexample");
     println!("{mutation:?}, after {} states:\n{trace}", report.states);
 }
 
--- a/acaciaring_model/tests/orders.rs
+++ b/acaciaring_model/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Searches of the model of grants by call.
+//! Searches of the model of grants by orders.
 
 use std::time::Instant;
 
@@ -6,13 +6,13 @@
 use acaciaring_model::orders::{Bounds, OrdersModel};
 use acaciaring_model::search::search;
 
-/// Orders carried out late or without answer, and a range that moves on to a third upstream.
+/// Orders are carried out late or not answered, and the range moves on to a third upstream.
 const MOVES: Bounds = Bounds { ticks: 4, faults: 2, restarts: 0, moves: 2, lease: None };
 
-/// Starts of the upstream or of its process, with an order that is late.
+/// An upstream or its process restarts, and one order is carried out late or not answered.
 const RESTARTS: Bounds = Bounds { ticks: 3, faults: 1, restarts: 1, moves: 1, lease: None };
 
-/// The lease of the owner ends and another member takes over.
+/// The lease of the owner expires and another member takes over.
 const LEASE_EXPIRY: Bounds = Bounds { ticks: 5, faults: 2, restarts: 0, moves: 0, lease: Some(4) };
 
 fn assert_no_violation(name: &str, bounds: Bounds) {
@@ -20,13 +20,13 @@
     let report = search(&OrdersModel::new(bounds, None));
     println!("orders, {name}: {} states in {:?}", report.states, start.elapsed());
     if let Some(trace) = report.trace {
-        panic!("the range has two holders:\n{trace}");
+        panic!("the orders model violates a property:\n{trace}");
     }
 }
 
 fn assert_counterexample(bounds: Bounds, mutation: Mutation) {
     let report = search(&OrdersModel::new(bounds, Some(mutation)));
-    let trace = report.trace.expect("the search finds a counterexample");
+    let trace = report.trace.expect("the search must find a counterexample");
     println!("{mutation:?}, after {} states:\n{trace}", report.states);
 }
 
--- a/acaciaring_model/tests/takeover.rs
+++ b/acaciaring_model/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Searches of the takeover model.
+//! Searches of the model of takeovers.
 
 use acaciaring_model::Mutation;
 use acaciaring_model::search::{count_stuck_states, search};
@@ -11,14 +11,14 @@
     let report = search(model);
     println!("{name}: {} states in {:?}", report.states, start.elapsed());
     if let Some(trace) = report.trace {
-        panic!("{name} is broken:\n{trace}");
+        panic!("{name} violates a property:\n{trace}");
     }
 }
 
 fn assert_counterexample(mutation: Mutation, mut model: TakeoverModel) {
     model.mutation = Some(mutation);
     let report = search(&model);
-    let trace = report.trace.expect("the search finds a counterexample");
+    let trace = report.trace.expect("the search must find a counterexample");
     println!("{mutation:?}, after {} states:\n{trace}", report.states);
 }
 
@@ -44,7 +44,7 @@
     );
 }
 
-// Whatever has happened, with one member left the slot can be served again.
+// From every reachable state, even with one member left, the slot can be served again.
 #[test]
 fn slot_is_never_lost() {
     let model = TakeoverModel::new(&MOVES, 1, 2);
