--- a/acaciaring_model/src/config.rs
+++ b/acaciaring_model/src/config.rs
@@ -1,4 +1,5 @@
-//! Model of configuration: operators race on a document, members fold, join and are evicted.
+//! Model of configuration changes: two operators publish the same document concurrently while
+//! members fold the log, join and are evicted.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,28 +7,28 @@
 use acaciaring_core::state::{Outcome, State};
 use acaciaring_core::{MemberId, Offset, route::DocumentKind};
 
+use crate::interner::{Handle, Interner};
 use crate::mutation::Mutation;
-use crate::pool::{Handle, Pool};
 use crate::records::{self, TEMPLATE, record};
 use crate::search::Model;
 
-/// Members that are there at the start.
-const FIRST: MemberId = MemberId(2);
-const SECOND: MemberId = MemberId(3);
-/// Most tries of one append.
-const COPIES: usize = 2;
+/// Members that have joined in the initial state.
+const FIRST_MEMBER: MemberId = MemberId(2);
+const SECOND_MEMBER: MemberId = MemberId(3);
+/// Maximum number of attempts of one append.
+const MAX_ATTEMPTS: usize = 2;
 
 /// Record in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Entry {
-    /// Change of the document by an operator, with the number of the try.
+    /// Change of the document by an operator.
     Publish {
         /// Operator.
         operator: usize,
         /// Version that the change replaces.
         base: Offset,
-        /// Number of the try.
-        copy: usize,
+        /// Index of the attempt, from 0.
+        attempt: usize,
     },
     /// The third member joins.
     Join,
@@ -35,24 +36,24 @@
     Evict,
 }
 
-/// What an operator has been told.
+/// Latest answer that an operator has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Told {
-    /// Nothing final.
+pub enum Reply {
+    /// The outcome is not known yet.
     Pending,
-    /// The change at this offset is in force everywhere.
+    /// Every member has folded the change at this offset.
     Accepted(Offset),
-    /// Another change came first.
+    /// The change was rejected, as another one preceded it.
     Conflict,
 }
 
-/// Operator with at most one change.
+/// Operator that publishes at most one change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Operator {
-    /// Version that the change replaces, none before the change.
+    /// Version that the change replaces; none until the change is sent.
     base: Option<Offset>,
-    copies: usize,
-    told: Told,
+    attempts: usize,
+    reply: Reply,
 }
 
 /// State of the operators, the members and the log.
@@ -60,7 +61,7 @@
 pub struct ConfigState {
     log: Vec<Entry>,
     appends: Vec<Entry>,
-    /// Folded state of each member; the third starts later.
+    /// Folded state of each member; none until the third member starts.
     members: [Option<Handle>; 3],
     operators: [Operator; 2],
     evicting: bool,
@@ -69,44 +70,44 @@
 /// Event at an operator, a member or the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// An operator sends a change, which the first member reads as current.
+    /// An operator sends a change that replaces the version known to the first member.
     Publish(usize),
-    /// An operator has had no answer and sends the change again.
-    Repeat(usize),
-    /// The log takes a record.
+    /// An operator without a final answer retries its change.
+    Retry(usize),
+    /// The log appends a record.
     Append(Entry),
     /// A member folds the next record.
     Fold(usize),
-    /// A member that lags behind restores the snapshot of the first one.
+    /// A member that has folded less than the first one restores the latter's snapshot.
     Restore(usize),
-    /// The third member starts from a snapshot of this one and sends its `Join`.
+    /// The third member starts from a snapshot of this member and sends its `Join`.
     Start(usize),
-    /// The second member's lease is over and the first one evicts it.
+    /// The second member's lease has expired and the first member evicts it.
     Evict,
-    /// An operator asks the first member.
-    Ask(usize),
+    /// An operator queries the outcome of its change at the first member.
+    Query(usize),
 }
 
-/// The model, with every state that a member can have.
+/// Model of configuration changes, with the folded states that members can have.
 pub struct ConfigModel {
     mutation: Option<Mutation>,
-    states: Pool<State>,
+    states: Interner<State>,
     base: Handle,
-    /// First offset after the base.
+    /// First offset after the base state.
     first: Offset,
-    /// Each record is folded into each state once.
+    /// Cache of folds, by state and record.
     folds: RefCell<HashMap<(Handle, Entry), (Handle, Outcome)>>,
-    /// Each state is written as a snapshot and restored once.
+    /// Cache of states restored from the snapshot of a state.
     restores: RefCell<HashMap<Handle, Handle>>,
 }
 
 impl ConfigModel {
-    /// Makes the model, with a guard removed if one is named.
+    /// Creates the model, optionally with a guard removed.
     #[must_use]
     pub fn new(mutation: Option<Mutation>) -> Self {
-        let states = Pool::default();
+        let states = Interner::default();
         let first = base().next();
-        let base = states.put(base());
+        let base = states.intern(base());
         Self {
             mutation,
             states,
@@ -121,12 +122,12 @@
         self.mutation == Some(mutation)
     }
 
-    /// Returns the identity of a record over its tries.
+    /// Returns the number of a record's id, which is the same for all attempts.
     fn record_id(&self, entry: Entry) -> u64 {
         match entry {
-            Entry::Publish { operator, copy, .. } => {
-                let copy = if self.mutated(Mutation::NewRecordId) { copy } else { 0 };
-                100 + operator as u64 * 10 + copy as u64
+            Entry::Publish { operator, attempt, .. } => {
+                let attempt = if self.mutated(Mutation::NewRecordId) { attempt } else { 0 };
+                100 + operator as u64 * 10 + attempt as u64
             }
             Entry::Join => 200,
             Entry::Evict => 201,
@@ -140,21 +141,21 @@
         let body = match entry {
             Entry::Publish { operator, base, .. } => records::template(base, operator == 1),
             Entry::Join => records::join(2),
-            Entry::Evict => records::evict(SECOND, SECOND.0, &[FIRST]),
+            Entry::Evict => records::evict(SECOND_MEMBER, SECOND_MEMBER.0, &[FIRST_MEMBER]),
         };
         let mut next = handle;
-        let outcome = self.states.change(&mut next, |state| {
+        let outcome = self.states.update(&mut next, |state| {
             state.fold(state.next(), &record(self.record_id(entry), body))
         });
         self.folds.borrow_mut().insert((handle, entry), (next, outcome.clone()));
         (next, outcome)
     }
 
-    /// Returns the offset and the outcome of an operator's change in a part of the log.
-    fn outcome(&self, log: &[Entry], operator: usize, copy: usize) -> Option<(Offset, Outcome)> {
+    /// Returns the offset and the outcome of an operator's change in a prefix of the log.
+    fn outcome(&self, log: &[Entry], operator: usize, attempt: usize) -> Option<(Offset, Outcome)> {
         let wanted = |entry: &Entry| match entry {
             Entry::Publish { operator: by, base, .. } => {
-                let sought = Entry::Publish { operator, base: *base, copy };
+                let sought = Entry::Publish { operator, base: *base, attempt };
                 *by == operator && self.record_id(*entry) == self.record_id(sought)
             }
             Entry::Join | Entry::Evict => false,
@@ -182,14 +183,14 @@
         }
     }
 
-    fn ask(&self, state: &ConfigState, operator: usize) -> Told {
+    fn query(&self, state: &ConfigState, operator: usize) -> Reply {
         let asked = &state.log[..self.applied(state, 0)];
-        let copy = state.operators[operator].copies - 1;
-        let Some((offset, outcome)) = self.outcome(asked, operator, copy) else {
-            return Told::Pending;
+        let attempt = state.operators[operator].attempts - 1;
+        let Some((offset, outcome)) = self.outcome(asked, operator, attempt) else {
+            return Reply::Pending;
         };
         if !outcome.applied() {
-            return Told::Conflict;
+            return Reply::Conflict;
         }
         let has_folded = |member: usize| {
             state.members[member].is_some_and(|handle| self.states.get(handle).next() > offset)
@@ -198,20 +199,20 @@
         let joined = asked.contains(&Entry::Join);
         let everywhere = (evicted || has_folded(1)) && (!joined || has_folded(2));
         if everywhere || self.mutated(Mutation::AcceptedEarly) {
-            Told::Accepted(offset)
+            Reply::Accepted(offset)
         } else {
-            Told::Pending
+            Reply::Pending
         }
     }
 
-    /// Restores the snapshot that a member writes of its state.
+    /// Returns the state restored from the snapshot of a state.
     fn restored(&self, handle: Handle) -> Handle {
         if let Some(restored) = self.restores.borrow().get(&handle) {
             return *restored;
         }
         let snapshot = self.states.get(handle).to_snapshot();
         let state = State::from_snapshot(&snapshot).expect("a snapshot of a state is valid");
-        let restored = self.states.put(state);
+        let restored = self.states.intern(state);
         self.restores.borrow_mut().insert(handle, restored);
         restored
     }
@@ -223,7 +224,7 @@
             let mut snapshot = self.states.get(restored).to_snapshot();
             snapshot.next = self.first + state.log.len() as u64;
             let state = State::from_snapshot(&snapshot).expect("a snapshot of a state is valid");
-            restored = self.states.put(state);
+            restored = self.states.intern(state);
         }
         state.members[2] = Some(restored);
         state.appends.push(Entry::Join);
@@ -239,11 +240,11 @@
     }
 
     fn send(state: &mut ConfigState, operator: usize) {
-        let Operator { base, copies, .. } = state.operators[operator];
+        let Operator { base, attempts, .. } = state.operators[operator];
         let base = base.unwrap_or_default();
-        state.appends.push(Entry::Publish { operator, base, copy: copies });
+        state.appends.push(Entry::Publish { operator, base, attempt: attempts });
         state.appends.sort_unstable();
-        state.operators[operator].copies += 1;
+        state.operators[operator].attempts += 1;
     }
 }
 
@@ -253,7 +254,7 @@
 
     fn start(&self) -> ConfigState {
         let handle = self.base;
-        let operator = Operator { base: None, copies: 0, told: Told::Pending };
+        let operator = Operator { base: None, attempts: 0, reply: Reply::Pending };
         ConfigState {
             log: Vec::new(),
             appends: Vec::new(),
@@ -268,10 +269,10 @@
         for (number, operator) in state.operators.iter().enumerate() {
             if operator.base.is_none() {
                 actions.push(Action::Publish(number));
-            } else if operator.told == Told::Pending {
-                actions.push(Action::Ask(number));
-                if operator.copies < COPIES {
-                    actions.push(Action::Repeat(number));
+            } else if operator.reply == Reply::Pending {
+                actions.push(Action::Query(number));
+                if operator.attempts < MAX_ATTEMPTS {
+                    actions.push(Action::Retry(number));
                 }
             }
         }
@@ -296,7 +297,7 @@
         let mut state = state.clone();
         match *action {
             Action::Publish(operator) => self.publish(&mut state, operator),
-            Action::Repeat(operator) => Self::send(&mut state, operator),
+            Action::Retry(operator) => Self::send(&mut state, operator),
             Action::Append(entry) => {
                 let index = state.appends.iter().position(|other| *other == entry);
                 if let Some(index) = index {
@@ -318,35 +319,35 @@
                 state.appends.push(Entry::Evict);
                 state.appends.sort_unstable();
             }
-            Action::Ask(operator) => state.operators[operator].told = self.ask(&state, operator),
+            Action::Query(number) => state.operators[number].reply = self.query(&state, number),
         }
         state
     }
 
     fn violation(&self, state: &ConfigState) -> Option<String> {
         for (number, operator) in state.operators.iter().enumerate() {
-            match operator.told {
-                Told::Pending => {}
-                Told::Accepted(offset) => {
+            match operator.reply {
+                Reply::Pending => {}
+                Reply::Accepted(offset) => {
                     for member in (0..3).filter(|member| self.serving(state, *member)) {
                         let Some(handle) = state.members[member] else { continue };
                         let folded = self.states.get(handle);
                         let document = folded.document(DocumentKind::Template, TEMPLATE);
                         if document.is_none_or(|published| published.version < offset) {
                             return Some(format!(
-                                "member {member} serves without the accepted change at {offset}"
+                                "member {member} may serve without the change accepted at {offset}"
                             ));
                         }
                     }
                 }
-                Told::Conflict => {
-                    let applied = |copy| {
-                        let outcome = self.outcome(&state.log, number, copy);
+                Reply::Conflict => {
+                    let applied = |attempt| {
+                        let outcome = self.outcome(&state.log, number, attempt);
                         outcome.is_some_and(|(_, outcome)| outcome.applied())
                     };
-                    if (0..operator.copies).any(applied) {
+                    if (0..operator.attempts).any(applied) {
                         return Some(format!(
-                            "operator {number} was told of a conflict, yet the change was made"
+                            "operator {number} received a conflict although its change was applied"
                         ));
                     }
                 }
@@ -356,7 +357,7 @@
     }
 }
 
-/// Returns the state with one document and two members.
+/// Returns the base state, with one document and two members.
 fn base() -> State {
     let bodies = [records::template(0, false), records::join(0), records::join(1)];
     let mut state = State::default();
--- a/acaciaring_model/src/search.rs
+++ b/acaciaring_model/src/search.rs
@@ -1,4 +1,4 @@
-//! Search of all states of a model.
+//! Breadth-first search of the reachable states of a model.
 
 use std::collections::HashMap;
 use std::fmt::{self, Debug, Display, Formatter};
@@ -6,30 +6,30 @@
 
 use pathfinding::directed::bfs::bfs;
 
-/// Small specification with finitely many states.
+/// Transition system with finitely many reachable states and a safety property.
 pub trait Model {
-    /// State of all processes, messages and the log.
+    /// State of the processes, the messages in flight and the log.
     type State: Clone + Eq + Hash;
-    /// One event.
+    /// Transition between two states.
     type Action: Debug;
 
-    /// Returns the first state.
+    /// Returns the initial state.
     fn start(&self) -> Self::State;
-    /// Returns the events that can happen next.
+    /// Returns the actions that are enabled in a state.
     fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
-    /// Returns the state after an event.
+    /// Returns the state after an action.
     fn next(&self, state: &Self::State, action: &Self::Action) -> Self::State;
-    /// Returns which property a state breaks.
+    /// Describes the property that a state violates, or returns none.
     fn violation(&self, state: &Self::State) -> Option<String>;
 }
 
-/// Shortest run that breaks a property.
+/// Shortest sequence of actions that violates a property.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Trace {
-    /// Events in order.
+    /// Actions in order, in their debug format.
     pub steps: Vec<String>,
-    /// Property that the last state breaks.
-    pub broken: String,
+    /// Property that the last state violates.
+    pub violation: String,
 }
 
 impl Display for Trace {
@@ -37,20 +37,20 @@
         for (number, step) in (1..).zip(&self.steps) {
             writeln!(out, "{number:>3}. {step}")?;
         }
-        write!(out, "  => {}", self.broken)
+        write!(out, "  => {}", self.violation)
     }
 }
 
 /// Result of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// States whose successors were computed.
+    /// Number of states whose successors were computed.
     pub states: usize,
-    /// Counterexample, none when every state keeps the properties.
+    /// Counterexample; none when no reachable state violates a property.
     pub trace: Option<Trace>,
 }
 
-/// Searches breadth first for a state that breaks a property.
+/// Searches breadth first for a state that violates a property.
 pub fn search<M: Model>(model: &M) -> Report {
     let mut states = 0;
     let successors = |state: &M::State| {
@@ -60,26 +60,26 @@
     };
     let path = bfs(&model.start(), successors, |state| model.violation(state).is_some());
     let trace = path.map(|path| Trace {
-        steps: path.windows(2).map(|pair| step(model, &pair[0], &pair[1])).collect(),
-        broken: path.last().and_then(|last| model.violation(last)).unwrap_or_default(),
+        steps: path.windows(2).map(|pair| describe_step(model, &pair[0], &pair[1])).collect(),
+        violation: path.last().and_then(|last| model.violation(last)).unwrap_or_default(),
     });
     Report { states, trace }
 }
 
-/// Counts the states from which no state with `goal` can be reached, with all states.
-pub fn stuck<M: Model>(model: &M, goal: impl Fn(&M::State) -> bool) -> (usize, usize) {
+/// Counts the states from which no state with `goal` is reachable, and all reachable states.
+pub fn count_stuck_states<M: Model>(model: &M, goal: impl Fn(&M::State) -> bool) -> (usize, usize) {
     let (states, parents) = graph(model);
     let mut reaches = vec![false; states.len()];
-    let mut open: Vec<usize> = (0..states.len()).filter(|index| goal(&states[*index])).collect();
-    while let Some(index) = open.pop() {
+    let mut pending: Vec<usize> = (0..states.len()).filter(|index| goal(&states[*index])).collect();
+    while let Some(index) = pending.pop() {
         if !std::mem::replace(&mut reaches[index], true) {
-            open.extend(parents[index].iter().copied().filter(|parent| !reaches[*parent]));
+            pending.extend(parents[index].iter().copied().filter(|parent| !reaches[*parent]));
         }
     }
     (reaches.iter().filter(|reaches| !**reaches).count(), states.len())
 }
 
-/// Returns all states, and for each the indexes of those that lead to it.
+/// Returns all reachable states, and for each the indexes of its predecessors.
 fn graph<M: Model>(model: &M) -> (Vec<M::State>, Vec<Vec<usize>>) {
     let mut states = vec![model.start()];
     let mut parents = vec![Vec::new()];
@@ -100,7 +100,7 @@
     (states, parents)
 }
 
-fn step<M: Model>(model: &M, from: &M::State, to: &M::State) -> String {
+fn describe_step<M: Model>(model: &M, from: &M::State, to: &M::State) -> String {
     let actions = model.actions(from);
     let action = actions.iter().find(|action| model.next(from, action) == *to);
     action.map_or_else(String::new, |action| format!("{action:?}"))
--- a/acaciaring_model/src/takeover/rights.rs
+++ b/acaciaring_model/src/takeover/rights.rs
@@ -1,16 +1,16 @@
-//! Rights of the processes of the takeover model.
+//! Decision of which keys a process of the takeover model may serve.
 
 use acaciaring_core::lease::{LeaseSettings, Tally};
 use acaciaring_core::rights::{Right, Rights};
 use acaciaring_core::state::State;
 use acaciaring_core::{KeyHash, Time, UnitId};
 
-use super::{COLD, HOT, MEMBERS, TakeoverModel, TakeoverState};
+use super::{COLD_KEY, HOT_KEY, MEMBERS, TakeoverModel, TakeoverState};
 use crate::mutation::Mutation;
 use crate::records::WORKSPACE;
 
 impl TakeoverModel {
-    /// Decides whether a process may serve a unit, and notes that it does.
+    /// Decides whether a process may serve a unit, and records the decision in `rights`.
     pub(super) fn right(
         &self,
         state: &TakeoverState,
@@ -42,7 +42,7 @@
         matches!(right, Right::Serve { .. })
     }
 
-    /// Returns whether a process may serve the hot key and the other one.
+    /// Returns whether a process may serve the hot key and the cold key.
     pub(super) fn serves(&self, state: &TakeoverState, number: usize) -> [bool; 2] {
         let process = &state.processes[number];
         if !process.leased {
@@ -54,7 +54,7 @@
             return *serves;
         }
         let service = fold.state.service(WORKSPACE).expect("the base publishes the service");
-        let serves = [HOT, COLD].map(|key| {
+        let serves = [HOT_KEY, COLD_KEY].map(|key| {
             let unit = service.unit_of(KeyHash(key));
             let mut rights = Rights::clone(&self.rights.get(process.rights));
             self.right(state, number, &mut rights, unit)
@@ -63,14 +63,14 @@
         serves
     }
 
-    /// Lets a process look at all its units after an event.
+    /// Decides the rights of a process to all units again after an event.
     pub(super) fn refresh(&self, state: &mut TakeoverState, number: usize) {
         let units = Self::units(&self.view(state, number));
         let mut rights = Rights::clone(&self.rights.get(state.processes[number].rights));
         for (unit, _) in units {
             self.right(state, number, &mut rights, unit);
         }
-        state.processes[number].rights = self.rights.put(rights);
+        state.processes[number].rights = self.rights.intern(rights);
     }
 }
 
--- a/acaciaring_model/tests/config.rs
+++ b/acaciaring_model/tests/config.rs
@@ -1,12 +1,12 @@
-//! Searches of the configuration model.
+//! Searches of the model of configuration changes.
 
 use acaciaring_model::Mutation;
 use acaciaring_model::config::ConfigModel;
 use acaciaring_model::search::search;
 
-fn finds(mutation: Mutation) {
+fn assert_counterexample(mutation: Mutation) {
     let report = search(&ConfigModel::new(Some(mutation)));
-    let trace = report.trace.expect("the search finds a counterexample");
+    let trace = report.trace.expect("the search must find a counterexample");
     println!("{mutation:?}, after {} states:\n{trace}", report.states);
 }
 
@@ -16,13 +16,13 @@
     let report = search(&ConfigModel::new(None));
     println!("configuration: {} states in {:?}", report.states, start.elapsed());
     if let Some(trace) = report.trace {
-        panic!("the configuration is broken:\n{trace}");
+        panic!("the configuration model violates a property:\n{trace}");
     }
 }
 
 #[test]
 fn removed_guards_are_found() {
-    finds(Mutation::NewRecordId);
-    finds(Mutation::AcceptedEarly);
-    finds(Mutation::SnapshotWithoutOffset);
+    assert_counterexample(Mutation::NewRecordId);
+    assert_counterexample(Mutation::AcceptedEarly);
+    assert_counterexample(Mutation::SnapshotWithoutOffset);
 }
