--- a/extra/completions/acaciaring.fish
+++ b/extra/completions/acaciaring.fish
@@ -8,7 +8,7 @@
 complete -c acaciaring -l timeout -x -d 'Time for the whole command'
 complete -c acaciaring -l version -d 'Print the version'
 complete -c acaciaring -l help -d 'Print the help'
-complete -c acaciaring -n '__fish_seen_subcommand_from publish retire' -l base -x -d 'Version on which the change builds'
+complete -c acaciaring -n '__fish_seen_subcommand_from publish retire' -l base -x -d 'Version that the change is based on'
 complete -c acaciaring -n '__fish_seen_subcommand_from in-force' -l wait -d 'Wait until in force at every member'
 complete -c acaciaring -n '__fish_seen_subcommand_from check publish' -F
 complete -c acaciaring -n '__fish_seen_subcommand_from retire' -a 'template parameters'
