--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -252,12 +252,12 @@
         let history = &mut self.balance.history;
         let gate = &self.context.gate;
         let service_time = gate.service_time();
-        let decide = |heat: &mut RequestRates| {
+        let decide = |request_rates: &mut RequestRates| {
             let view = balance::View {
                 local: me,
                 service,
                 members: &members,
-                rates: heat,
+                rates: request_rates,
                 weights,
                 service_time,
             };
--- a/acaciaringd/src/control/grant_mode.rs
+++ b/acaciaringd/src/control/grant_mode.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns the instance and start number of the running upstream.
-    pub(super) const fn start(&self) -> Option<&Incarnation> {
+    pub(super) const fn incarnation(&self) -> Option<&Incarnation> {
         match self {
             Self::Heartbeat(holds) => holds.incarnation(),
             Self::Call(orders) => orders.incarnation(),
@@ -38,14 +38,14 @@
     pub(super) fn report(&mut self, now: Time, heartbeat: &Heartbeat) -> ReportOutcome {
         let announcement = &heartbeat.announcement;
         let instance = Name::from(announcement.instance.as_str());
-        let start = Incarnation { instance, generation: announcement.born };
+        let incarnation = Incarnation { instance, generation: announcement.born };
         let sequence = heartbeat.sequence;
         match self {
             Self::Heartbeat(holds) => {
                 let (held, freed) = (heartbeat.held.clone(), heartbeat.freed.clone());
-                holds.report(now, &start, sequence, held, freed)
+                holds.report(now, &incarnation, sequence, held, freed)
             }
-            Self::Call(orders) => orders.report(now, &start, sequence),
+            Self::Call(orders) => orders.report(now, &incarnation, sequence),
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Records that the upstream has refused a request for a unit granted to it.
-    pub(super) fn deny(&mut self, unit: UnitId, keys: &[RangeInclusive<u32>]) {
+    pub(super) fn mark_refused(&mut self, unit: UnitId, keys: &[RangeInclusive<u32>]) {
         match self {
             Self::Heartbeat(holds) => holds.mark_refused(unit),
             Self::Call(orders) => orders.mark_refused(keys),
--- a/acaciaringd/src/control/handover.rs
+++ b/acaciaringd/src/control/handover.rs
@@ -210,7 +210,7 @@
         for unit in &release.units {
             identity.rights.record_release(from, &workspace, wire::unit_id(unit), unit.version);
         }
-        self.inherit(from, &workspace, release);
+        self.store_release(from, &workspace, release);
         let handovers = release.units.iter().zip(&release.handovers);
         for (unit, handover) in handovers.filter(|(_, handover)| !handover.is_empty()) {
             let unit_key = (Arc::clone(&workspace), wire::unit_id(unit));
--- a/acaciaringd/src/control/orders.rs
+++ b/acaciaringd/src/control/orders.rs
@@ -96,7 +96,7 @@
         info!(%workspace, %unit, "the upstream refused a request for a unit granted to it");
         let service = self.state.service(workspace);
         let keys = service.map(|service| service.key_ranges(unit)).unwrap_or_default();
-        self.upstream.mode.deny(unit, &keys);
+        self.upstream.mode.mark_refused(unit, &keys);
         self.dirty = true;
     }
 }
--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -210,7 +210,7 @@
         self.handover = Handover::default();
         self.eviction_reasons.clear();
         self.closed = false;
-        self.forget_roles();
+        self.clear_roles();
         self.context.shared.lease.set(Time::ZERO);
         self.dirty = true;
     }
--- a/acaciaringd/src/control/roles.rs
+++ b/acaciaringd/src/control/roles.rs
@@ -9,7 +9,7 @@
 use acaciaring_schema::peer::Release;
 
 use super::Control;
-use crate::gate::{Inheritance, Role};
+use crate::gate::{DedupHandover, Role};
 use crate::metrics::Counter;
 use crate::view::{Permit, Permits};
 use crate::wire;
@@ -26,7 +26,7 @@
 pub(super) struct ReceivedRelease {
     from: MemberId,
     version: Offset,
-    inheritance: Inheritance,
+    dedup: DedupHandover,
 }
 
 /// Roles of this member, and data received from former servers.
@@ -34,7 +34,7 @@
 pub(super) struct Roles {
     pub(super) current: HashMap<(Name, UnitId), UnitRole>,
     /// Latest release received for each unit.
-    pub(super) inheritances: HashMap<(Name, UnitId), ReceivedRelease>,
+    pub(super) releases: HashMap<(Name, UnitId), ReceivedRelease>,
     /// Handover data from the upstreams of former servers.
     pub(super) handovers: HashMap<(Name, UnitId), Name>,
     /// Units that had no server before this member.
@@ -45,15 +45,15 @@
 
 impl Control {
     /// Stores the deduplication state of a former server until this member serves the units.
-    pub(super) fn inherit(&mut self, from: MemberId, workspace: &Name, release: &Release) {
+    pub(super) fn store_release(&mut self, from: MemberId, workspace: &Name, release: &Release) {
         let blind = Duration::from_millis(u64::from(release.blind));
         for unit in &release.units {
             let id = wire::unit_id(unit);
             let entries =
                 release.dedup.iter().filter(|entry| entry.slot == id.slot).cloned().collect();
-            let inheritance = Inheritance { entries, blind };
-            let received = ReceivedRelease { from, version: unit.version, inheritance };
-            self.roles.inheritances.insert((Arc::clone(workspace), id), received);
+            let dedup = DedupHandover { entries, blind };
+            let received = ReceivedRelease { from, version: unit.version, dedup };
+            self.roles.releases.insert((Arc::clone(workspace), id), received);
         }
     }
 
@@ -128,7 +128,7 @@
     /// here before.
     fn is_split(&self, unit_key: &(Name, UnitId)) -> bool {
         let new = !self.roles.current.contains_key(unit_key)
-            && !self.roles.inheritances.contains_key(unit_key);
+            && !self.roles.releases.contains_key(unit_key);
         new && unit_key.1.key.is_some() && self.slot_role(unit_key) == Some(UnitRole::Server)
     }
 
@@ -144,21 +144,21 @@
 
     /// Returns the role by which this member serves a unit: after a release or after a takeover.
     fn succession(&mut self, unit_key: &(Name, UnitId), assignment: &Assignment) -> Role {
-        match self.roles.inheritances.remove(unit_key) {
+        match self.roles.releases.remove(unit_key) {
             Some(received) if received.version >= least_version(assignment, received.from) => {
-                Role::Handover(received.inheritance)
+                Role::Handover(received.dedup)
             }
             _ => Role::Takeover,
         }
     }
 
     /// Clears all roles of an identity that has ended.
-    pub(super) fn forget_roles(&mut self) {
+    pub(super) fn clear_roles(&mut self) {
         let now = crate::clock::now();
         for ((workspace, unit), _) in self.roles.current.drain() {
             self.context.gate.dedup.set_role(now, &workspace, unit, Role::Nothing);
         }
-        self.roles.inheritances.clear();
+        self.roles.releases.clear();
         self.roles.handovers.clear();
         self.roles.founded.clear();
         self.roles.applied = None;
--- a/acaciaringd/src/control/upstream_state.rs
+++ b/acaciaringd/src/control/upstream_state.rs
@@ -183,7 +183,7 @@
 
     /// Handles the notice that the upstream is leaving and stops its heartbeats.
     pub(super) fn on_upstream_leaves(&mut self, now: Time, instance: &Name) {
-        let present = self.upstream.mode.start();
+        let present = self.upstream.mode.incarnation();
         if present.is_none_or(|present| present.instance == *instance) {
             self.upstream_leaves(now);
         }
@@ -225,7 +225,7 @@
 
     /// Returns true when the running instance of the upstream is the attached one.
     pub(super) fn is_attached_upstream(&self, attachment: &Attachment) -> bool {
-        let present = self.upstream.mode.start();
+        let present = self.upstream.mode.incarnation();
         present.is_some_and(|present| present.instance == attachment.instance)
     }
 
--- a/acaciaringd/src/daemon/mod.rs
+++ b/acaciaringd/src/daemon/mod.rs
@@ -32,7 +32,7 @@
 use crate::heartbeat::Heartbeats;
 use crate::lag_monitor::LagMonitor;
 use crate::log_limiter::LogLimiter;
-use crate::metrics::{Metrics, MetricsError, MetricsSite};
+use crate::metrics::{Metrics, MetricsError, MetricsHandler};
 use crate::outbox::Outbox;
 use crate::peer::{PeerError, Transport};
 use crate::read_scheduler::ReadScheduler;
@@ -160,10 +160,10 @@
             shared: Arc::clone(&shared),
             gate: Arc::clone(&gate),
             transport: transport.clone(),
-            choice: Mutex::new(Selector::new(SelectorSettings::default())),
+            selector: Mutex::new(Selector::new(SelectorSettings::default())),
             budgets: options::retry_budgets(settings),
             suspects: Suspects::default(),
-            full_queues: Mutex::default(),
+            refusals: Mutex::default(),
             outages: Outages::default(),
             metrics: metrics.clone(),
             wait_limit: WaitLimit::new(settings.entry.workers as usize / WAITER_DIVISOR),
@@ -274,8 +274,8 @@
     metrics: &Metrics,
     transport: &Transport,
 ) -> Result<web::Server, StartError> {
-    let site = Arc::new(MetricsSite(metrics.clone()));
-    web::Server::start(transport.runtime(), address, site).context(PageSnafu)
+    let handler = Arc::new(MetricsHandler(metrics.clone()));
+    web::Server::start(transport.runtime(), address, handler).context(PageSnafu)
 }
 
 /// Returns the scheduler of log reads, limited to the configured rate.
--- a/acaciaringd/src/gate/dedup.rs
+++ b/acaciaringd/src/gate/dedup.rs
@@ -20,7 +20,7 @@
     /// Owner of a unit that never had an owner.
     FirstOwner,
     /// Owner after a release by the former owner, with its deduplication state.
-    Handover(Inheritance),
+    Handover(DedupHandover),
     /// Owner after the former owner has failed.
     Takeover,
     /// Owner of a hot key that was split from a slot owned by this member.
@@ -35,7 +35,7 @@
 
 /// Deduplication state of the former owner of a unit.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Inheritance {
+pub(crate) struct DedupHandover {
     pub(crate) entries: Vec<peer::DedupEntry>,
     /// Time for which requests missing from the entries may have run.
     pub(crate) blind: Duration,
@@ -65,9 +65,9 @@
     pub(crate) fn set_role(&self, now: Time, workspace: &Name, unit: UnitId, role: Role) {
         self.with_table(workspace, |table| match role {
             Role::FirstOwner => table.become_first_owner(unit),
-            Role::Handover(inheritance) => {
-                let entries = entries(&inheritance.entries, unit);
-                table.become_owner(now, unit, entries, inheritance.blind);
+            Role::Handover(state) => {
+                let entries = entries(&state.entries, unit);
+                table.become_owner(now, unit, entries, state.blind);
             }
             Role::Takeover => table.take_over(now, unit),
             Role::Split => table.split(unit),
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -21,7 +21,7 @@
 use parking_lot::Mutex;
 use tracing::debug;
 
-pub(crate) use self::dedup::{Dedup, Inheritance, Role};
+pub(crate) use self::dedup::{Dedup, DedupHandover, Role};
 use self::queue::Queue;
 use crate::announce::Announcement;
 use crate::clock;
--- a/acaciaringd/src/metrics/mod.rs
+++ b/acaciaringd/src/metrics/mod.rs
@@ -14,7 +14,7 @@
 };
 use snafu::{ResultExt, Snafu};
 
-pub(crate) use self::page::MetricsSite;
+pub(crate) use self::page::MetricsHandler;
 use self::registry::Registry;
 use crate::config::Metrics as MetricsSettings;
 
--- a/acaciaringd/src/metrics/page.rs
+++ b/acaciaringd/src/metrics/page.rs
@@ -12,9 +12,9 @@
 const PATH: &str = "/metrics";
 
 /// Serves the metrics as text.
-pub(crate) struct MetricsSite(pub(crate) Metrics);
+pub(crate) struct MetricsHandler(pub(crate) Metrics);
 
-impl HttpHandler for MetricsSite {
+impl HttpHandler for MetricsHandler {
     fn answer(&self, head: Parts, _body: Bytes) -> BoxFuture<'_, Response> {
         let answer = match (head.method, head.uri.path()) {
             (Method::GET, PATH) => text(StatusCode::OK, self.0.text()),
--- a/acaciaringd/src/peer/pool.rs
+++ b/acaciaringd/src/peer/pool.rs
@@ -99,11 +99,11 @@
         }
     }
 
-    /// Returns the connection for a datagram; with `fresh` only one that is too young to replace.
-    fn pick_for_datagram(&self, fresh: bool) -> Option<&Arc<Link>> {
+    /// Returns the connection for a datagram; with `reconnect` only one that is too young to replace.
+    fn pick_for_datagram(&self, reconnect: bool) -> Option<&Arc<Link>> {
         let link = self.pick(0, DATAGRAM_IDLE_LIMIT)?;
         let young = self.is_suspect() && link.liveness.age() < MIN_REPLACE_AGE;
-        (!fresh || young).then_some(link)
+        (!reconnect || young).then_some(link)
     }
 
     fn is_suspect(&self) -> bool {
@@ -158,10 +158,10 @@
     }
 
     /// Sends a datagram to `to`, or queues it until a connection is open.
-    pub fn send(&self, shared: &Arc<Shared>, to: SocketAddr, datagram: Bytes, fresh: bool) {
+    pub fn send(&self, shared: &Arc<Shared>, to: SocketAddr, datagram: Bytes, reconnect: bool) {
         let mut slots = self.slots.lock();
         let slot = slots.entry(to).or_default();
-        if let Some(link) = slot.pick_for_datagram(fresh) {
+        if let Some(link) = slot.pick_for_datagram(reconnect) {
             match link.conn.send_datagram(datagram.clone()) {
                 Err(SendDatagramError::ConnectionLost(_)) => {}
                 Err(error) => return warn!(%to, %error, "datagram not sent"),
@@ -172,7 +172,7 @@
             slot.queued.pop_front();
         }
         slot.queued.push_back(datagram);
-        if fresh && slot.connecting.is_none() {
+        if reconnect && slot.connecting.is_none() {
             slot.mark_suspect(LinkId::MAX, &shared.metrics);
         }
         connect(shared, to, slot);
@@ -245,12 +245,12 @@
     }
     let (sender, receiver) = watch::channel(None);
     slot.connecting = Some(receiver.clone());
-    let fresh = slot.is_suspect();
+    let reconnect = slot.is_suspect();
     let runtime = shared.runtime.clone();
     let shared = Arc::clone(shared);
     let task = async move {
         let limit = shared.settings.connect * HANDSHAKE_FACTOR;
-        let outcome = time::timeout(limit, establish(&shared, to, fresh)).await;
+        let outcome = time::timeout(limit, establish(&shared, to, reconnect)).await;
         let outcome = outcome.unwrap_or(Err(ConnectError::TimedOut));
         match &outcome {
             Ok(link) => serve::start(&shared, Arc::clone(link), to),
@@ -263,16 +263,16 @@
     receiver
 }
 
-/// Opens a connection, from a new local port if `fresh`.
+/// Opens a connection, from a new local port if `reconnect`.
 async fn establish(
     shared: &Arc<Shared>,
     to: SocketAddr,
-    fresh: bool,
+    reconnect: bool,
 ) -> Result<Arc<Link>, ConnectError> {
     if shared.is_stopped() {
         return Err(ConnectError::Stopped);
     }
-    let endpoint = if fresh {
+    let endpoint = if reconnect {
         let ip = shared.settings.address.ip();
         Endpoint::client(SocketAddr::new(ip, 0)).context(SocketSnafu)?
     } else {
--- a/acaciaringd/src/peer/transport.rs
+++ b/acaciaringd/src/peer/transport.rs
@@ -173,12 +173,12 @@
 
     /// Sends a datagram without waiting; it is lost if no connection can be opened.
     ///
-    /// With `fresh` it is sent on a new connection that replaces the present one, for a peer that
+    /// With `reconnect` it is sent on a new connection that replaces the present one, for a peer that
     /// has not answered the last datagrams.
-    pub fn send(&self, to: SocketAddr, datagram: &Datagram, fresh: bool) {
+    pub fn send(&self, to: SocketAddr, datagram: &Datagram, reconnect: bool) {
         let shared = &self.inner.shared;
         if !shared.is_stopped() {
-            shared.pool.send(shared, to, datagram.encode_to_vec().into(), fresh);
+            shared.pool.send(shared, to, datagram.encode_to_vec().into(), reconnect);
         }
     }
 
--- a/acaciaringd/src/router/mod.rs
+++ b/acaciaringd/src/router/mod.rs
@@ -68,11 +68,11 @@
     pub(crate) shared: Arc<Shared>,
     pub(crate) gate: Arc<Gate>,
     pub(crate) transport: Transport,
-    pub(crate) choice: Mutex<Selector>,
+    pub(crate) selector: Mutex<Selector>,
     pub(crate) budgets: RetryBudgets,
     pub(crate) suspects: Suspects,
     /// Recent refusals of members whose queues were full.
-    pub(crate) full_queues: Mutex<RefusalCache>,
+    pub(crate) refusals: Mutex<RefusalCache>,
     pub(crate) outages: Outages,
     pub(crate) metrics: Metrics,
     pub(crate) wait_limit: WaitLimit,
@@ -344,13 +344,13 @@
         let Refusal { reason: Reason::Busy, retry: Some(retry), .. } = refusal else { return };
         if self.shared.view().me != Some(target) {
             let now = clock::now();
-            self.full_queues.lock().record(now, target, plan.slack(now), retry);
+            self.refusals.lock().record(now, target, plan.slack(now), retry);
         }
     }
 
     /// Returns a refusal if the owner's queue was recently full for requests like this one.
     fn refuse_full(&self, now: Time, plan: &Plan, owner: MemberId) -> Option<Refusal> {
-        let retry = self.full_queues.lock().retry_after(now, owner, plan.slack(now))?;
+        let retry = self.refusals.lock().retry_after(now, owner, plan.slack(now))?;
         plan.last_member.store(owner.0, Ordering::Relaxed);
         Some(self.full_refusal(retry))
     }
@@ -365,7 +365,7 @@
         members: &mut Vec<MemberId>,
         tried: &[MemberId],
     ) -> Option<Refusal> {
-        let retry = self.full_queues.lock().retain(now, members, plan.slack(now));
+        let retry = self.refusals.lock().retain(now, members, plan.slack(now));
         let all_tried = members.iter().all(|member| tried.contains(member));
         retry.filter(|_| all_tried).map(|retry| self.full_refusal(retry))
     }
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -121,12 +121,12 @@
             LocalMember { member, busy, capacity }
         });
         let near = NearbyMembers { local: own, others: &candidates.near };
-        self.choice.lock().choose_near(now, &mut rand::rng(), near, &candidates.all, tried)
+        self.selector.lock().choose_near(now, &mut rand::rng(), near, &candidates.all, tried)
     }
 
     /// Returns the refusal of a request for which no member is available.
     fn no_member(&self, now: Time, candidates: &[MemberId]) -> Refusal {
-        match self.choice.lock().retry_after(now, candidates) {
+        match self.selector.lock().retry_after(now, candidates) {
             Some(retry) => Refusal::not_run(Reason::Busy).after(retry),
             None => Refusal::not_run(Reason::Unreachable).after(RETRY_AFTER),
         }
@@ -201,7 +201,7 @@
 impl<'a> InFlight<'a> {
     fn new(router: &'a Router, target: MemberId) -> Self {
         let start = clock::now();
-        router.choice.lock().sent(start, target);
+        router.selector.lock().sent(start, target);
         Self { router, target, start, ended: false }
     }
 
@@ -214,14 +214,14 @@
                 (Outcome::Answered(now.since(self.start)), Some(load))
             }
             AttemptOutcome::Refused { refusal, load, .. } => {
-                (choice_feedback(*refusal, *load), Some(*load))
+                (selector_outcome(*refusal, *load), Some(*load))
             }
             AttemptOutcome::Undelivered | AttemptOutcome::Lost => (Outcome::Failed, None),
         };
-        let mut choice = self.router.choice.lock();
-        choice.done(now, self.target, sent);
+        let mut selector = self.router.selector.lock();
+        selector.done(now, self.target, sent);
         if let Some(load) = load.filter(|load| load.capacity > 0) {
-            choice.report(now, self.target, load.busy, load.capacity);
+            selector.report(now, self.target, load.busy, load.capacity);
         }
     }
 }
@@ -229,7 +229,7 @@
 impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.router.choice.lock().done(clock::now(), self.target, Outcome::Failed);
+            self.router.selector.lock().done(clock::now(), self.target, Outcome::Failed);
         }
     }
 }
@@ -238,7 +238,7 @@
 ///
 /// A full queue depends on the class and deadline of the request: a member that refuses
 /// background work still accepts critical work, so the member is not avoided for it.
-fn choice_feedback(refusal: Refusal, load: Load) -> Outcome {
+fn selector_outcome(refusal: Refusal, load: Load) -> Outcome {
     match refusal.reason {
         Reason::Busy if load.capacity == 0 => Outcome::Refused(refusal.retry),
         Reason::UpstreamDown | Reason::Draining | Reason::LostAnswer => Outcome::Failed,
