--- a/acaciaringd/src/control/fold.rs
+++ b/acaciaringd/src/control/fold.rs
@@ -65,7 +65,7 @@
             let assign = Batch { start: offset, entries: tail[..1].to_vec(), ..rest };
             let before = self.unserved_units();
             folded.extend(self.replica.apply_batch(&assign)?);
-            self.track_founded(before);
+            self.track_first_owned(before);
             rest = Batch { start: offset + 1, entries: tail[1..].to_vec(), ..rest };
         }
         folded.extend(self.replica.apply_batch(&rest)?);
--- a/acaciaringd/src/control/placement.rs
+++ b/acaciaringd/src/control/placement.rs
@@ -132,7 +132,7 @@
         let rank = self.state.snapshot_rank(identity.me);
         let rank = rank.and_then(|rank| u32::try_from(rank).ok()).unwrap_or(u32::MAX >> 8);
         let services = self.state.services().filter(|service| self.assignable(service)).map(name);
-        let vacant: Vec<Name> = services.chain(self.unfounded()).collect();
+        let vacant: Vec<Name> = services.chain(self.unrecorded()).collect();
         self.vacant.retain(|workspace, _| vacant.contains(workspace));
         for workspace in vacant {
             let since = *self.vacant.entry(Arc::clone(&workspace)).or_insert(now);
@@ -148,7 +148,7 @@
     }
 
     /// Returns the declared services that are divided by key and not yet in the log.
-    fn unfounded(&self) -> Vec<Name> {
+    fn unrecorded(&self) -> Vec<Name> {
         let declared = self.declared.iter().flat_map(|declared| &declared.keyed);
         let lacks = |workspace: &&Name| {
             let mut members = self.state.members_of(workspace);
--- a/acaciaringd/src/control/roles.rs
+++ b/acaciaringd/src/control/roles.rs
@@ -38,7 +38,7 @@
     /// Handover data from the upstreams of former servers.
     pub(super) handovers: HashMap<(Name, UnitId), Name>,
     /// Units that had no server before this member.
-    pub(super) founded: HashSet<(Name, UnitId)>,
+    pub(super) first_owned: HashSet<(Name, UnitId)>,
     /// State and permits from which the roles were last derived.
     applied: Option<(Arc<State>, Arc<Permits>)>,
 }
@@ -109,7 +109,7 @@
     ) {
         let role = match role_here {
             UnitRole::Standby(version) => Role::Standby(version),
-            UnitRole::Server if self.roles.founded.remove(&unit_key) => Role::FirstOwner,
+            UnitRole::Server if self.roles.first_owned.remove(&unit_key) => Role::FirstOwner,
             UnitRole::Server if self.is_split(&unit_key) => Role::Split,
             UnitRole::Server => self.succession(&unit_key, assignment),
         };
@@ -160,29 +160,29 @@
         }
         self.roles.releases.clear();
         self.roles.handovers.clear();
-        self.roles.founded.clear();
+        self.roles.first_owned.clear();
         self.roles.applied = None;
     }
 
     /// Returns the units that have never had a server.
     pub(super) fn unserved_units(&self) -> Vec<(Name, UnitId)> {
-        let mut fresh = Vec::new();
+        let mut unserved = Vec::new();
         for service in self.replica.state().services() {
             let units = service.units().filter(|(_, assignment)| assignment.token == 0);
-            fresh.extend(units.map(|(unit, _)| (Arc::clone(&service.workspace), unit)));
+            unserved.extend(units.map(|(unit, _)| (Arc::clone(&service.workspace), unit)));
         }
-        fresh
+        unserved
     }
 
     /// Records which of the given new units are now owned by this member.
-    pub(super) fn track_founded(&mut self, fresh: Vec<(Name, UnitId)>) {
+    pub(super) fn track_first_owned(&mut self, unserved: Vec<(Name, UnitId)>) {
         let Some(me) = self.identity.as_ref().map(|identity| identity.me) else { return };
         let state = self.replica.state();
-        let mine = fresh.into_iter().filter(|(workspace, unit)| {
+        let mine = unserved.into_iter().filter(|(workspace, unit)| {
             let assignment = state.service(workspace).and_then(|service| service.assignment(*unit));
             assignment.is_some_and(|assignment| assignment.owner == Some(me))
         });
-        self.roles.founded.extend(mine);
+        self.roles.first_owned.extend(mine);
     }
 }
 
--- a/acaciaringd/src/main.rs
+++ b/acaciaringd/src/main.rs
@@ -12,7 +12,7 @@
 use tracing::{error, warn};
 
 /// Exit code after a graceful shutdown that cut off requests.
-const CUT_OFF: u8 = 4;
+const EXIT_UNFINISHED: u8 = 4;
 
 fn main() -> ExitCode {
     match cli::start() {
@@ -50,7 +50,7 @@
             warn!(%error, "cannot reload the settings file, keeping the current logging settings");
         }
     }
-    if daemon.stop() == 0 { ExitCode::SUCCESS } else { ExitCode::from(CUT_OFF) }
+    if daemon.stop() == 0 { ExitCode::SUCCESS } else { ExitCode::from(EXIT_UNFINISHED) }
 }
 
 fn fail(error: &(dyn std::error::Error + 'static)) -> ExitCode {
