--- a/acaciaring_core/src/admission/mod.rs
+++ b/acaciaring_core/src/admission/mod.rs
@@ -306,14 +306,14 @@
         refused
     }
 
-    /// Removes a waiting request whose caller has gone; `None` when it does not wait here.
+    /// Removes a waiting request whose caller has disconnected; `None` when it does not wait here.
     ///
     /// A running request keeps its slot until [`Admission::finish`].
     pub fn cancel(&mut self, _now: Time, attempt: u64) -> Option<T> {
         self.take(attempt).map(|(_, item)| item)
     }
 
-    /// Starts shedding load for `retry`, as the upstream asks; refuses and returns what waits.
+    /// Starts shedding load for `retry`, as the upstream asks; refuses and returns queued requests.
     ///
     /// Afterwards the concurrency limit ramps up from half of the running requests.
     pub fn shed(&mut self, now: Time, retry: Duration) -> Vec<(T, Refusal)> {
@@ -332,14 +332,14 @@
         self.refuse(now, &all, Reason::Busy)
     }
 
-    /// Stops admission for good because the upstream is leaving; refuses and returns what waits.
+    /// Stops admission permanently as the upstream leaves; refuses and returns queued requests.
     pub fn drain(&mut self, now: Time) -> Vec<(T, Refusal)> {
         self.mode = Mode::Draining;
         let all = self.attempts();
         self.refuse(now, &all, Reason::Draining)
     }
 
-    /// Notes that the upstream takes requests; returns the requests to start now.
+    /// Records that the upstream accepts requests; returns the requests to start now.
     ///
     /// The concurrency limit of a cold upstream ramps up from the initial one.
     pub fn ready(&mut self, now: Time, cold: bool) -> Vec<T> {
@@ -381,7 +381,7 @@
 
     /// Returns true when a new request need not wait.
     ///
-    /// With a free slot and no feasible request waiting, it starts whatever the estimates say.
+    /// With a free slot and no feasible request waiting, it starts regardless of the estimates.
     /// Otherwise an estimate that exceeds all deadlines would block all requests and never be
     /// corrected.
     fn can_start_now(&self, now: Time) -> bool {
--- a/acaciaring_core/src/attempt.rs
+++ b/acaciaring_core/src/attempt.rs
@@ -46,7 +46,7 @@
 pub enum Arrival {
     /// The attempt is new: run it, then call [`Attempts::finish`].
     Run,
-    /// The sender was told that it had not arrived, or has cancelled it: do not run it.
+    /// The sender was informed that it had not arrived, or cancelled it: do not run it.
     Superseded,
     /// The attempt arrived before and may have run: do not run it again.
     Repeated,
--- a/acaciaring_core/src/balance/keys.rs
+++ b/acaciaring_core/src/balance/keys.rs
@@ -60,7 +60,7 @@
     settings: &BalanceSettings,
     summary: &Summary,
 ) -> Vec<UnitId> {
-    // The slots of a founded service are so small that a hot key moves with its slot.
+    // The slots of a numeric service are so small that a hot key moves with its slot.
     if !summary.overloaded(settings) || summary.rate_factor <= 0.0 || view.service.numeric {
         return Vec::new();
     }
--- a/acaciaring_core/src/balance/summary.rs
+++ b/acaciaring_core/src/balance/summary.rs
@@ -31,7 +31,7 @@
 pub(super) struct Summary {
     /// Slots of each candidate.
     pub(super) counts: BTreeMap<MemberId, SlotCount>,
-    /// Own units that may move, grouped into blocks in a founded service.
+    /// Own units that may move, grouped into blocks in a numeric service.
     pub(super) movable: Vec<OwnedUnit>,
     /// Number of own units with a standby, not grouped into blocks.
     pub(super) owned: usize,
--- a/acaciaring_core/src/dedup.rs
+++ b/acaciaring_core/src/dedup.rs
@@ -260,8 +260,8 @@
 
     /// Records, at the owner, that a begun request did not run and this attempt never will.
     ///
-    /// The standby is not told: the message could overtake a later intent for the same request, and
-    /// the standby would drop a request that runs.
+    /// The standby is not notified: the message could overtake a later intent for the same request,
+    /// and the standby would drop a request that runs.
     pub fn not_run(&mut self, id: RequestId, unit: UnitId) {
         if matches!(self.table.get(unit.slot, id), Some(RequestState::Running)) {
             self.table.remove(unit.slot, id);
--- a/acaciaring_core/src/lease/holder.rs
+++ b/acaciaring_core/src/lease/holder.rs
@@ -155,9 +155,9 @@
     ///
     /// May replace [`Self::install`] only when the folded state that includes `version` names this
     /// member as owner, standby or prior of no unit. A member that lags behind `version` can then
-    /// count votes by an older set only for units that this member has given up; units assigned
-    /// later follow `version` in the log. Without it, a process whose first lessors are dead would
-    /// get no lease until it abandons its identity, as dead lessors supersede nothing.
+    /// count votes by an older set only for units that are no longer assigned to this member; units
+    /// assigned later follow `version` in the log. Without it, a process whose first lessors are
+    /// dead would get no lease until it abandons its identity, as dead lessors supersede nothing.
     pub fn reset(&mut self, version: Offset, lessors: &[MemberId]) {
         if version <= self.version() {
             return;
@@ -315,7 +315,7 @@
     /// Returns true when the lease has expired and too many lessors are dead for it to be renewed.
     ///
     /// Such a member can neither renew its lease nor replace its lessors, as dead lessors supersede
-    /// nothing. Giving up the identity at once leaves its units unserved for a shorter time than
+    /// nothing. Abandoning the identity at once leaves its units unserved for a shorter time than
     /// waiting until [`Self::abandoned`].
     #[must_use]
     pub fn quorum_lost(&self, now: Time, alive: impl Fn(MemberId) -> bool) -> bool {
@@ -327,7 +327,7 @@
         !self.holds(now) && recorded.into_iter().any(lacks)
     }
 
-    /// Returns true when this identity must be given up and must stop granting.
+    /// Returns true when this identity must be abandoned and must stop granting.
     ///
     /// A member that never had lessors cannot be evicted and so keeps its identity.
     #[must_use]
--- a/acaciaring_core/src/lease/mod.rs
+++ b/acaciaring_core/src/lease/mod.rs
@@ -25,7 +25,7 @@
     pub term: Duration,
     /// Part of the term that the holder leaves unused, to allow for clock drift.
     pub margin: Duration,
-    /// Time without a lease after which a member gives up its identity.
+    /// Time without a lease after which a member abandons its identity.
     pub abandon: Duration,
 }
 
@@ -52,8 +52,7 @@
     ///
     /// A lessor that is recorded as dead but only partitioned still grants until it abandons its
     /// identity, and its last grant runs for one more term. The sum is scaled by the clock drift
-    /// that
-    /// `margin` allows for.
+    /// that `margin` allows for.
     #[must_use]
     pub fn dead_vote_delay(&self) -> Duration {
         let ratio = self.term.as_secs_f64() / self.usable().as_secs_f64();
@@ -64,7 +63,7 @@
 /// Renewal request to be sent to a lessor now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Renewal {
-    /// Lessor to ask.
+    /// Lessor that the renewal is sent to.
     pub lessor: MemberId,
     /// Sequence number, echoed by the grant.
     pub seq: u64,
--- a/acaciaring_core/src/orders/segment.rs
+++ b/acaciaring_core/src/orders/segment.rs
@@ -52,7 +52,7 @@
     pub(super) isolated: bool,
 }
 
-/// State of a segment that matters to the rest of the member.
+/// State of a segment that determines which keys the upstream serves or may hold.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct SegmentState {
     serves: Option<Token>,
@@ -94,7 +94,7 @@
         self.grant = None;
     }
 
-    /// Handles the result of a grant issued at `since`; `alone` when it covered only this segment.
+    /// Handles the result of a grant issued at `since`; `alone` if it covered no other segment.
     pub(super) fn handle_grant(
         &mut self,
         now: Time,
--- a/acaciaring_core/src/rights.rs
+++ b/acaciaring_core/src/rights.rs
@@ -11,7 +11,7 @@
 use crate::state::{Assignment, State};
 use crate::time::Time;
 
-/// Unit of a workspace; the unit comes first, so that a look-up compares few strings.
+/// Unit of a workspace; the unit comes first, so that a lookup compares few strings.
 type Key = (UnitId, Name);
 
 /// Permission of this process to serve a unit.
@@ -26,7 +26,7 @@
         /// Version of the assignment.
         version: Offset,
     },
-    /// This process is to serve, but has no lease or waits until others have given up the unit.
+    /// This process is to serve, but has no lease or waits until others can no longer serve the unit.
     Wait,
     /// Another process is to serve, if any.
     Elsewhere {
--- a/acaciaring_core/src/selector.rs
+++ b/acaciaring_core/src/selector.rs
@@ -2,9 +2,9 @@
 //!
 //! Power of two choices: of two members drawn at random, the one with the lower expected cost, load
 //! times latency, is selected. Load reports lag, so requests sent since the report are added. A
-//! member that was not tried for long is probed whatever its cost. Health endpoints of upstreams
-//! are not used because they can report healthy while requests fail. Nearby members are preferred
-//! while they have capacity.
+//! member that has not been tried for long is probed regardless of its cost. Health endpoints of
+//! upstreams are not used because they can report healthy while requests fail. Nearby members are
+//! preferred while they have capacity.
 
 mod near;
 mod peer;
@@ -101,7 +101,7 @@
         self.peer(now, member).report(now, busy, capacity);
     }
 
-    /// Notes that a member sheds load for `retry`.
+    /// Records that a member sheds load for `retry`.
     pub fn shed(&mut self, now: Time, member: MemberId, retry: Duration) {
         self.peer(now, member).back_off_until(now + retry);
     }
@@ -123,7 +123,7 @@
 
     /// Selects a member; `None` when each candidate is excluded or sheds load.
     ///
-    /// If all others are ejected, one of those is selected all the same: the failures may be local
+    /// If all others are ejected, one of those is selected nevertheless: the failures may be local
     /// to this process, and ejecting every member would turn them into an outage.
     pub fn choose(
         &self,
--- a/acaciaring_core/src/state/fold.rs
+++ b/acaciaring_core/src/state/fold.rs
@@ -17,7 +17,7 @@
 impl Decoded {
     /// Decodes a record, or returns `None` for bytes that are not a known record.
     ///
-    /// The result depends on the bytes alone, so all members agree on it.
+    /// The result depends only on the bytes, so all members agree on it.
     pub(super) fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let record = Record::decode(bytes).ok()?;
         Some(Self { id: record.id.try_into().ok()?, body: record.body? })
@@ -51,7 +51,7 @@
         if matches!(record.body, Body::Chunk(_) | Body::Commit(_)) {
             return Outcome::Applied;
         }
-        // The id of a rejected record is kept too: its proposer was told that it has no
+        // The id of a rejected record is kept too: its proposer was informed that it has no
         // effect, so a duplicate must not take effect later.
         if !self.recent.insert(record.id) {
             return Outcome::Duplicate;
--- a/acaciaringd/src/config/rules.rs
+++ b/acaciaringd/src/config/rules.rs
@@ -42,7 +42,7 @@
         // A shorter term lets one lost renewal end the lease, and callers get `no-lease` although
         // no process has failed.
         rule(needed < lease.term, "term", "must be above interval + resend + margin"),
-        // A shorter time makes a member give up its identity after a pause that a renewal ends.
+        // A member would otherwise abandon its identity after a pause from which renewals recover.
         rule(lease.abandon >= lease.term * 2, "abandon", "must be at least twice lease.term"),
     ];
     rules.into_iter().flatten().collect()
--- a/acaciaringd/src/control/balance.rs
+++ b/acaciaringd/src/control/balance.rs
@@ -195,7 +195,7 @@
         self.balance.service_times.retain(|id, _| loads.contains_key(id));
     }
 
-    /// Records the switchovers in a folded batch, so that the units rest before they move again.
+    /// Records the switchovers in a folded batch, so that the units do not move again too soon.
     ///
     /// First assignments and takeovers from dead owners do not count as moves.
     pub(super) fn track_moves(&mut self, now: Time, before: &State) {
--- a/acaciaringd/src/control/event.rs
+++ b/acaciaringd/src/control/event.rs
@@ -48,7 +48,7 @@
     DeclaredVersion(SocketAddr, u64),
     /// A newer declared configuration is in force.
     Declared(Arc<Declared>),
-    /// The process was told to stop at this time.
+    /// A stop of the process was requested at this time.
     Stop(Time),
     /// The stopping process has no caller requests left and accepts none.
     CallersGone,
--- a/acaciaringd/src/control/fold.rs
+++ b/acaciaringd/src/control/fold.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Folds a batch; each `Assign` is folded alone, to find the units that it founds.
+    /// Folds a batch; each `Assign` is folded separately, to find units with a first owner.
     fn fold(&mut self, batch: &Batch) -> Result<Vec<Folded>, ReplicaError> {
         let mut folded = Vec::new();
         let mut rest = batch.clone();
--- a/acaciaringd/src/control/grant_mode.rs
+++ b/acaciaringd/src/control/grant_mode.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the instance and start number of the running upstream.
+    /// Returns the current incarnation of the upstream.
     pub(super) const fn incarnation(&self) -> Option<&Incarnation> {
         match self {
             Self::Heartbeat(holds) => holds.incarnation(),
--- a/acaciaringd/src/control/handover.rs
+++ b/acaciaringd/src/control/handover.rs
@@ -87,8 +87,8 @@
 
     /// Releases units that have no requests in flight.
     ///
-    /// The view without the permit is published before the requests in flight
-    /// are counted, see [`crate::inflight::Inflight`].
+    /// The view without the permit is published before the requests in flight are counted, see
+    /// [`crate::inflight::Inflight`].
     pub(super) fn release_units(&mut self, now: Time) {
         let releases = self.handover.pending.clone();
         let mut ready: HashMap<(Name, MemberId), Vec<UnitRelease>> = HashMap::new();
@@ -104,7 +104,7 @@
 
     /// Releases one unit if it is ready; returns the members that the release has to be sent to.
     ///
-    /// Includes the standby, which takes over if the new owner dies before it serves.
+    /// Includes the standby, which takes over if the new owner fails before it serves.
     fn release(&mut self, now: Time, release: &UnitRelease) -> Vec<MemberId> {
         let (workspace, unit, _) = release;
         let sent = self.handover.sent.get(release);
@@ -175,7 +175,7 @@
     /// Returns the units that a member serves next: as owner, or as standby of this closed member.
     ///
     /// A message also carries units for which the member is only the standby. Its reply completes
-    /// only the units returned here; judged as a whole, a mixed message would be resent forever.
+    /// only the units returned here; otherwise a mixed message would be resent forever.
     fn next_served(
         &self,
         workspace: &Name,
--- a/acaciaringd/src/control/identity.rs
+++ b/acaciaringd/src/control/identity.rs
@@ -22,10 +22,10 @@
     pub(crate) was_leased: bool,
 }
 
-/// Why a member gives up its identity.
+/// Why a member retires its identity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndReason {
-    /// The process was told to stop.
+    /// A stop of the process was requested.
     Stop,
     /// The upstream is leaving or does not answer.
     Upstream,
--- a/acaciaringd/src/control/placement.rs
+++ b/acaciaringd/src/control/placement.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Returns the declared services that are divided by key and not yet in the log.
+    /// Returns the declared services that are partitioned by key and not yet in the log.
     fn unrecorded(&self) -> Vec<Name> {
         let declared = self.declared.iter().flat_map(|declared| &declared.keyed);
         let lacks = |workspace: &&Name| {
@@ -157,7 +157,7 @@
         declared.filter(lacks).cloned().collect()
     }
 
-    /// Returns the number of slots of a declared service that is divided by key, 0 for others.
+    /// Returns the number of slots of a declared service that is partitioned by key, 0 for others.
     fn slots(&self, workspace: &Name) -> u32 {
         let keyed = |declared: &Arc<Declared>| declared.keyed.contains(workspace);
         if self.declared.as_ref().is_some_and(keyed) { DECLARED_SLOTS } else { 0 }
@@ -173,7 +173,7 @@
             && members.any(|member| member.alive() && !member.lessors.is_empty())
     }
 
-    /// Submits a proposal; restores the rights given up for it if it cannot be queued.
+    /// Submits a proposal; restores the rights renounced for it if it cannot be queued.
     pub(super) fn submit(&mut self, proposal: Proposal, body: record::Body) {
         let (renounced, changed) = (proposal.renounced.clone(), proposal.changed.clone());
         let purpose = proposal.purpose.clone();
@@ -216,7 +216,7 @@
     }
 }
 
-/// Restores the rights given up for a record that is not and will not be applied.
+/// Restores the rights renounced for a record that is not and will not be applied.
 fn restore(rights: &mut Rights, purpose: &Purpose, renounced: &[(Name, UnitId, Offset)]) {
     for (workspace, unit, version) in renounced {
         rights.cancel_renounce(workspace, *unit, *version);
--- a/acaciaringd/src/control/proposal.rs
+++ b/acaciaringd/src/control/proposal.rs
@@ -21,7 +21,7 @@
 /// Extra time for an append attempt in progress, so that the operator gets a definite result.
 const ATTEMPT_GRACE: Duration = Duration::from_secs(2);
 
-/// Maximum number of in-doubt records that are remembered.
+/// Maximum number of in-doubt records that are kept.
 const MAX_IN_DOUBT: usize = 256;
 
 /// Purpose of a proposal; at most one proposal per purpose is open.
@@ -60,7 +60,7 @@
     in_doubt: InDoubt,
 }
 
-/// Abandoned records that may have been appended all the same, oldest first.
+/// Abandoned records that may have been appended nevertheless, oldest first.
 #[derive(Debug, Default)]
 struct InDoubt(VecDeque<RecordId>);
 
--- a/acaciaringd/src/control/publish.rs
+++ b/acaciaringd/src/control/publish.rs
@@ -11,7 +11,7 @@
 use super::event::PublishReply;
 use super::proposal::{Proposal, Purpose};
 
-/// Maximum number of replies that are remembered for retries.
+/// Maximum number of replies that are kept for retries.
 const MAX_REPLIES: usize = 256;
 
 /// Replies to recent publishes, so that a retry with the same id gets the same reply.
@@ -69,7 +69,7 @@
         known.or_else(|| self.state.is_recent(id).then_some(PublishReply::Before))
     }
 
-    /// Sends the outcome of a publish to the operator and remembers it for retries.
+    /// Sends the outcome of a publish to the operator and stores it for retries.
     pub(super) fn published(&mut self, proposal: &Proposal, record: &Folded) {
         let Purpose::Publish(id) = proposal.purpose else { return };
         let answer =
--- a/acaciaringd/src/control/upstream_state.rs
+++ b/acaciaringd/src/control/upstream_state.rs
@@ -47,7 +47,8 @@
 /// Heartbeat whose reply is delayed until it reflects a pending move.
 ///
 /// A moving unit has no server from the reply that leaves it out until the reply that grants it to
-/// the next upstream, so a reply that just misses a move costs a whole heartbeat interval.
+/// the next upstream, so a reply that just misses a move prolongs this by a heartbeat
+/// interval.
 #[derive(Debug)]
 struct DelayedReply {
     reply: oneshot::Sender<HeartbeatReply>,
--- a/acaciaringd/src/declared.rs
+++ b/acaciaringd/src/declared.rs
@@ -49,7 +49,7 @@
     pub version: u64,
     /// Routes of all workspaces.
     pub routes: Routes,
-    /// Workspaces whose services are divided by key.
+    /// Workspaces whose services are partitioned by key.
     pub keyed: Vec<Name>,
     /// Limits on callers.
     pub limits: CallerLimits,
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -45,7 +45,7 @@
 /// Slot under which requests to services that are not partitioned by key are counted in flight.
 const POOLED_SLOT: Slot = Slot::MAX;
 
-/// Retry hint while this member cannot serve: a unit moves, the lease is missing, or it drains.
+/// Retry hint while this member cannot serve: a unit moves, there is no lease, or it drains.
 const MOVE_RETRY: Duration = Duration::from_millis(300);
 
 /// Ownership under which a request runs.
@@ -179,8 +179,8 @@
 
     /// Returns true for a request to a service partitioned by key.
     ///
-    /// With declared configuration the sender decides: each member reads the routes by itself, and
-    /// the sender's version may be newer than the local one.
+    /// With declared configuration the sender decides: each member reads the routes independently,
+    /// and the sender's version may be newer than the local one.
     fn is_keyed(&self, view: &View, request: &Request) -> Result<bool, Refusal> {
         if self.shared.declares {
             return Ok(request.key.is_some());
--- a/acaciaringd/src/gate/queue.rs
+++ b/acaciaringd/src/gate/queue.rs
@@ -184,7 +184,7 @@
 /// Starts queued requests.
 fn start(senders: Vec<Sender<Decision>>) {
     for sender in senders {
-        // The receiver lives until it gets the decision or has left the queue.
+        // The receiver exists until it gets the decision or has left the queue.
         let _ = sender.send(Ok(()));
     }
 }
@@ -192,7 +192,7 @@
 /// Refuses queued requests.
 fn refuse(refused: impl IntoIterator<Item = (Sender<Decision>, Refusal)>) {
     for (sender, refusal) in refused {
-        // The receiver lives until it gets the decision or has left the queue.
+        // The receiver exists until it gets the decision or has left the queue.
         let _ = sender.send(Err(refusal));
     }
 }
--- a/acaciaringd/src/main.rs
+++ b/acaciaringd/src/main.rs
@@ -11,7 +11,7 @@
 use signal_hook::iterator::Signals;
 use tracing::{error, warn};
 
-/// Exit code after a graceful shutdown that cut off requests.
+/// Exit code of a graceful shutdown that aborted requests.
 const EXIT_UNFINISHED: u8 = 4;
 
 fn main() -> ExitCode {
--- a/acaciaringd/src/peer/exchange.rs
+++ b/acaciaringd/src/peer/exchange.rs
@@ -214,7 +214,7 @@
 /// Resets a stream, which stops sending the rest of its message.
 ///
 /// Guards against a paused process that sends the rest of a refused message after the receiver has
-/// forgotten the refusal.
+/// dropped its record of the refusal.
 pub(super) fn abandon(stream: &mut SendStream) {
     // Fails only when the stream is already over.
     let _ = stream.reset(Code::Abandoned.into());
--- a/acaciaringd/src/peer/pool.rs
+++ b/acaciaringd/src/peer/pool.rs
@@ -41,7 +41,7 @@
 /// Handshake timeout at both ends, in units of the connect timeout of a message.
 ///
 /// Guards against a member short of processor time that cannot be reached: if each handshake ended
-/// with the message that waits for it, the member's work on it would be wasted and begin anew.
+/// with the message that waits for it, the member's work on it would be wasted and start again.
 pub(super) const HANDSHAKE_FACTOR: u32 = 5;
 
 /// Datagrams queued for a connection; the oldest is dropped for a new one.
--- a/acaciaringd/src/peer/run.rs
+++ b/acaciaringd/src/peer/run.rs
@@ -51,8 +51,8 @@
 
 /// Waits for the answer of a request, and cancels the request if the sender stops its stream.
 ///
-/// A sender that gives up stops the stream, which takes effect even if its cancellation is lost.
-/// The loss of the connection does not cancel the request.
+/// A sender that abandons a request stops the stream, which cancels the request even if the
+/// cancellation message is lost. The loss of the connection does not cancel the request.
 async fn wait_for_answer(
     mut job: JoinHandle<Answer>,
     send: &mut SendStream,
--- a/acaciaringd/src/peer/search.rs
+++ b/acaciaringd/src/peer/search.rs
@@ -145,8 +145,8 @@
 
     /// Records whether the attempt has arrived; returns the outcome if it is thereby known.
     ///
-    /// Guards against reporting a request as not run although it ran: a receiver forgets an attempt
-    /// some time after its end and then replies that it has not arrived.
+    /// Guards against reporting a request as not run although it ran: a receiver drops its record
+    /// of an attempt some time after its end and then replies that it has not arrived.
     fn record_arrival(&mut self, arrived: bool) -> Option<RequestOutcome> {
         self.arrived |= arrived;
         if self.arrived {
--- a/acaciaringd/src/peer/serve.rs
+++ b/acaciaringd/src/peer/serve.rs
@@ -192,8 +192,8 @@
 
 /// Subtracts the network delay of a request from its remaining times.
 ///
-/// Guards against a lossy link or a member short of processor time: the request would start anew
-/// with its full time there, and could reach an upstream long after its caller has left.
+/// Guards against a lossy link or a member short of processor time: the request would start
+/// again with its full time there, and could reach an upstream long after its caller has left.
 fn deduct_delay(request: &mut Request, delay: Duration) {
     let delay = u32::try_from(delay.as_millis()).unwrap_or(u32::MAX);
     request.left = request.left.saturating_sub(delay);
--- a/acaciaringd/src/router/pooled.rs
+++ b/acaciaringd/src/router/pooled.rs
@@ -234,7 +234,7 @@
     }
 }
 
-/// Returns what a refusal tells the load balancer about the member.
+/// Returns the outcome that the selector records for a refusal.
 ///
 /// A full queue depends on the class and deadline of the request: a member that refuses
 /// background work still accepts critical work, so the member is not avoided for it.
--- a/acaciaringd/src/router/stalled.rs
+++ b/acaciaringd/src/router/stalled.rs
@@ -40,8 +40,8 @@
 
     /// Waits for the end of a stalled attempt.
     ///
-    /// Guards against losing the answer of a member that is only starved of processor time. That
-    /// the log declares it dead is no proof either: its process may live on and rejoin as another
+    /// Guards against losing the answer of a member that only lacks processor time. A death
+    /// recorded in the log is no proof either: its process may still run and rejoin as another
     /// member.
     pub(super) async fn await_stalled(&self, stalled: StalledAttempt) -> AttemptOutcome {
         let StalledAttempt { target, address, start, running } = stalled;
--- a/acaciaringd/src/view.rs
+++ b/acaciaringd/src/view.rs
@@ -148,7 +148,7 @@
     ///
     /// It may then be used without a lease, which does not keep it up to date.
     pub(crate) declares: bool,
-    /// True once this process was told to stop.
+    /// True once a stop of this process was requested.
     pub(crate) stopping: AtomicBool,
     /// True once this member has a declared configuration.
     pub(crate) configured: AtomicBool,
