--- a/acaciaring_core/src/balance/mod.rs
+++ b/acaciaring_core/src/balance/mod.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// Changes that a member should propose now.
+/// Changes that the planning member should propose now.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Plan {
     /// Own units that should swap roles with their standby.
--- a/acaciaring_core/src/lease/lessor.rs
+++ b/acaciaring_core/src/lease/lessor.rs
@@ -147,7 +147,7 @@
         self.holders.iter().any(runs)
     }
 
-    /// Stops granting for good, as this identity is abandoned.
+    /// Stops granting permanently, as this identity is abandoned.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
--- a/acaciaring_core/src/lease/tally.rs
+++ b/acaciaring_core/src/lease/tally.rs
@@ -44,7 +44,7 @@
         self.deaths.retain(|id, _| wanted(*id));
     }
 
-    /// Returns proof that the lease of `member` has expired for good, `None` without a majority.
+    /// Returns proof that the lease of `member` has expired permanently, `None` without a majority.
     ///
     /// Only votes with exactly the version of the set count. Otherwise a member that lags behind
     /// the log would count votes of lessors that the holder no longer renews with. The holder drops
@@ -58,7 +58,7 @@
         enough.then_some(Proof { version: member.version, votes, lapsed })
     }
 
-    /// Returns true when the lease of `member` has expired for good.
+    /// Returns true when the lease of `member` has expired permanently.
     #[must_use]
     pub fn expired(&self, now: Time, member: &Member) -> bool {
         member.phase == Phase::Dead || self.proof(now, member).is_some()
--- a/acaciaring_core/src/rights.rs
+++ b/acaciaring_core/src/rights.rs
@@ -1,4 +1,4 @@
-//! Decides whether this process may serve a unit, by assignments, leases and releases.
+//! Decision whether this process may serve a unit, by assignments, leases and releases.
 //!
 //! A new owner serves once every former one has released the unit or its lease has expired; a
 //! standby takes over once the same is true of the owner.
@@ -26,7 +26,7 @@
         /// Version of the assignment.
         version: Offset,
     },
-    /// This process is to serve, but has no lease or waits until others can no longer serve the unit.
+    /// This process is to serve, but has no lease or others may still serve the unit.
     Wait,
     /// Another process is to serve, if any.
     Elsewhere {
@@ -74,7 +74,7 @@
         Self::default()
     }
 
-    /// Records that this process releases a unit for good; returns false while it must not.
+    /// Records that this process releases a unit permanently; returns false while it must not.
     ///
     /// A former owner releases to the owner and the standby, the owner to the standby, each with
     /// the version of `assignment`. Nothing is released while a split or merge within the slot is
@@ -211,7 +211,7 @@
         self.decide(now, holder, workspace, unit, assignment, expired)
     }
 
-    /// Decides by one assignment; `expired` is true of members whose lease has expired for good.
+    /// Decides by one assignment; `expired` is true of members whose lease has expired permanently.
     pub fn decide(
         &mut self,
         now: Time,
--- a/acaciaringd/src/control/eviction.rs
+++ b/acaciaringd/src/control/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction of members whose lease has expired for good.
+//! Eviction of members that can no longer hold a lease.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// Why a member may be evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EvictionReason {
-    /// Votes prove that its lease has expired for good.
+    /// Votes prove that its lease has expired permanently.
     Proof,
     /// A later process runs on its VM and address.
     Successor,
@@ -82,7 +82,7 @@
         for evict in proposals {
             let member = MemberId(evict.member);
             if self.proposals.propose(now, Purpose::Evict(member), record::Body::Evict(evict)) {
-                warn!(%member, "member has lost its lease for good, proposing eviction");
+                warn!(%member, "member can no longer hold a lease, proposing its eviction");
             }
         }
     }
--- a/acaciaringd/src/control/identity.rs
+++ b/acaciaringd/src/control/identity.rs
@@ -29,7 +29,7 @@
     Stop,
     /// The upstream is leaving or does not answer.
     Upstream,
-    /// The lease has been lost for too long, or for good.
+    /// The lease has been lost for too long, or cannot be regained.
     Lease,
 }
 
--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -190,7 +190,7 @@
         let mut votes = Vec::new();
         for member in identity.lessor.expired(now) {
             if let Some(vote) = identity.lessor.vote(now, member, leased) {
-                warn!(member = %vote.member, "grant has expired, voting for eviction");
+                warn!(member = %vote.member, "grant has expired, voting that the lease has expired");
                 identity.tally.vote(identity.me, vote.member, vote.version);
                 votes.push(vote);
             }
@@ -233,7 +233,10 @@
         self.require_record(vote.version);
         let Some(identity) = &mut self.identity else { return };
         if vote.member == identity.me.0 {
-            info!(lessor = vote.lessor, "a lessor has voted for the eviction of this member");
+            info!(
+                lessor = vote.lessor,
+                "a lessor has voted that the lease of this member has expired"
+            );
             return;
         }
         identity.tally.vote(MemberId(vote.lessor), MemberId(vote.member), vote.version);
--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Retires the identity when its lease is lost for good.
+    /// Retires the identity when its lease is lost for too long or cannot be regained.
     ///
     /// An evicted member finds `Dead` in the log; one that cannot read the log is refused by its
     /// lessors. In both cases the lease has expired and nothing is served.
@@ -85,7 +85,7 @@
         let holder = &identity.holder;
         let lost = holder.refused() || holder.abandoned(now) || holder.quorum_lost(now, alive);
         if identity.retiring.is_none() && (dead || lost) {
-            warn!(member = %identity.me, dead, "lease is lost for good, joining again");
+            warn!(member = %identity.me, dead, "lease is lost, retiring identity to join again");
             identity.retire(now, EndReason::Lease);
             identity.lessor.stop();
         }
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -346,9 +346,9 @@
 
 /// Returns the standby that must record a request before it may run at most once.
 ///
-/// A standby whose lease has expired for good is left out because it can never take over; waiting
-/// for it would block the owner until the log records another standby. A later standby answers
-/// `Unknown` for requests that it has no record of.
+/// A standby whose lease has expired permanently is left out because it can never take over;
+/// waiting for it would block the owner until the log records another standby. A later standby
+/// answers `Unknown` for requests that it has no record of.
 fn standby_to_notify(view: &View, workspace: &str, grant: Grant) -> Option<MemberId> {
     let assignment = view.assignment(workspace, grant.unit)?;
     let standby = assignment.standby.filter(|standby| Some(*standby) != view.me)?;
--- a/acaciaringd/src/peer/pool.rs
+++ b/acaciaringd/src/peer/pool.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns the connection for a datagram; with `reconnect` only one that is too young to replace.
+    /// Returns the connection for a datagram; with `reconnect`, only one too young to be replaced.
     fn pick_for_datagram(&self, reconnect: bool) -> Option<&Arc<Link>> {
         let link = self.pick(0, DATAGRAM_IDLE_LIMIT)?;
         let young = self.is_suspect() && link.liveness.age() < MIN_REPLACE_AGE;
--- a/acaciaringd/src/peer/transport.rs
+++ b/acaciaringd/src/peer/transport.rs
@@ -173,8 +173,8 @@
 
     /// Sends a datagram without waiting; it is lost if no connection can be opened.
     ///
-    /// With `reconnect` it is sent on a new connection that replaces the present one, for a peer that
-    /// has not answered the last datagrams.
+    /// With `reconnect` it is sent on a new connection that replaces the present one, for a peer
+    /// that has not answered the last datagrams.
     pub fn send(&self, to: SocketAddr, datagram: &Datagram, reconnect: bool) {
         let shared = &self.inner.shared;
         if !shared.is_stopped() {
