--- a/acaciaringd/src/control/lease.rs
+++ b/acaciaringd/src/control/lease.rs
@@ -190,7 +190,10 @@
         let mut votes = Vec::new();
         for member in identity.lessor.expired(now) {
             if let Some(vote) = identity.lessor.vote(now, member, leased) {
-                warn!(member = %vote.member, "grant has expired, voting that the lease has expired");
+                warn!(
+                    member = %vote.member,
+                    "grant has expired, voting that the lease has expired"
+                );
                 identity.tally.vote(identity.me, vote.member, vote.version);
                 votes.push(vote);
             }
--- a/acaciaringd/src/peer/attempt.rs
+++ b/acaciaringd/src/peer/attempt.rs
@@ -238,7 +238,10 @@
     async fn recover(self) -> RequestOutcome {
         let Self { shared, info, silence, arrived, mut sent } = self;
         let AttemptInfo { to, attempt, .. } = info;
-        debug!(%to, attempt, arrived, link = sent.link.id, "connection is suspect, searching on new ones");
+        debug!(
+            %to, attempt, arrived, link = sent.link.id,
+            "connection is suspect, searching for the attempt on new connections"
+        );
         let search = Search { shared, info, silence, arrived, sent: &sent.link };
         let mut search = pin!(search.run());
         let found = tokio::select! {
