--- a/acaciaringd/src/peer/attempt.rs
+++ b/acaciaringd/src/peer/attempt.rs
@@ -227,7 +227,7 @@
                 let search = Search { shared, info, silence, arrived, sent: &sent.link };
                 match search.run().await {
                     Found::Outcome(outcome) => outcome,
-                    Found::Forgotten | Found::Stopped => RequestOutcome::Lost,
+                    Found::AnswerDropped | Found::Stopped => RequestOutcome::Lost,
                 }
             }
             _ => RequestOutcome::Lost,
@@ -254,7 +254,7 @@
         let outcome = match found {
             Found::Outcome(outcome) => outcome,
             // QUIC retransmits the answer for as long as the connection is open.
-            Found::Forgotten => {
+            Found::AnswerDropped => {
                 read_answer(&mut sent.reader).await.map_or(RequestOutcome::Lost, outcome_of_answer)
             }
             // An answer that arrived before the close can still be read.
--- a/acaciaringd/src/peer/search.rs
+++ b/acaciaringd/src/peer/search.rs
@@ -59,7 +59,7 @@
     /// The outcome of the attempt is known.
     Outcome(RequestOutcome),
     /// The attempt has ended and its answer is no longer kept, except on its own connection.
-    Forgotten,
+    AnswerDropped,
     /// The member's process has stopped; its connection may still hold a received answer.
     Stopped,
 }
@@ -171,6 +171,6 @@
         reply::Body::Fetch(FetchReply { answer: Some(answer) }) => {
             Found::Outcome(RequestOutcome::Answer(answer))
         }
-        _ => Found::Forgotten,
+        _ => Found::AnswerDropped,
     }
 }
