--- a/acaciaringd/src/control/identity.rs
+++ b/acaciaringd/src/control/identity.rs
@@ -22,14 +22,14 @@
     pub(crate) was_leased: bool,
 }
 
-/// Why a member gives up its identity.
+/// Why a member retires its identity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndReason {
-    /// The process was told to stop.
+    /// A stop of the process was requested.
     Stop,
     /// The upstream is leaving or does not answer.
     Upstream,
-    /// The lease has been lost for too long, or for good.
+    /// The lease has been lost for too long, or cannot be regained.
     Lease,
 }
 
--- a/acaciaringd/src/control/upstream_state.rs
+++ b/acaciaringd/src/control/upstream_state.rs
@@ -47,7 +47,8 @@
 /// Heartbeat whose reply is delayed until it reflects a pending move.
 ///
 /// A moving unit has no server from the reply that leaves it out until the reply that grants it to
-/// the next upstream, so a reply that just misses a move costs a whole heartbeat interval.
+/// the next upstream, so a reply that just misses a move prolongs this by a heartbeat
+/// interval.
 #[derive(Debug)]
 struct DelayedReply {
     reply: oneshot::Sender<HeartbeatReply>,
@@ -183,7 +184,7 @@
 
     /// Handles the notice that the upstream is leaving and stops its heartbeats.
     pub(super) fn on_upstream_leaves(&mut self, now: Time, instance: &Name) {
-        let present = self.upstream.mode.start();
+        let present = self.upstream.mode.incarnation();
         if present.is_none_or(|present| present.instance == *instance) {
             self.upstream_leaves(now);
         }
@@ -225,7 +226,7 @@
 
     /// Returns true when the running instance of the upstream is the attached one.
     pub(super) fn is_attached_upstream(&self, attachment: &Attachment) -> bool {
-        let present = self.upstream.mode.start();
+        let present = self.upstream.mode.incarnation();
         present.is_some_and(|present| present.instance == attachment.instance)
     }
 
--- a/acaciaringd/src/gate/mod.rs
+++ b/acaciaringd/src/gate/mod.rs
@@ -21,7 +21,7 @@
 use parking_lot::Mutex;
 use tracing::debug;
 
-pub(crate) use self::dedup::{Dedup, Inheritance, Role};
+pub(crate) use self::dedup::{Dedup, DedupHandover, Role};
 use self::queue::Queue;
 use crate::announce::Announcement;
 use crate::clock;
@@ -45,7 +45,7 @@
 /// Slot under which requests to services that are not partitioned by key are counted in flight.
 const POOLED_SLOT: Slot = Slot::MAX;
 
-/// Retry hint while this member cannot serve: a unit moves, the lease is missing, or it drains.
+/// Retry hint while this member cannot serve: a unit moves, there is no lease, or it drains.
 const MOVE_RETRY: Duration = Duration::from_millis(300);
 
 /// Ownership under which a request runs.
@@ -179,8 +179,8 @@
 
     /// Returns true for a request to a service partitioned by key.
     ///
-    /// With declared configuration the sender decides: each member reads the routes by itself, and
-    /// the sender's version may be newer than the local one.
+    /// With declared configuration the sender decides: each member reads the routes independently,
+    /// and the sender's version may be newer than the local one.
     fn is_keyed(&self, view: &View, request: &Request) -> Result<bool, Refusal> {
         if self.shared.declares {
             return Ok(request.key.is_some());
@@ -346,9 +346,9 @@
 
 /// Returns the standby that must record a request before it may run at most once.
 ///
-/// A standby whose lease has expired for good is left out because it can never take over; waiting
-/// for it would block the owner until the log records another standby. A later standby answers
-/// `Unknown` for requests that it has no record of.
+/// A standby whose lease has expired permanently is left out because it can never take over;
+/// waiting for it would block the owner until the log records another standby. A later standby
+/// answers `Unknown` for requests that it has no record of.
 fn standby_to_notify(view: &View, workspace: &str, grant: Grant) -> Option<MemberId> {
     let assignment = view.assignment(workspace, grant.unit)?;
     let standby = assignment.standby.filter(|standby| Some(*standby) != view.me)?;
--- a/acaciaringd/src/peer/attempt.rs
+++ b/acaciaringd/src/peer/attempt.rs
@@ -227,7 +227,7 @@
                 let search = Search { shared, info, silence, arrived, sent: &sent.link };
                 match search.run().await {
                     Found::Outcome(outcome) => outcome,
-                    Found::Forgotten | Found::Stopped => RequestOutcome::Lost,
+                    Found::AnswerDropped | Found::Stopped => RequestOutcome::Lost,
                 }
             }
             _ => RequestOutcome::Lost,
@@ -238,7 +238,10 @@
     async fn recover(self) -> RequestOutcome {
         let Self { shared, info, silence, arrived, mut sent } = self;
         let AttemptInfo { to, attempt, .. } = info;
-        debug!(%to, attempt, arrived, link = sent.link.id, "connection is suspect; searching");
+        debug!(
+            %to, attempt, arrived, link = sent.link.id,
+            "connection is suspect, searching for the attempt on new connections"
+        );
         let search = Search { shared, info, silence, arrived, sent: &sent.link };
         let mut search = pin!(search.run());
         let found = tokio::select! {
@@ -251,7 +254,7 @@
         let outcome = match found {
             Found::Outcome(outcome) => outcome,
             // QUIC retransmits the answer for as long as the connection is open.
-            Found::Forgotten => {
+            Found::AnswerDropped => {
                 read_answer(&mut sent.reader).await.map_or(RequestOutcome::Lost, outcome_of_answer)
             }
             // An answer that arrived before the close can still be read.
--- a/acaciaringd/src/peer/search.rs
+++ b/acaciaringd/src/peer/search.rs
@@ -59,7 +59,7 @@
     /// The outcome of the attempt is known.
     Outcome(RequestOutcome),
     /// The attempt has ended and its answer is no longer kept, except on its own connection.
-    Forgotten,
+    AnswerDropped,
     /// The member's process has stopped; its connection may still hold a received answer.
     Stopped,
 }
@@ -145,8 +145,8 @@
 
     /// Records whether the attempt has arrived; returns the outcome if it is thereby known.
     ///
-    /// Guards against reporting a request as not run although it ran: a receiver forgets an attempt
-    /// some time after its end and then replies that it has not arrived.
+    /// Guards against reporting a request as not run although it ran: a receiver drops its record
+    /// of an attempt some time after its end and then replies that it has not arrived.
     fn record_arrival(&mut self, arrived: bool) -> Option<RequestOutcome> {
         self.arrived |= arrived;
         if self.arrived {
@@ -171,6 +171,6 @@
         reply::Body::Fetch(FetchReply { answer: Some(answer) }) => {
             Found::Outcome(RequestOutcome::Answer(answer))
         }
-        _ => Found::Forgotten,
+        _ => Found::AnswerDropped,
     }
 }
