--- a/acaciaringd/src/control/retire.rs
+++ b/acaciaringd/src/control/retire.rs
@@ -60,7 +60,7 @@
         if now.since(announced.at) < timeout {
             return;
         }
-        warn!(refused, "upstream announcements timed out, detaching the upstream");
+        warn!(refused, "upstream is lost, leaving to join again without it");
         self.announced = None;
         self.detach(now);
     }
