--- a/acaciaringd/src/entry/refuse.rs
+++ b/acaciaringd/src/entry/refuse.rs
@@ -109,9 +109,13 @@
 
 /// Answers a request whose body is above [`body::MAX_DISCARD`] and leaks its stream.
 ///
-/// Dropping the stream would allocate the rest of the body. The connection's thread is blocked
-/// until the process ends.
+/// Dropping the stream would allocate the rest of the body. The connection stays open, and
+/// blocks its thread if it is kept alive, until the process ends.
 fn answer_and_leak(raw: Request, answer: &EntryAnswer) {
-    error!(remote = ?raw.remote_addr(), length = ?raw.body_length(), "body too large to discard");
+    error!(
+        remote = ?raw.remote_addr(),
+        length = ?raw.body_length(),
+        "body too large to discard, connection stays open until the process ends"
+    );
     std::mem::forget(raw.upgrade("none", answer.response()));
 }
